--- /dev/null
+++ b/tests/golden/test_decisions.py
@@ -0,0 +1,38 @@
+"""The decisions of seeded storms, held against digests that were recorded before the module was split."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+import pytest
+from support.decision_storm import SCENARIOS, digests
+
+from cherrygrade import compiled, policy
+
+RECORDED = json.loads(Path(__file__).with_name("decisions.json").read_text())
+BY_NAME = {scenario.name: scenario for scenario in SCENARIOS}
+CASES = [(name, seed) for name, seeds in RECORDED["digests"].items() for seed in seeds]
+
+
+def recorded(name: str, seed: str) -> list[str]:
+    found: list[str] = RECORDED["digests"][name][seed]
+    return found
+
+
+def test_each_scenario_has_its_digests():
+    assert {scenario.name for scenario in SCENARIOS} == set(RECORDED["digests"])
+
+
+@pytest.mark.parametrize(("name", "seed"), CASES)
+def test_decisions_are_those_recorded(name, seed):
+    found = digests(policy.Dispatcher, BY_NAME[name], int(seed), RECORDED["rounds"])
+    assert found == recorded(name, seed)
+
+
+@pytest.mark.parametrize(("name", "seed"), CASES)
+def test_compiled_decisions_are_those_recorded(name, seed):
+    make, is_compiled = compiled.dispatcher()
+    if not is_compiled:
+        pytest.skip("no C compiler here: the program runs the module as it reads")
+    assert digests(make, BY_NAME[name], int(seed), RECORDED["rounds"]) == recorded(name, seed)
--- /dev/null
+++ b/tests/support/decision_storm.py
@@ -0,0 +1,328 @@
+"""Seeded storms on the decision module, written down decision by decision.
+
+A storm feeds one dispatcher with requests, outcomes, list changes, leavings and peers' messages drawn by a
+seed. Every decision becomes one line of text with floats in hexadecimal, so that a change in the order of
+decisions or in the last bit of an argument changes the digest.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import random
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from struct import pack
+from typing import Any
+
+from cherrygrade.interface import (
+    ColdStart,
+    Company,
+    Earnings,
+    Effect,
+    Node,
+    Outcome,
+    Permits,
+    Plan,
+    ResendBudget,
+    Rpc,
+    Send,
+    Standing,
+    Workload,
+)
+
+ROUNDS_PER_DIGEST = 100
+WORKLOADS = [
+    Workload("interactive", 200.0, 1500.0, 3.0, 0.2),
+    Workload("zone-token", 900.0, 1500.0, 2.0, 0.1, Effect.TOKENED, "zone", 600.0),
+    Workload("any-token", 700.0, 2500.0, 2.5, 0.0, Effect.TOKENED, "all", 800.0),
+    Workload("cell-token", 800.0, 2500.0, 1.5, 0.3, Effect.TOKENED, "cell", 500.0),
+    Workload("export", 1500.0, 5000.0, 1.0, 0.25),
+    Workload("ordered", 300.0, 1500.0, 3.0, 0.0, Effect.IDEMPOTENT, "all", 0.0, True),
+    Workload("once", 400.0, 1500.0, 2.8, 0.1, Effect.NON_IDEMPOTENT),
+]
+PLANS = [
+    Plan("basic", 1.0, 1.0, 50.0, 20.0),
+    Plan("limited", 4.0, 1.2, 100.0, 10.0, 60.0, 30.0),
+    Plan("free", 1.0, 0.5),
+]
+VOLUMES = ["volume-a", "volume-b", "volume-c", "volume-d"]
+
+
+@dataclass
+class Scenario:
+    """Settings of one storm; `shared` turns ranges of one key into candidates for one attempt."""
+
+    name: str
+    permits: Permits
+    earnings: Earnings = field(default_factory=lambda: Earnings(0.5, 0.1, 2.0, 8.0, 0.0, True))
+    cold: ColdStart = field(default_factory=lambda: ColdStart(8.0, 0.3, 3.0, 1000.0, 4000.0))
+    budget: ResendBudget | None = None
+    nodes: int = 6
+    number: int = 1
+    dispatchers: int = 3
+    arrivals: tuple[int, ...] = (0, 0, 1, 1, 2, 5)
+    answer_chance: float = 0.25
+    shared: bool = False
+    moving_counts: bool = False
+    steady: bool = False
+    """Every attempt succeeds; nodes turn slow and quick again in long phases."""
+
+
+SCENARIOS = [
+    Scenario("plain", Permits(4, come_back_ms=500.0), budget=ResendBudget(5.0, 0.2, 2000.0)),
+    Scenario(
+        "asked-list",
+        Permits(3, must_ask=True, ask_within_ms=5000.0),
+        Earnings(0.5, 0.1, 1.0, 4.0),
+        ColdStart(),
+        dispatchers=100,
+        number=42,
+    ),
+    Scenario(
+        "peers",
+        Permits(4, come_back_ms=1000.0, peers=True),
+        Earnings(0.4, 0.2, 2.0, 8.0),
+        dispatchers=4,
+        nodes=9,
+        arrivals=(0, 1, 2, 3),
+    ),
+    Scenario(
+        "marked-retries",
+        Permits(4, come_back_ms=700.0, marks_repeats=True),
+        budget=ResendBudget(0.0, 0.1, 1000.0),
+        dispatchers=2,
+    ),
+    Scenario(
+        "shared-attempts",
+        Permits(4, come_back_ms=500.0, join_length=65536, join_most=5, unit_length=4096.0),
+        nodes=2,
+        arrivals=(0, 1, 3, 6),
+        answer_chance=0.3,
+        shared=True,
+    ),
+    Scenario("copies", Permits(5, copies=True), dispatchers=1, number=0, answer_chance=0.1),
+    Scenario("many-nodes", Permits(4, come_back_ms=500.0), nodes=40, arrivals=(3, 5, 9), answer_chance=0.2),
+    Scenario(
+        "moving-counts",
+        Permits(4, come_back_ms=500.0, peers=True),
+        Earnings(0.5, 0.1, 1.0, 8.0),
+        ColdStart(20.0, 0.5, 2.0, 800.0, 6000.0),
+        ResendBudget(3.0, 0.3, 1500.0),
+        dispatchers=5,
+        moving_counts=True,
+    ),
+    Scenario("overload", Permits(4, come_back_ms=500.0), nodes=3, arrivals=(2, 4, 6), answer_chance=0.1),
+    Scenario(
+        "steady",
+        Permits(4, come_back_ms=500.0),
+        Earnings(0.9, 0.8, 1.0, 8.0),
+        ColdStart(),
+        dispatchers=1,
+        number=0,
+        nodes=1,
+        arrivals=(1, 2, 3, 4),
+        steady=True,
+    ),
+]
+
+
+def exact(value: float) -> str:
+    return float(value).hex()
+
+
+class Recorder:
+    """The writer of a storm: `lines` of what was decided, `out` the attempts without an outcome."""
+
+    def __init__(self) -> None:
+        self.now = 1_000_000.0
+        self.lines: list[str] = []
+        self.out: list[Send] = []
+
+    def send(self, rpc: Rpc, node: Node, limit_ms: float) -> Send:
+        send = Send(rpc, node, len(rpc.sends), self.now)
+        rpc.sends.append(send)
+        self.out.append(send)
+        self.lines.append(f"send {rpc.id} {send.number} {node.address} {exact(limit_ms)}")
+        return send
+
+    def cancel(self, send: Send) -> None:
+        self.lines.append(f"cancel {send.rpc.id} {send.number}")
+
+    def reject(self, rpc: Rpc, come_back_ms: float) -> None:
+        rpc.over = True
+        self.lines.append(f"reject {rpc.id} {exact(come_back_ms)}")
+
+    def error(self, rpc: Rpc) -> None:
+        rpc.over = True
+        self.lines.append(f"error {rpc.id}")
+
+    def wake(self, after_ms: float) -> None:
+        self.lines.append(f"wake {exact(after_ms)}")
+
+    def probe(self, node: Node) -> None:
+        self.lines.append(f"probe {node.address}")
+
+    def release(self, node: Node) -> None:
+        self.lines.append(f"release {node.address}")
+
+    def subscribe(self) -> None:
+        self.lines.append("subscribe")
+
+    def fetch(self) -> None:
+        self.lines.append("fetch")
+
+    def tell(self, peer: int | None, payload: bytes) -> None:
+        self.lines.append(f"tell {peer} {payload.hex()}")
+
+    def log(self, text: str) -> None:
+        self.lines.append(f"log {text}")
+
+
+class Storm:
+    """One dispatcher under one scenario and seed."""
+
+    def __init__(self, make: Callable[..., Any], scenario: Scenario, seed: int) -> None:
+        self.scenario = scenario
+        self.random = random.Random(f"{scenario.name}:{seed}")
+        self.writer = Recorder()
+        now = self.writer.now
+        self.nodes = [
+            Node(
+                f"10.0.0.{index}:7",
+                f"zone-{index % 2}",
+                "disk",
+                index % 5,
+                born_ms=self.random.choice([0.0, now - 500.0]),
+            )
+            for index in range(scenario.nodes)
+        ]
+        self.company = Company(scenario.dispatchers)
+        self.dispatcher = make(
+            seed=seed,
+            number=scenario.number,
+            dispatchers=scenario.dispatchers,
+            workloads=WORKLOADS,
+            earnings=scenario.earnings,
+            cold=scenario.cold,
+            budget=scenario.budget,
+            permits=scenario.permits,
+            key_rest_ms=100.0,
+            company=self.company,
+        )
+        self.open: list[Rpc] = []
+        self.step = 0
+
+    def play(self, rounds: int) -> list[str]:
+        """One digest for each ROUNDS_PER_DIGEST rounds, over all decisions so far."""
+        digest, found = hashlib.sha256(), list[str]()
+        self.dispatcher.decide(self.writer.now, self.writer, heard=self.nodes)
+        for self.step in range(1, rounds + 1):
+            self.round()
+            digest.update("\n".join([*self.writer.lines, f"round {self.step}\n"]).encode())
+            self.writer.lines.clear()
+            if self.step % ROUNDS_PER_DIGEST == 0:
+                found.append(digest.hexdigest()[:32])
+        return found
+
+    def round(self) -> None:
+        if self.scenario.steady:
+            self.writer.now += 30.0
+        self.writer.now += self.random.choice(
+            [0.5, 1.0, 3.0, 10.0, 2.0, 2.0, 40.0 if self.step % 50 else 700.0]
+        )
+        if self.scenario.moving_counts and self.random.random() < 0.05:
+            self.company.counts = self.random.choice([(5,), (5, 7), (5, 3)])
+            self.company.yields = self.random.random() < 0.1
+        taken = [self.request(turn) for turn in range(self.random.choice(self.scenario.arrivals))]
+        self.dispatcher.decide(
+            self.writer.now,
+            self.writer,
+            taken=taken,
+            answers=self.answers(),
+            left=self.leavings(),
+            heard=self.list_changes(),
+            list_answered=self.random.choice([None, True, False, False]) if self.step % 10 == 0 else None,
+            words=self.messages(),
+        )
+        self.open = [rpc for rpc in [*self.open, *taken] if not rpc.over]
+
+    def request(self, turn: int) -> Rpc:
+        chance, now = self.random, self.writer.now
+        work = chance.choice(WORKLOADS if not self.scenario.steady else [WORKLOADS[0], WORKLOADS[4]])
+        key = chance.choice(["", "key-1", "key-2", "key-2", f"own-{self.step}-{turn}"])
+        start = 4096 * chance.randrange(24)
+        length = 4096 * chance.choice([1, 1, 2, 4])
+        joins = self.scenario.shared and key.startswith("key") and not work.in_order
+        return Rpc(
+            None if chance.random() < 0.002 else work,
+            chance.choice(PLANS),
+            chance.choice(VOLUMES),
+            chance.choice([1, 3, self.scenario.dispatchers]),
+            key,
+            chance.choice([-1, -1, 0, 1, 2, 3, 4, 7]) if not (joins or self.scenario.steady) else 0,
+            chance.choice([1.0, 1.0, 2.0, 8.0]) if not joins else max(1.0, length / 4096.0),
+            now + work.deadline_ms * chance.choice([1.0, 1.0, 0.6, 0.1]),
+            writes=chance.random() < 0.3,
+            repeat=chance.random() < 0.1,
+            id=f"{self.step}.{turn}",
+            start=start,
+            length=length if joins else 0,
+            joins=joins,
+        )
+
+    def answers(self) -> list[Send]:
+        chance, now, found = self.random, self.writer.now, list[Send]()
+        answer_chance = self.scenario.answer_chance
+        if self.scenario.steady:
+            answer_chance = 0.06 if self.step < 150 else 0.8
+        for send in [*self.writer.out]:
+            if send.lead is not None or not (
+                chance.random() < answer_chance or now >= send.rpc.give_up_ms + 50.0
+            ):
+                continue
+            outcome = chance.choices([*Outcome], [30, 1, 1, 1, 1, 1, 0.2, 0.2])[0]
+            if self.scenario.steady:
+                outcome = Outcome.OK
+            elsewhere = chance.choice([0.0, 0.0, 2.0])
+            for one in [send, *(send.mates or ())]:
+                self.writer.out.remove(one)
+                one.outcome, one.took_ms, one.elsewhere = outcome, now - one.sent_ms, elsewhere
+                one.rpc.over = one.rpc.over or outcome is Outcome.OK
+                found.append(one)
+        return found
+
+    def leavings(self) -> list[Rpc]:
+        left = [rpc for rpc in self.open if not rpc.over and self.random.random() < 0.005]
+        for rpc in left:
+            rpc.over = True
+        return left
+
+    def list_changes(self) -> list[Node]:
+        chance = self.random
+        if chance.random() >= 0.04 or self.scenario.steady:
+            return []
+        index = chance.randrange(len(self.nodes))
+        node = self.nodes[index]
+        if node.standing is Standing.GONE and chance.random() < 0.5:
+            node = self.nodes[index] = Node(f"10.0.1.{self.step}:7", node.zone, "disk", node.shard)
+        node.standing = chance.choice([Standing.LIVE, Standing.LIVE, Standing.DRAINING, Standing.GONE])
+        if node.standing is Standing.LIVE and chance.random() < 0.5:
+            node.born_ms = self.writer.now - chance.choice([0.0, 300.0, 3000.0])
+        return [node]
+
+    def messages(self) -> list[tuple[int, bytes]]:
+        chance = self.random
+        if not self.scenario.permits.peers or chance.random() >= 0.3:
+            return []
+        lane_marks = [*self.dispatcher.places]
+        found = list[tuple[int, bytes]]()
+        for _ in range(chance.choice([1, 1, 3])):
+            mark = chance.choice(lane_marks) if chance.random() < 0.95 else 7
+            report = pack(">BHBH", chance.randrange(5), mark, chance.randrange(256), chance.randrange(900))
+            cut = report[: chance.randrange(1, 6)] if chance.random() < 0.05 else report
+            found.append((chance.randrange(self.scenario.dispatchers), cut))
+        return found
+
+
+def digests(make: Callable[..., Any], scenario: Scenario, seed: int, rounds: int) -> list[str]:
+    return Storm(make, scenario, seed).play(rounds)
