--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -678,9 +678,7 @@
         async def run(count: int, rate: float) -> dict[str, float]:
             line = [*cores(3), sys.executable, ME, "clients", str(port), str(count), str(rate)]
             line.append("1.0" if quick else "3.0")
-            process = await asyncio.create_subprocess_exec(
-                *line, stdout=subprocess.PIPE, cwd=HERE
-            )
+            process = await asyncio.create_subprocess_exec(*line, stdout=subprocess.PIPE, cwd=HERE)
             seen: dict[str, float] = json.loads((await process.communicate())[0])
             if seen["oks"] < KEPT_RATE * seen["made"]:
                 book.short.append(f"{count} clients at {rate:.0f}: {seen['oks']} of {seen['made']} ok")
--- a/benchmarks/fleet_config.py
+++ b/benchmarks/fleet_config.py
@@ -163,9 +163,7 @@
             turn += 1
             through = [at for at in range(self.count) if at not in self.dead][-1 - turn % 3]
             try:
-                told = await visit(
-                    self.at(through), Put(fresh_id(), text(self.rate), "the benchmark"), 5.0
-                )
+                told = await visit(self.at(through), Put(fresh_id(), text(self.rate), "the benchmark"), 5.0)
                 self.number = told["number"]
                 return asked
             except (ConfigUnreached, ConfigRefused):
--- a/cherrygrade/gateway/sessions.py
+++ b/cherrygrade/gateway/sessions.py
@@ -198,9 +198,7 @@
         self.house.spoke(self)
         self.name, self.features = hello.name, hello.features
         house = self.house
-        self.conn.send(
-            Welcome(min(VERSION, hello.version), house.name, [], house.most_body, house.most_open)
-        )
+        self.conn.send(Welcome(min(VERSION, hello.version), house.name, [], house.most_body, house.most_open))
 
     def _take(self, ask: ReadRpc | WriteRpc, body: bytearray | memoryview | None) -> None:
         claim, dropped = self.claim, self._dropped
--- a/cherrygrade/lab/audits/fleetaudit.py
+++ b/cherrygrade/lab/audits/fleetaudit.py
@@ -214,9 +214,7 @@
 
 def judge_by(story: Story, truth: Truth, numbers: Iterable[int]) -> list[Verdict]:
     """By the rules with these numbers alone."""
-    rules = dict(
-        zip(PROMISES, [_known, _nobody, _equal, _old, _unprobed, _words, _rest], strict=True)
-    )
+    rules = dict(zip(PROMISES, [_known, _nobody, _equal, _old, _unprobed, _words, _rest], strict=True))
     verdicts = []
     for number in numbers:
         verdict = Verdict(number)
--- a/cherrygrade/site.py
+++ b/cherrygrade/site.py
@@ -209,9 +209,7 @@
             return found
         if place.dispatchers < 2:
             found.append(("permits.peers", "true, but place.dispatchers is 1: there is nobody to tell"))
-        if self.fleet is None and (
-            len(places) != place.dispatchers or len(set(places)) != place.dispatchers
-        ):
+        if self.fleet is None and (len(places) != place.dispatchers or len(set(places)) != place.dispatchers):
             needed = f"with permits.peers one for each of place.dispatchers ({place.dispatchers})"
             found.append(("words.places", f"{len(places)} places, {len(set(places))} different; {needed}"))
         if earnings.tells_elsewhere:
--- a/tests/test_config_processes.py
+++ b/tests/test_config_processes.py
@@ -444,5 +444,3 @@
     assert code == 3 and "does not answer" in told and took < 3.0
     code, told, _ = command("show", "--at", "nowhere")
     assert code == 2
-
-
--- a/tests/test_gateway_failures.py
+++ b/tests/test_gateway_failures.py
@@ -385,9 +385,11 @@
         await house.node()
         gateway = await house.gateway()
         reader, writer = await asyncio.open_connection(*gateway.address.split(":"))
-        words = [encode(Hello(VERSION, "client", "raw")),
-                 encode(WriteRpc(1, "write", "v", "k", -1, 0, 1400.0), 5) + b"bytes",
-                 encode(ReadRpc(2, "read", "v", "k", 0, 0, 5, 1400.0))]
+        words = [
+            encode(Hello(VERSION, "client", "raw")),
+            encode(WriteRpc(1, "write", "v", "k", -1, 0, 1400.0), 5) + b"bytes",
+            encode(ReadRpc(2, "read", "v", "k", 0, 0, 5, 1400.0)),
+        ]
         got = b""
         for word in words:
             for at in range(len(word)):
