--- a/benchmarks/fleet_config.py
+++ b/benchmarks/fleet_config.py
@@ -31,11 +31,11 @@
 from bench import ROOT
 
 from cherrygrade.client import Client, Ok
-from cherrygrade.fleet.carriers.ask import ask
-from cherrygrade.fleet.carriers.disk import found
-from cherrygrade.fleet.carriers.operator import Put, fresh_id, visit
-from cherrygrade.fleet.errors import ConfigRefused, ConfigUnreached
-from cherrygrade.fleet.members.pages import letter
+from cherrygrade.fleet.errors import ConfigRefusedError, ConfigUnreachableError
+from cherrygrade.fleet.membership.messages import letter
+from cherrygrade.fleet.runtime.operator_commands import PutRequest, fresh_id, visit
+from cherrygrade.fleet.runtime.status_query import ask
+from cherrygrade.fleet.runtime.voter_store import found
 from cherrygrade.lab.rig.run import Child, free_places
 from cherrygrade.standin.control import Controller
 from cherrygrade.standin.ways import BOUND, ENTRY, FLEET, TOLD, host
@@ -163,10 +163,12 @@
             turn += 1
             through = [at for at in range(self.count) if at not in self.dead][-1 - turn % 3]
             try:
-                told = await visit(self.at(through), Put(fresh_id(), text(self.rate), "the benchmark"), 5.0)
+                told = await visit(
+                    self.at(through), PutRequest(fresh_id(), text(self.rate), "the benchmark"), 5.0
+                )
                 self.number = told["number"]
                 return asked
-            except (ConfigUnreached, ConfigRefused):
+            except (ConfigUnreachableError, ConfigRefusedError):
                 if turn > 40:
                     raise
                 await asyncio.sleep(0.05)
--- a/benchmarks/fleet_config_service.py
+++ b/benchmarks/fleet_config_service.py
@@ -18,9 +18,9 @@
 
 from bench import SITE, Rig, Tally, cpu_s, open_loop, read_rpc
 
-from cherrygrade.fleet.carriers.ask import ask
-from cherrygrade.fleet.carriers.disk import found
-from cherrygrade.fleet.carriers.operator import Put, fresh_id, visit
+from cherrygrade.fleet.runtime.operator_commands import PutRequest, fresh_id, visit
+from cherrygrade.fleet.runtime.status_query import ask
+from cherrygrade.fleet.runtime.voter_store import found
 
 NAMES = ["d0", "d1", "d2"]
 PER_S, EVERY_S, VOLUMES, NODES = 517.0, 3.0, 100, 3
@@ -86,7 +86,7 @@
             if self.goes:
                 self.turn += 1
                 try:
-                    await visit(self.place, Put(fresh_id(), text(self.turn), "benchmark"), 5.0)
+                    await visit(self.place, PutRequest(fresh_id(), text(self.turn), "benchmark"), 5.0)
                     self.made += 1
                 except Exception as wrong:  # counted, told, and the window goes on
                     self.failed += 1
@@ -114,7 +114,7 @@
         led = [(await whole(place, 0))["council"]["leader"] for *_, place in fleet][-1]
         leads = next(one for one in fleet if one[0] == led)
         follows = next(one for one in fleet if one[0] != led)
-        await visit(leads[3], Put(fresh_id(), text(0), "benchmark"), 5.0)
+        await visit(leads[3], PutRequest(fresh_id(), text(0), "benchmark"), 5.0)
         for *_, place in fleet:
             await whole(place, 1)
         changes = Changes(leads[3])
--- a/benchmarks/fleet_leases.py
+++ b/benchmarks/fleet_leases.py
@@ -19,9 +19,9 @@
 import psutil
 from bench import ROOT
 
-from cherrygrade.fleet.carriers.ask import ask
-from cherrygrade.fleet.carriers.disk import found
-from cherrygrade.fleet.leases.wanting import LATELY_MS
+from cherrygrade.fleet.leases.lease_client import LATELY_MS
+from cherrygrade.fleet.runtime.status_query import ask
+from cherrygrade.fleet.runtime.voter_store import found
 from cherrygrade.standin.receiver import judge
 
 LEASE_MS = 2000.0
--- a/cherrygrade/cli.py
+++ b/cherrygrade/cli.py
@@ -10,14 +10,14 @@
 import json
 import sys
 import time
-import zlib
 from pathlib import Path
 from typing import Annotated, Literal
 
 from cyclopts import App, Parameter
 
 from cherrygrade.records.load import RecordError, plain, read_site, read_vertex
-from cherrygrade.site import Origin, Site
+from cherrygrade.records.settings_mark import settings_mark
+from cherrygrade.settings import SiteSettings, StartReference
 
 Form = Literal["json", "console", "none"]
 Given = Annotated[tuple[str, ...], Parameter(name="--with", consume_multiple=False, negative="")]
@@ -37,7 +37,7 @@
 app.command(lab)
 
 
-def origin_of(site: Site) -> Origin:
+def origin_of(site: SiteSettings) -> StartReference:
     """This life, for the fleet. Settings are marked as the own file has them: what the fleet's configuration
     lays over them is told by its number, and a change of it is news of nobody's file."""
     from importlib.metadata import PackageNotFoundError, version
@@ -46,11 +46,10 @@
         own = version("cherrygrade")
     except PackageNotFoundError:
         own = "?"
-    shared = (site.trade, site.bearings, site.place.dispatchers)
-    return Origin(int(time.time() * 1000.0), own, f"{zlib.crc32(repr(shared).encode()):08x}")
+    return StartReference(int(time.time() * 1000.0), own, settings_mark(site))
 
 
-def _site(file: Path, given: tuple[str, ...]) -> Site:
+def _site(file: Path, given: tuple[str, ...]) -> SiteSettings:
     try:
         return read_site(file, "\n".join(given))
     except RecordError as trouble:
@@ -159,7 +158,7 @@
 
     Exit code 0: all of the fleet of record live and are known alike here; 1: not so; 3: nobody told.
     """
-    from cherrygrade.fleet.carriers.show import status
+    from cherrygrade.fleet.runtime.status_view import status
 
     return status(place, as_json)
 
@@ -167,7 +166,7 @@
 @fleet.command(name="watch")
 def fleet_watch(place: str = "127.0.0.1:7500", *, every_s: float = 1.0, times: int = 0) -> int:
     """Show it again and again, until interrupted or so many times."""
-    from cherrygrade.fleet.carriers.show import watch
+    from cherrygrade.fleet.runtime.status_view import watch
 
     return watch(place, every_s, times)
 
@@ -179,16 +178,18 @@
     Each voter of fleet.council.voters is to be founded before any of them starts. A voter that lost its store
     is not founded again: started with an empty folder it is let in by the others.
     """
-    from cherrygrade.errors import Trouble
-    from cherrygrade.fleet.carriers.disk import found
+    from cherrygrade.errors import OperatorError
+    from cherrygrade.fleet.runtime.voter_store import found
 
     site = _site(file, given)
     try:
         if site.fleet is None or site.fleet.council is None:
-            raise Trouble(f"{file} names no fleet.council", "Nothing was made.", "Name its voters there.")
+            raise OperatorError(
+                f"{file} names no fleet.council", "Nothing was made.", "Name its voters there."
+            )
         council = site.fleet.council
         found(Path(council.folder), site.fleet.name, site.place.name, council.voters)
-    except Trouble as trouble:
+    except OperatorError as trouble:
         print(trouble, file=sys.stderr)
         return 2
     print(f"{site.place.name} votes, with {', '.join(council.voters)}")
@@ -205,7 +206,7 @@
     Exit code 0: agreed, and told by its number; 1: refused, with why; 2: FILE or arguments are wrong, nobody
     was asked; 3: no dispatcher answers at AT (its fleet.place), or no majority of the council does.
     """
-    from cherrygrade.fleet.carriers.operator import put
+    from cherrygrade.fleet.runtime.operator_commands import put
 
     return put(file, at)
 
@@ -217,7 +218,7 @@
     Exit code 0: as the council has it; 1: NUMBER is not kept; 2: arguments are wrong; 3: nobody answers at
     AT, or no majority of the council (what is in force at AT is shown then too).
     """
-    from cherrygrade.fleet.carriers.operator import show
+    from cherrygrade.fleet.runtime.operator_commands import show
 
     return show(number, at)
 
@@ -229,7 +230,7 @@
 
     Exit code 0: it is; 1: not within so many seconds; 2: arguments are wrong; 3: nobody answers at AT.
     """
-    from cherrygrade.fleet.carriers.operator import wait
+    from cherrygrade.fleet.runtime.operator_commands import wait
 
     return wait(number, at, within_s)
 
@@ -237,7 +238,7 @@
 @config.command(name="back")
 def config_back(number: int, *, at: At = "127.0.0.1:7500") -> int:
     """Put the text of version NUMBER again, as a new version. Exit codes as for put."""
-    from cherrygrade.fleet.carriers.operator import back
+    from cherrygrade.fleet.runtime.operator_commands import back
 
     return back(number, at)
 
@@ -461,7 +462,7 @@
     folder
         Where the records stay; else nothing is left.
     """
-    from cherrygrade.errors import Trouble
+    from cherrygrade.errors import OperatorError
     from cherrygrade.lab.scale import report as reports
     from cherrygrade.lab.scale.run import play, read_scale
 
@@ -474,7 +475,7 @@
     try:
         scale = read_scale(scenario, text)
         made = play(scale, command, quick, folder, lambda what: print(what, file=sys.stderr, flush=True))
-    except (RecordError, Trouble) as trouble:
+    except (RecordError, OperatorError) as trouble:
         print(trouble, file=sys.stderr)
         return 2
     if report is not None:
--- a/cherrygrade/compiled.py
+++ b/cherrygrade/compiled.py
@@ -17,7 +17,7 @@
 import tempfile
 from pathlib import Path
 
-from cherrygrade import interface, policy
+from cherrygrade.scheduling import model, scheduler
 
 NAME = "cherrygrade_compiled_policy"
 HEAD = '# mypy: disable-error-code="union-attr,arg-type"\nMARK = "{mark}"\n'
@@ -25,19 +25,19 @@
 
 def mark() -> str:
     """Of the module and of the types it works on, as they read now."""
-    text = b"".join(Path(str(module.__file__)).read_bytes() for module in (policy, interface))
+    text = b"".join(Path(str(module.__file__)).read_bytes() for module in (scheduler, model))
     return hashlib.blake2b(text, digest_size=12).hexdigest()
 
 
-def dispatcher() -> tuple[type[policy.Dispatcher], bool]:
+def dispatcher() -> tuple[type[scheduler.Scheduler], bool]:
     """The module's class, and whether it is the compiled one."""
     try:
         found = importlib.import_module(NAME)
     except ImportError:
-        return policy.Dispatcher, False
+        return scheduler.Scheduler, False
     if getattr(found, "MARK", "") != mark():
-        return policy.Dispatcher, False
-    made: type[policy.Dispatcher] = found.Dispatcher
+        return scheduler.Scheduler, False
+    made: type[scheduler.Scheduler] = found.Scheduler
     return made, True
 
 
@@ -46,14 +46,14 @@
     if dispatcher()[1]:
         return "the compiled module is of this source already"
     with tempfile.TemporaryDirectory() as folder:
-        text = Path(str(policy.__file__)).read_text()
+        text = Path(str(scheduler.__file__)).read_text()
         # The docstring and the future import stay first; the mark goes behind them.
         first, future, rest = text.partition("from __future__ import annotations\n")
         if not future:
             raise RuntimeError("the module does not begin as expected")
         head = HEAD.format(mark=mark()).split("\n", 1)
         (Path(folder) / f"{NAME}.py").write_text(f"{head[0]}\n{first}{future}{head[1]}{rest}")
-        root = str(Path(str(policy.__file__)).resolve().parent.parent)
+        root = str(Path(str(scheduler.__file__)).resolve().parent.parent.parent)
         done = subprocess.run(
             [sys.executable, "-c", "import sys; from mypyc.__main__ import main; main()", f"{NAME}.py"],
             cwd=folder,
--- a/cherrygrade/errors.py
+++ b/cherrygrade/errors.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Trouble(Exception):
+class OperatorError(Exception):
     """Root of the program's own errors. `str` is all three, for a command line or a log."""
 
     means = "No data is touched."
--- a/cherrygrade/extents/carrier.py
+++ b/cherrygrade/extents/carrier.py
@@ -13,12 +13,12 @@
 from cherrygrade.extents.hold import Company
 from cherrygrade.extents.map import NOWHERE, ExtentMap, Stretch
 from cherrygrade.extents.parent import End, Parent, Piece
-from cherrygrade.held import Asker, Body, Held, Whole
-from cherrygrade.interface import Effect, Workload
+from cherrygrade.inflight import Body, ClientSession, InflightRequest, RangeRequest
 from cherrygrade.peers.ladder import Step
 from cherrygrade.peers.rooms import Rooms
 from cherrygrade.peers.store import Claim, waits
-from cherrygrade.site import Cuts, Trade, Volume
+from cherrygrade.scheduling.model import Idempotency, Workload
+from cherrygrade.settings import ExtentSettings, TrafficSettings, VolumeSettings
 from cherrygrade.wire.messages import Errored, MapPart, Ok, Part, ReadRpc, Rejected, WriteRpc
 
 ASK_AGAIN_MS = 250.0
@@ -29,7 +29,7 @@
     """The dispatcher, as ranges need it."""
 
     @property
-    def trade(self) -> Trade: ...
+    def trade(self) -> TrafficSettings: ...
 
     @property
     def rooms(self) -> Rooms: ...
@@ -42,12 +42,12 @@
 
     def clock(self) -> float: ...
 
-    def until(self, session: Asker, ask: ReadRpc | WriteRpc) -> float:
+    def until(self, session: ClientSession, ask: ReadRpc | WriteRpc) -> float:
         """When the RPC's answer must be on its way. To be asked once an RPC."""
 
     def make(
         self,
-        session: Asker,
+        session: ClientSession,
         ask: ReadRpc | WriteRpc,
         body: Body,
         key: str,
@@ -55,27 +55,29 @@
         start: int,
         length: int,
         until: float,
-    ) -> Held: ...
+    ) -> InflightRequest: ...
 
-    def take_plain(self, session: Asker, ask: ReadRpc | WriteRpc, body: Body) -> Held:
+    def take_plain(self, session: ClientSession, ask: ReadRpc | WriteRpc, body: Body) -> InflightRequest:
         """An RPC that no map is asked for."""
 
-    def admit(self, held: Held) -> None:
+    def admit(self, held: InflightRequest) -> None:
         """To the module, once there is room for its bytes."""
 
-    def abandon(self, held: Held) -> None:
+    def abandon(self, held: InflightRequest) -> None:
         """The module is to go on with it no more."""
 
-    def release(self, one: Held | Whole) -> Claim | None: ...
+    def release(self, one: InflightRequest | RangeRequest) -> Claim | None: ...
 
-    def pin_sends(self, held: Held, claim: Claim) -> None: ...
+    def pin_sends(self, held: InflightRequest, claim: Claim) -> None: ...
 
-    def let_go(self, one: Held | Whole) -> None: ...
+    def let_go(self, one: InflightRequest | RangeRequest) -> None: ...
 
-    def keeps(self, one: Whole) -> bool:
+    def keeps(self, one: RangeRequest) -> bool:
         """Whether it is taken and not over."""
 
-    def final(self, one: Held | Whole, message: Ok | Rejected | Errored, body: Body = None) -> None: ...
+    def final(
+        self, one: InflightRequest | RangeRequest, message: Ok | Rejected | Errored, body: Body = None
+    ) -> None: ...
 
     def look_again(self) -> None:
         """RPCs that waited for their place have one now."""
@@ -88,12 +90,12 @@
     def __init__(
         self,
         carrier: Carrier,
-        session: Asker,
+        session: ClientSession,
         ask: ReadRpc | WriteRpc,
         body: Any,
         until: float,
         workload: Workload,
-        volume: Volume,
+        volume: VolumeSettings,
     ) -> None:
         self.carrier, self.session, self.ask, self.until = carrier, session, ask, until
         self.workload, self.volume = workload, volume
@@ -102,8 +104,8 @@
         self.streams = not self.writes and PARTS in session.features
         self.whole = memoryview(body or b"") if self.writes else None  # a read's bytes, put together
         self.claim: Claim | None = None  # room of the whole; pieces that stream have their own
-        self.cramped_piece: Held | None = None  # one that waited for room when last looked at
-        self.helds: dict[Piece, Held] = {}
+        self.cramped_piece: InflightRequest | None = None  # one that waited for room when last looked at
+        self.helds: dict[Piece, InflightRequest] = {}
         self.parent = Parent([Stretch(-1, 0, self.length, 0)], self.length, self.writes, 1, 1)
 
     def enter(self) -> None:
@@ -134,7 +136,7 @@
         self.feed()
 
     @property
-    def pieces(self) -> list[Held]:
+    def pieces(self) -> list[InflightRequest]:
         return [*self.helds.values()]
 
     def feed(self) -> None:
@@ -157,7 +159,7 @@
             if waits(held.claim):
                 self.cramped_piece = held
 
-    def ok(self, held: Held) -> None:
+    def ok(self, held: InflightRequest) -> None:
         piece, body = held.piece, held.body
         assert isinstance(piece, Piece)
         stretch = piece.stretch
@@ -170,7 +172,7 @@
         self.parent.ok(piece, held.version)
         self._on()
 
-    def rejected(self, held: Held, come_back_ms: float) -> None:
+    def rejected(self, held: InflightRequest, come_back_ms: float) -> None:
         assert isinstance(held.piece, Piece)
         self._landed(held.piece)
         if any(send.outcome is None or not send.outcome.never_ran for send in held.sends):
@@ -178,7 +180,7 @@
         self.parent.rejected(held.piece, come_back_ms)
         self._on()
 
-    def errored(self, held: Held) -> None:
+    def errored(self, held: InflightRequest) -> None:
         assert isinstance(held.piece, Piece)
         self._landed(held.piece)
         self.parent.errored(held.piece)
@@ -217,7 +219,7 @@
             self.carrier.house.abandon(held)
             self._let_go(held)
 
-    def _let_go(self, held: Held) -> None:
+    def _let_go(self, held: InflightRequest) -> None:
         house = self.carrier.house
         self.session.flying -= held.length
         if self.claim is not None:
@@ -229,18 +231,20 @@
     """All of a dispatcher's ranges. `astray` is emptied by the map's word and by the RPCs' ends, `unmapped`
     by the volume's map or its RPCs' ends, `company` by the hold's end."""
 
-    def __init__(self, house: House, cuts: Cuts, ask_map: Callable[[str, int, int], None]) -> None:
+    def __init__(self, house: House, cuts: ExtentSettings, ask_map: Callable[[str, int, int], None]) -> None:
         self.house, self.cuts, self.ask_map = house, cuts, ask_map
         self.map = ExtentMap()
         self.holds = Company(cuts.hold_part)
-        self.astray: dict[tuple[str, int], list[Held]] = {}
+        self.astray: dict[tuple[str, int], list[InflightRequest]] = {}
         self.unmapped: dict[str, list[Range]] = {}
-        self.company: dict[tuple[str, int], list[Held]] = {}
+        self.company: dict[tuple[str, int], list[InflightRequest]] = {}
         # RPCs that went with others; those that went as pieces; holds that met nobody; old entries met.
         self.joined = self.split = self.held_vain = self.stales = 0
         self._again: asyncio.TimerHandle | None = None
 
-    def take(self, session: Asker, ask: ReadRpc | WriteRpc, body: Any) -> Held | Range | None:
+    def take(
+        self, session: ClientSession, ask: ReadRpc | WriteRpc, body: Any
+    ) -> InflightRequest | Range | None:
         """A client's RPC on a range; None where it was answered at once."""
         house, volume = self.house, ask.volume
         length = ask.length if isinstance(ask, ReadRpc) else len(body or b"")
@@ -295,11 +299,13 @@
         for held in helds:
             self.house.admit(held)
 
-    def _single(self, session: Asker, ask: ReadRpc | WriteRpc, body: Any, stretch: Stretch) -> Held:
+    def _single(
+        self, session: ClientSession, ask: ReadRpc | WriteRpc, body: Any, stretch: Stretch
+    ) -> InflightRequest:
         shard, version = self.map.home(ask.volume, stretch.extent)
         return self._held(session, ask, body, stretch, shard, version, self.house.until(session, ask))
 
-    def hold_piece(self, range_: Range, piece: Piece) -> Held:
+    def hold_piece(self, range_: Range, piece: Piece) -> InflightRequest:
         stretch, ask = piece.stretch, range_.ask
         body = None
         if range_.writes and range_.whole is not None:
@@ -317,7 +323,7 @@
 
     def _held(
         self,
-        session: Asker,
+        session: ClientSession,
         ask: ReadRpc | WriteRpc,
         body: Any,
         stretch: Stretch,
@@ -325,7 +331,7 @@
         version: int,
         until: float,
         workload: Workload | None = None,
-    ) -> Held:
+    ) -> InflightRequest:
         """The module's RPC on one stretch; it waits for the map's word where its place is not known.
         `workload`: of an RPC that was taken before."""
         held = self.house.make(
@@ -334,12 +340,12 @@
         held.extent, held.version = stretch.extent, max(0, version)
         work = held.workload = workload or held.workload
         assert work is not None
-        held.joins = self.cuts.merge and work.effect is Effect.IDEMPOTENT and not work.in_order
+        held.joins = self.cuts.merge and work.effect is Idempotency.IDEMPOTENT and not work.in_order
         if held.shard == NOWHERE and stretch.extent >= 0:
             self._stray(held)
         return held
 
-    def stale(self, held: Held) -> None:
+    def stale(self, held: InflightRequest) -> None:
         """A node's answer told that the map is old: the RPC waits for the newer word, in the module."""
         self.stales += 1
         self.map.forget(held.volume, held.extent, held.version)
@@ -350,7 +356,7 @@
         else:
             held.version = version
 
-    def _stray(self, held: Held) -> None:
+    def _stray(self, held: InflightRequest) -> None:
         waiting = self.astray.setdefault((held.volume, held.extent), [])
         waiting[:] = [other for other in waiting if not other.over]
         waiting.append(held)
--- a/cherrygrade/fleet/config/parts.py
+++ b/cherrygrade/fleet/config/joint_phase.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from cherrygrade.fleet.config.versions import Divisors
+from cherrygrade.fleet.config.versions import QuotaDivisors
 
 ASKS_A_S = 50.0  # that the leader asks at most
 AT_ONCE = 5  # of them in one beat
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class QuotaParts:
     """What a dispatcher may use. `counts`: numbers of dispatchers; the room at a cold node is the least over
     them, each reckoned as if it were the only one. `hosts`: a volume's limit is divided by this. `has`: False
     where this seat has no part at all, of cold nodes or limits."""
@@ -31,7 +31,7 @@
     has: bool = True
 
 
-def parts(seat: int, now: Divisors, old: Divisors | None = None, sure: bool = True) -> Parts:
+def parts(seat: int, now: QuotaDivisors, old: QuotaDivisors | None = None, sure: bool = True) -> QuotaParts:
     """Of this seat, under a version with divisors `now`; `old` only while it is joint (stage even), None once
     it is settled. `sure` False: it does not know yet which version the fleet is on (Replica.sure)."""
     hosts = dict(now.hosts)
@@ -41,16 +41,16 @@
             if volume in hosts:
                 hosts[volume] = max(hosts[volume], count)
         counts = tuple(sorted({now.dispatchers, old.dispatchers}))
-    return Parts(counts, hosts, sure and 0 <= seat < min(counts))
+    return QuotaParts(counts, hosts, sure and 0 <= seat < min(counts))
 
 
-def seats(now: Divisors, old: Divisors) -> int:
+def seats(now: QuotaDivisors, old: QuotaDivisors) -> int:
     """How many seats a move concerns."""
     return max(now.dispatchers, old.dispatchers)
 
 
 @dataclass(frozen=True, slots=True)
-class Seated:
+class SeatedMember:
     """One claim of a seat, as the roll has it or had it last. `living`: not known dead; `left`: it left by
     its own word."""
 
@@ -61,7 +61,7 @@
     left: bool = False
 
 
-class Settling:
+class JointPhase:
     """The leader's asking, of one move: `stage` (twice the number with which it began) has to be reached by
     each of `seats`, twice over: once all have said so, all are asked again, and nothing said before counts.
     Else one that said it and was started anew without what it had kept could have become sure by the word of
@@ -86,10 +86,10 @@
             life = (name, birth)
             self.said[life] = max(stage, self.said.get(life, 0))
 
-    def _proven(self, claim: Seated) -> bool:
+    def _proven(self, claim: SeatedMember) -> bool:
         return claim.left or self.said.get((claim.name, claim.birth), -1) >= self.stage
 
-    def whole(self, claims: Iterable[Seated]) -> bool:
+    def whole(self, claims: Iterable[SeatedMember]) -> bool:
         """Whether it may be settled now. To be asked after answers, and with claims as they are now."""
         if self.rounds < ROUNDS and not self.missing(claims):
             self.rounds += 1
@@ -98,11 +98,11 @@
                 self.asked.clear()
         return self.rounds >= ROUNDS
 
-    def missing(self, claims: Iterable[Seated]) -> dict[int, str]:
+    def missing(self, claims: Iterable[SeatedMember]) -> dict[int, str]:
         """Seats that lack proof in this round, and why. A seat is proven by its last holder, and
         by all that claim it and live: a member that leaves proves nothing of one that took its seat since,
         nor an earlier life of a later one."""
-        by_seat: dict[int, list[Seated]] = {}
+        by_seat: dict[int, list[SeatedMember]] = {}
         for claim in claims:
             if 0 <= claim.seat < self.seats:
                 by_seat.setdefault(claim.seat, []).append(claim)
@@ -123,7 +123,7 @@
     def due(self) -> float:
         return self._next_at
 
-    def beat(self, claims: Iterable[Seated], now: float) -> list[tuple[str, int]]:
+    def beat(self, claims: Iterable[SeatedMember], now: float) -> list[tuple[str, int]]:
         """Whom to ask now, name and nonce (page Which)."""
         if now < self._next_at:
             return []
--- a/cherrygrade/fleet/config/live.py
+++ b/cherrygrade/fleet/config/live_changes.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, fields, is_dataclass
 from typing import Any
 
-from cherrygrade.fleet.config.versions import Divisors, moves
-from cherrygrade.site import Site
+from cherrygrade.fleet.config.versions import QuotaDivisors, moves
+from cherrygrade.settings import SiteSettings
 
 LIVE = {
     # Read anew for each RPC or round, and bounding what this dispatcher alone does: the larger of two
@@ -39,21 +39,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changes:
+class LiveChanges:
     """Keys, as the record has them (`plans.gold.limit_rate`), sorted. `restart`: any there refuses the
     version. `divisors`: what parts move away from, None where none move."""
 
     live: list[str]
     restart: list[str]
-    divisors: Divisors | None = None
+    divisors: QuotaDivisors | None = None
 
 
-def divisors(site: Site) -> Divisors:
+def divisors(site: SiteSettings) -> QuotaDivisors:
     volumes = sorted(site.trade.volumes.items())
-    return Divisors(site.place.dispatchers, tuple((name, volume.hosts) for name, volume in volumes))
+    return QuotaDivisors(site.place.dispatchers, tuple((name, volume.hosts) for name, volume in volumes))
 
 
-def changes(old: Site, new: Site) -> Changes:
+def changes(old: SiteSettings, new: SiteSettings) -> LiveChanges:
     """What differs, by what has to be done about it."""
     live: list[str] = []
     restart: list[str] = []
@@ -61,7 +61,7 @@
     for key in sorted(was.keys() | told.keys()):
         if was.get(key, NOBODY) != told.get(key, NOBODY):
             (live if _live(key, key in was and key in told) else restart).append(key)
-    return Changes(live, restart, moves(divisors(old), divisors(new)))
+    return LiveChanges(live, restart, moves(divisors(old), divisors(new)))
 
 
 def _live(key: str, both: bool) -> bool:
@@ -73,7 +73,7 @@
     return not name and field in LIVE.get(part, ())
 
 
-def _keys(site: Site) -> dict[str, Any]:
+def _keys(site: SiteSettings) -> dict[str, Any]:
     """Values by key, of all that the record told; parts that hang on others of it are left out."""
     found: dict[str, Any] = {}
     bearings = site.bearings
--- a/cherrygrade/fleet/config/replica.py
+++ b/cherrygrade/fleet/config/replica.py
@@ -5,7 +5,8 @@
 one drew, from the place that the roll holds for that name. The content is fetched from who told it, whole or
 as a difference, and taken only if its digest is the one believed and its stage higher than the one in force.
 
-Free of I/O, clock and chance: calls in, a `Does` out; times in ms of any one clock; chance by crc32.
+Free of I/O, clock and chance: calls in, a `ReplicaEffects` out; times in ms of any one clock; chance by
+crc32.
 """
 
 from __future__ import annotations
@@ -16,7 +17,13 @@
 
 import msgspec
 
-from cherrygrade.fleet.config.versions import Content, Version, WrongContent, content, taken
+from cherrygrade.fleet.config.versions import (
+    ConfigContentError,
+    ConfigVersion,
+    VersionContent,
+    content,
+    taken,
+)
 
 MOST_IN = 8  # fetches served at once; who comes more is told "busy"
 FAN = 3  # members that a new stage is pushed to, once: one at least of another zone
@@ -39,16 +46,16 @@
 NEVER = 1e15
 
 
-class Kept(msgspec.Struct, array_like=True, frozen=True):
+class StoredConfig(msgspec.Struct, array_like=True, frozen=True):
     """What is on disk. `before`: what was in force before `version`, should that one be refused here."""
 
     stage: int
-    version: Version
+    version: ConfigVersion
     before_stage: int = 0
-    before: Version | None = None
+    before: ConfigVersion | None = None
 
 
-class Near(msgspec.Struct, frozen=True):
+class ReachableMember(msgspec.Struct, frozen=True):
     """A living member that can be reached, as the roll has it."""
 
     name: str
@@ -56,8 +63,9 @@
     seat: int
 
 
-class Here(msgspec.Struct, frozen=True):
-    """What this one says of itself, on `Here` and (without bits) on any page; (0, UNSURE) while it is not
+class OwnAdvert(msgspec.Struct, frozen=True):
+    """What this one says of itself, on `OwnAdvert` and (without bits) on any page; (0, UNSURE) while it is
+    not
     sure. Bits: by seat, little end first; b"" where they are full or nothing is in force."""
 
     stage: int
@@ -65,7 +73,7 @@
     bits: bytes = b""
 
 
-class Wanted(msgspec.Struct, array_like=True, frozen=True):
+class FetchRequest(msgspec.Struct, array_like=True, frozen=True):
     """A fetch, as the stream carries it: this version; `base` and `base_mark`: what the asker holds (0, 0:
     nothing)."""
 
@@ -75,31 +83,31 @@
     base_mark: int = 0
 
 
-class Gave(msgspec.Struct, array_like=True, frozen=True):
+class FetchResponse(msgspec.Struct, array_like=True, frozen=True):
     """The answer to it: content, or why not ("busy": another may do; "gone": no longer, or not yet, held)."""
 
-    content: Content | None = None
+    content: VersionContent | None = None
     why: str = ""
 
 
 @dataclass(slots=True)
-class Does:
+class ReplicaEffects:
     """What a call comes to, carried out in this order: `keep` on disk and synced (where nothing can be kept,
     it says so), then `force`; then pages; `fetch` opens a stream to that member."""
 
-    keep: Kept | None = None
-    force: tuple[Version, int] | None = None
+    keep: StoredConfig | None = None
+    force: tuple[ConfigVersion, int] | None = None
     """Answer with `forced`."""
     which: list[tuple[str, int]] = field(default_factory=list)
     """Name and nonce: page Which."""
     push: list[str] = field(default_factory=list)
     """Whom to send a Push with this one's stage and mark."""
-    fetch: tuple[str, Wanted] | None = None
+    fetch: tuple[str, FetchRequest] | None = None
     """Answer with `fetched` or `unfetched`."""
 
 
 @dataclass(slots=True)
-class Question:
+class WitnessQuery:
     """Whether a hint holds. `asked`: members, in this question; `by_chance` of them were no hinters;
     `denied`: voters that answered with less; `rest`: before all are asked again, where no voter can be."""
 
@@ -111,7 +119,7 @@
     rest: float = 0.0
 
 
-class Replica:
+class ConfigReplica:
     """One dispatcher's. `seats`: of the fleet of record, for the bits. `voters`: names. `kept`: as read from
     disk; the host has put it in force already, and says so with `forced` before anything else; None: nothing
     whole was there, and the own file is in force (stage 0). `now` tells this life's numbers from another's.
@@ -128,16 +136,16 @@
         voters: list[str],
         seed: int,
         now: float,
-        kept: Kept | None = None,
+        kept: StoredConfig | None = None,
     ) -> None:
         self.name, self.zone, self.seat, self.seats = name, zone, seat, seats
         self.voters = [voter for voter in voters if voter != name]
         self.seed = seed
         self.stage = 0
-        self.version: Version | None = None
+        self.version: ConfigVersion | None = None
         self.refused = ""
         self.cant = ""
-        self.held: OrderedDict[int, Version] = OrderedDict()
+        self.held: OrderedDict[int, ConfigVersion] = OrderedDict()
         self.said: dict[str, list[tuple[int, int]]] = {}
         self.hinted: OrderedDict[str, tuple[int, int]] = OrderedDict()
         self.asked_voters = self.asked_members = 0
@@ -146,13 +154,13 @@
         self._sure = False
         self._refused_number = 0
         self._starting = kept
-        self._forcing: tuple[Version, int] | None = None
+        self._forcing: tuple[ConfigVersion, int] | None = None
         if kept is not None:
             self._forcing = (kept.version, kept.stage)
-        self._near: dict[str, Near] = {}
+        self._near: dict[str, ReachableMember] = {}
         self._names: list[str] = []
         self._asks: dict[int, tuple[str, float]] = {}
-        self._question: Question | None = None
+        self._question: WitnessQuery | None = None
         self._doubts: dict[str, tuple[int, float]] = {}
         self._out: tuple[str, float, int, int] | None = None  # from whom, since when, what
         self._tried: set[str] = set()
@@ -162,7 +170,7 @@
         self._pushing = False
         self._bits = 0
         self._full_at = NEVER
-        self._contents: OrderedDict[tuple[int, int], Content] = OrderedDict()
+        self._contents: OrderedDict[tuple[int, int], VersionContent] = OrderedDict()
         self._count = crc32(f"{seed}:{name}:{now!r}".encode())
         self._unsure, self._unsure_at = UNSURE_MS, now + UNSURE_MS * self._chance()
         self._stirred = True  # a beat is wanted at once
@@ -191,12 +199,12 @@
             return "" if self.sure else "not sure what the fleet is on"
         return f"can't fetch: {self.cant}" if self.cant else "late"
 
-    def here(self) -> Here:
+    def here(self) -> OwnAdvert:
         """The stage in force here, its mark, and who else is on it."""
         if not self.sure:
-            return Here(0, UNSURE)
+            return OwnAdvert(0, UNSURE)
         bits = b"" if not self.stage or self._full_at < -NEVER else self._bytes()
-        return Here(self.stage, self.mark, bits)
+        return OwnAdvert(self.stage, self.mark, bits)
 
     def on(self, seat: int) -> bool:
         """Whether that seat is known to be on the stage in force here; for people."""
@@ -204,18 +212,21 @@
 
     # What comes in.
 
-    def hint(self, by: str, stage: int, mark: int, now: float, bits: bytes = b"") -> Does:
+    def hint(self, by: str, stage: int, mark: int, now: float, bits: bytes = b"") -> ReplicaEffects:
         """Any page of this living member told that."""
         self._merge(stage, mark, bits, now)
         if stage <= self.stage or by == self.name or self.hinted.get(by, (0, 0))[0] >= stage:
-            return Does()
+            return ReplicaEffects()
         if by in self.hinted or len(self.hinted) < MOST_HINTS:
             self.hinted[by] = (stage, mark)
             self._stirred = True
-        return Does()
+        return ReplicaEffects()
 
-    def answered(self, by: str, stage: int, mark: int, now: float, nonce: int = 0, bits: bytes = b"") -> Does:
-        """First-hand, from the place that the roll holds for the name: a `Here` with this one's nonce, or
+    def answered(
+        self, by: str, stage: int, mark: int, now: float, nonce: int = 0, bits: bytes = b""
+    ) -> ReplicaEffects:
+        """First-hand, from the place that the roll holds for the name: a `OwnAdvert` with this one's
+        nonce, or
         (`nonce` 0) an Answer to this one's own probe, as the caller has checked."""
         if nonce and self._asks.get(nonce, ("", 0.0))[0] != by:
             return self.hint(by, stage, mark, now, bits)
@@ -228,7 +239,7 @@
             self._stirred = True
         self._merge(stage, mark, bits, now)
         if (stage, mark) == (0, UNSURE) or (self.sure and stage <= self.stage):
-            return Does()
+            return ReplicaEffects()
         words = self.said.setdefault(by, [])
         if (stage, mark) not in words:
             words.append((stage, mark))
@@ -237,7 +248,9 @@
         self._believe(stage, mark)
         return self._advance(now)
 
-    def learned(self, version: Version | None, stage: int, now: float, proven: bool = False) -> Does:
+    def learned(
+        self, version: ConfigVersion | None, stage: int, now: float, proven: bool = False
+    ) -> ReplicaEffects:
         """A voter's own log agreed on it; None: there is no version. `proven`: this voter leads, and has
         applied all of the log that there was as its lead began (Voter._leads): then it is sure of what the
         fleet is on. Has to be told once at least, also where there is no version: all others become sure by
@@ -250,30 +263,30 @@
             self._look_sure()
         return self._advance(now)
 
-    def wanted(self, wanted: Wanted) -> Gave:
+    def wanted(self, wanted: FetchRequest) -> FetchResponse:
         """Somebody fetches; where content is given, `served` has to follow once the stream ends."""
         version = self.held.get(wanted.number)
         if version is None or version.mark != wanted.mark:
-            return Gave(None, "gone")
+            return FetchResponse(None, "gone")
         if self._serving >= MOST_IN:
-            return Gave(None, "busy")
+            return FetchResponse(None, "busy")
         self._serving += 1
         base = self.held.get(wanted.base)
         if base is None or base.mark != wanted.base_mark:
-            return Gave(Content(version))
+            return FetchResponse(VersionContent(version))
         key = (version.number, base.number)
         if key not in self._contents:
             self._contents[key] = content(version, base)
             while len(self._contents) > MOST_HELD:
                 self._contents.popitem(last=False)
-        return Gave(self._contents[key])
+        return FetchResponse(self._contents[key])
 
     def served(self) -> None:
         self._serving = max(0, self._serving - 1)
 
-    def fetched(self, by: str, gave: Gave, now: float) -> Does:
+    def fetched(self, by: str, gave: FetchResponse, now: float) -> ReplicaEffects:
         if self._out is None or self._out[0] != by:
-            return Does()  # it was given up meanwhile
+            return ReplicaEffects()  # it was given up meanwhile
         _, _, stage, mark = self._out
         self._out = None
         if gave.content is None:
@@ -283,7 +296,7 @@
             return self._advance(now)
         try:
             version = taken(gave.content, stage // 2, mark, self.version)
-        except WrongContent as wrong:
+        except ConfigContentError as wrong:
             return self._failed(by, f"{by}: {wrong}", now)
         self._hold(version)
         self._rest, self._failures, self.cant = REST_MS, 0, ""
@@ -291,17 +304,17 @@
         does = self._into(version, stage)
         return does if does.force is not None else self._advance(now)
 
-    def unfetched(self, by: str, why: str, now: float) -> Does:
+    def unfetched(self, by: str, why: str, now: float) -> ReplicaEffects:
         """No stream to it, or it broke."""
         if self._out is None or self._out[0] != by:
-            return Does()
+            return ReplicaEffects()
         self._out = None
         return self._failed(by, f"{by}: {why}", now)
 
-    def forced(self, stage: int, why: str, now: float) -> Does:
+    def forced(self, stage: int, why: str, now: float) -> ReplicaEffects:
         """How `force` ended: in force (""), or why it is refused here."""
         if self._forcing is None or self._forcing[1] != stage:
-            return Does()
+            return ReplicaEffects()
         version, _ = self._forcing
         self._forcing = None
         start, self._starting = self._starting, None
@@ -309,10 +322,10 @@
             self.refused, self._refused_number = why, version.number
             if start is not None and start.before is not None:
                 self._forcing = (start.before, start.before_stage)  # what was in force before, in doubt
-                return Does(force=self._forcing)
+                return ReplicaEffects(force=self._forcing)
             does = self._advance(now)
             if does.keep is None and start is None and self.version is not None:
-                does.keep = Kept(self.stage, self.version)
+                does.keep = StoredConfig(self.stage, self.version)
             return does
         if start is not None:
             self._sure = True
@@ -352,7 +365,7 @@
             at = min(at, self._full_at + LINGER_MS)
         return at
 
-    def beat(self, living: list[Near], now: float) -> Does:
+    def beat(self, living: list[ReachableMember], now: float) -> ReplicaEffects:
         """What is due."""
         self._stirred = False
         self._near = {one.name: one for one in living if one.name != self.name}
@@ -426,21 +439,25 @@
                     self._stirred = True
                 self._look_sure()
 
-    def _advance(self, now: float) -> Does:
+    def _advance(self, now: float) -> ReplicaEffects:
         """Into force with what is held and believed."""
         stage, mark = self._believed
         version = self.held.get(stage // 2)
-        return self._into(version, stage) if version is not None and version.mark == mark else Does()
+        return (
+            self._into(version, stage) if version is not None and version.mark == mark else ReplicaEffects()
+        )
 
-    def _into(self, version: Version, stage: int) -> Does:
+    def _into(self, version: ConfigVersion, stage: int) -> ReplicaEffects:
         """Into force, where that goes on from what is and nothing else is on its way there."""
         stage = version.stage(bool(stage & 1))
         if self._forcing is not None or stage <= self.stage or version.number <= self._refused_number:
-            return Does()
+            return ReplicaEffects()
         self._forcing = (version, stage)
-        return Does(keep=Kept(stage, version, self.stage, self.version), force=self._forcing)
+        return ReplicaEffects(
+            keep=StoredConfig(stage, version, self.stage, self.version), force=self._forcing
+        )
 
-    def _hold(self, version: Version) -> None:
+    def _hold(self, version: ConfigVersion) -> None:
         self.held[version.number] = version
         self.held.move_to_end(version.number)
         length = sum(len(one.text) for one in self.held.values())
@@ -460,7 +477,7 @@
 
     # Hints and questions.
 
-    def _ask(self, does: Does, now: float) -> None:
+    def _ask(self, does: ReplicaEffects, now: float) -> None:
         above = max(self.stage, self._believed[0])
         open_ = {
             by: word
@@ -470,7 +487,7 @@
         if open_:
             top = max(word[0] for word in open_.values())
             if self._question is None:
-                self._question = Question(top, next_at=now + SECOND_MS)
+                self._question = WitnessQuery(top, next_at=now + SECOND_MS)
             elif self._question.stage < top:
                 self._question.stage = top
                 self._question.asked.clear()
@@ -500,7 +517,7 @@
         if len(waits) < 2 and not waits & {*self.voters}:  # a voter's own word suffices, if it comes
             self._draw(question, does, now)
 
-    def _draw(self, question: Question, does: Does, now: float) -> None:
+    def _draw(self, question: WitnessQuery, does: ReplicaEffects, now: float) -> None:
         """One more: by chance, mostly of the own zone; after TRIES of them a voter."""
         fresh = [name for name in self._names if name not in question.asked]
         if question.by_chance < TRIES and fresh:
@@ -517,11 +534,11 @@
             question.by_chance = 0
             question.asked.clear()
 
-    def _which(self, name: str, question: Question, does: Does, now: float) -> None:
+    def _which(self, name: str, question: WitnessQuery, does: ReplicaEffects, now: float) -> None:
         question.asked.add(name)
         self._send(name, does, now)
 
-    def _send(self, name: str, does: Does, now: float) -> None:
+    def _send(self, name: str, does: ReplicaEffects, now: float) -> None:
         nonce = int(self._chance() * 2**32) << 20 | self._count & 0xFFFFF
         self._asks[nonce or 1] = (name, now)
         does.which.append((name, nonce or 1))
@@ -530,7 +547,7 @@
         else:
             self.asked_members += 1
 
-    def _ask_unsure(self, does: Does, now: float) -> None:
+    def _ask_unsure(self, does: ReplicaEffects, now: float) -> None:
         """Nobody told anything, and it has to know: two by chance, later one of them a voter."""
         names = [self._drawn(self._names), self._drawn(self._names)]
         voters = [name for name in self.voters if name in self._near]
@@ -543,7 +560,7 @@
 
     # Content.
 
-    def _fetch(self, does: Does, now: float) -> None:
+    def _fetch(self, does: ReplicaEffects, now: float) -> None:
         if not self._wants or self._out is not None or self._forcing is not None or now < self._fetch_at:
             return
         stage, mark = self._believed
@@ -563,16 +580,16 @@
         by = self._drawn(tellers)
         self._out = (by, now, stage, mark)
         base, base_mark = (self.version.number, self.mark) if self.version is not None else (0, 0)
-        does.fetch = (by, Wanted(number, mark, base, base_mark))
+        does.fetch = (by, FetchRequest(number, mark, base, base_mark))
 
-    def _failed(self, by: str, why: str, now: float) -> Does:
+    def _failed(self, by: str, why: str, now: float) -> ReplicaEffects:
         self._tried.add(by)
         self._failures += 1
         if self._failures >= 2:
             self.cant = why
         self._fetch_at = now + self._rest * (0.75 + 0.5 * self._chance())
         self._rest = min(MOST_REST_MS, 2.0 * self._rest)
-        return Does()
+        return ReplicaEffects()
 
     # Who is on which: for people.
 
--- a/cherrygrade/fleet/config/versions.py
+++ b/cherrygrade/fleet/config/versions.py
@@ -24,11 +24,11 @@
 NO_DIGEST = bytes(32)  # before the first
 
 
-class WrongContent(ValueError):
+class ConfigContentError(ValueError):
     """What came is not the version that was asked for; nothing of it is taken."""
 
 
-class Divisors(msgspec.Struct, array_like=True, frozen=True):
+class QuotaDivisors(msgspec.Struct, array_like=True, frozen=True):
     """Among how many parts are dealt out: seats of the fleet of record; for each volume (sorted by name) the
     dispatchers that it comes through."""
 
@@ -40,15 +40,15 @@
         return dict(self.hosts).get(volume, 0)
 
 
-def moves(old: Divisors, now: Divisors) -> Divisors | None:
+def moves(old: QuotaDivisors, now: QuotaDivisors) -> QuotaDivisors | None:
     """What parts move away from: of `old` the seats, and the volumes that both know and deal out otherwise;
     None where nothing moves. A volume that comes has no parts yet, one that goes has none any more."""
     told = dict(now.hosts)
     hosts = tuple((volume, count) for volume, count in old.hosts if told.get(volume, count) != count)
-    return Divisors(old.dispatchers, hosts) if hosts or old.dispatchers != now.dispatchers else None
+    return QuotaDivisors(old.dispatchers, hosts) if hosts or old.dispatchers != now.dispatchers else None
 
 
-class Hunk(msgspec.Struct, array_like=True, frozen=True):
+class DiffHunk(msgspec.Struct, array_like=True, frozen=True):
     """From line `at` (0 the first, of the text before) `drop` lines are replaced by these (ends kept)."""
 
     at: int
@@ -56,13 +56,13 @@
     lines: tuple[str, ...] = ()
 
 
-class Op(msgspec.Struct, array_like=True, frozen=True, tag_field="op"):
+class ConfigCommand(msgspec.Struct, array_like=True, frozen=True, tag_field="op", tag="Op"):
     """An entry's payload behind its prefix. `at`: ms by the clock of whoever led."""
 
     at: float
 
 
-class Put(Op, frozen=True, tag="v"):
+class PutVersion(ConfigCommand, frozen=True, tag="v"):
     """A new version, behind `based_on` (number of the newest that its asker saw; 0 for the first).
 
     `id`: the asker's own, so that asking again does nothing twice. `text` whole, or None and `hunks` against
@@ -73,23 +73,23 @@
     id: str
     based_on: int
     text: str | None
-    hunks: tuple[Hunk, ...]
+    hunks: tuple[DiffHunk, ...]
     digest: bytes
     by: str
-    now: Divisors
-    old: Divisors | None = None
+    now: QuotaDivisors
+    old: QuotaDivisors | None = None
 
 
-class Settle(Op, frozen=True, tag="s"):
+class SettleVersion(ConfigCommand, frozen=True, tag="s"):
     """The move of parts that began with version `number` is over: all of record use the smaller parts."""
 
     number: int
 
 
-Any_ = Put | Settle
+AnyConfigCommand = PutVersion | SettleVersion
 
 
-class Version(msgspec.Struct, array_like=True, frozen=True, dict=True):
+class ConfigVersion(msgspec.Struct, array_like=True, frozen=True, dict=True):
     """One version. `before`: digest of the one before it. `old`: what parts move away from (`moves`), None
     where none move; `moved`: the version with which that move began (0: none moves)."""
 
@@ -98,7 +98,7 @@
     text: str
     by: str
     at: float
-    old: Divisors | None = None
+    old: QuotaDivisors | None = None
     moved: int = 0
 
     @cached_property
@@ -115,7 +115,7 @@
         return 2 * self.number + (settled or self.old is None)
 
 
-class Told(msgspec.Struct, array_like=True, frozen=True):
+class PutOutcome(msgspec.Struct, array_like=True, frozen=True):
     """What an entry came to: the version's number, stage and mark; or why it did nothing."""
 
     number: int = 0
@@ -124,31 +124,31 @@
     waits: str = ""
 
 
-class State(msgspec.Struct, array_like=True):
+class VersionLogState(msgspec.Struct, array_like=True):
     """All of it, for a snapshot."""
 
     now: float
-    kept: list[Version]
+    kept: list[ConfigVersion]
     settled: int
-    parts: Divisors | None
+    parts: QuotaDivisors | None
     gone: dict[str, int]
-    asks: list[tuple[str, Told]]
+    asks: list[tuple[str, PutOutcome]]
 
 
-class Content(msgspec.Struct, array_like=True, frozen=True):
+class VersionContent(msgspec.Struct, array_like=True, frozen=True):
     """A version on its way: `version` with its text, or with text "" and `hunks` against version `base`."""
 
-    version: Version
+    version: ConfigVersion
     base: int = 0
-    hunks: tuple[Hunk, ...] = ()
+    hunks: tuple[DiffHunk, ...] = ()
 
 
 def text_digest(text: str) -> bytes:
-    """For `Put.digest`."""
+    """For `PutVersion.digest`."""
     return hashlib.sha256(text.encode()).digest()
 
 
-def difference(old: str, new: str) -> tuple[Hunk, ...]:
+def difference(old: str, new: str) -> tuple[DiffHunk, ...]:
     """By lines, in order."""
     was, told = old.splitlines(keepends=True), new.splitlines(keepends=True)
     most = min(len(was), len(told))
@@ -156,62 +156,62 @@
     tail = next((at for at in range(most - head) if was[-1 - at] != told[-1 - at]), most - head)
     was, told = was[head : len(was) - tail], told[head : len(told) - tail]
     if len(was) + len(told) > MOST_LINES:
-        return (Hunk(head, len(was), tuple(told)),)
+        return (DiffHunk(head, len(was), tuple(told)),)
     codes = SequenceMatcher(None, was, told, autojunk=False).get_opcodes()
-    return tuple(Hunk(head + a, b - a, tuple(told[c:d])) for kind, a, b, c, d in codes if kind != "equal")
+    return tuple(DiffHunk(head + a, b - a, tuple(told[c:d])) for kind, a, b, c, d in codes if kind != "equal")
 
 
-def patched(old: str, hunks: tuple[Hunk, ...]) -> str:
+def patched(old: str, hunks: tuple[DiffHunk, ...]) -> str:
     """WrongContent where the hunks do not fit."""
     was, done = old.splitlines(keepends=True), 0
     lines: list[str] = []
     for hunk in hunks:
         if hunk.at < done or hunk.drop < 0 or hunk.at + hunk.drop > len(was):
-            raise WrongContent("a difference that does not fit what it is against")
+            raise ConfigContentError("a difference that does not fit what it is against")
         lines += was[done : hunk.at]
         lines += hunk.lines
         done = hunk.at + hunk.drop
     return "".join([*lines, *was[done:]])
 
 
-def content(version: Version, base: Version | None) -> Content:
+def content(version: ConfigVersion, base: ConfigVersion | None) -> VersionContent:
     """What is sent to who holds `base` (None: nothing): the difference where it is smaller, else whole."""
     if base is not None:
         hunks = difference(base.text, version.text)
         if len(msgspec.msgpack.encode(hunks)) < len(version.text.encode()):
-            return Content(msgspec.structs.replace(version, text=""), base.number, hunks)
-    return Content(version)
+            return VersionContent(msgspec.structs.replace(version, text=""), base.number, hunks)
+    return VersionContent(version)
 
 
-def taken(came: Content, number: int, mark: int, base: Version | None) -> Version:
+def taken(came: VersionContent, number: int, mark: int, base: ConfigVersion | None) -> ConfigVersion:
     """The whole version, checked by its digest against what witnesses said; WrongContent else."""
     version = came.version
     if came.base:
         if base is None:  # against another than what was told the digest would not fit
-            raise WrongContent("a difference against what is not held")
+            raise ConfigContentError("a difference against what is not held")
         version = msgspec.structs.replace(version, text=patched(base.text, came.hunks))
     if len(version.text.encode()) > MOST_TEXT:
-        raise WrongContent(f"more than {MOST_TEXT} bytes")
+        raise ConfigContentError(f"more than {MOST_TEXT} bytes")
     if (version.number, version.mark) != (number, mark):
-        raise WrongContent("its digest is not the one that witnesses told")
+        raise ConfigContentError("its digest is not the one that witnesses told")
     return version
 
 
-def encode(op: Any_) -> bytes:
+def encode(op: AnyConfigCommand) -> bytes:
     """Without the log's prefix."""
     return msgspec.msgpack.encode(op)
 
 
-_decoder = msgspec.msgpack.Decoder(Any_)
+_decoder = msgspec.msgpack.Decoder(AnyConfigCommand)
 
 
-def decode(payload: bytes) -> Any_:
+def decode(payload: bytes) -> AnyConfigCommand:
     """MsgspecError, UnicodeDecodeError where it can't be read."""
-    found: Any_ = _decoder.decode(payload)
+    found: AnyConfigCommand = _decoder.decode(payload)
     return found
 
 
-class Versions:
+class VersionLog:
     """`kept`: by number, the newest MOST_KEPT as far as MOST_KEPT_BYTES hold them; `settled`: the newest
     version whose parts are settled, with all before it; `asks`: the last MOST_ASKS answers. `parts`: how the
     newest deals out, with volumes that went (`gone`, since which number): who was cut off since may use its
@@ -220,14 +220,14 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.kept: OrderedDict[int, Version] = OrderedDict()
+        self.kept: OrderedDict[int, ConfigVersion] = OrderedDict()
         self.settled = 0
-        self.parts: Divisors | None = None
+        self.parts: QuotaDivisors | None = None
         self.gone: dict[str, int] = {}
-        self.asks: OrderedDict[str, Told] = OrderedDict()
+        self.asks: OrderedDict[str, PutOutcome] = OrderedDict()
 
     @property
-    def newest(self) -> Version | None:
+    def newest(self) -> ConfigVersion | None:
         return next(reversed(self.kept.values()), None)
 
     @property
@@ -242,15 +242,15 @@
         newest = self.newest
         return newest.moved if newest is not None and newest.number > self.settled else 0
 
-    def apply(self, index: int, payload: bytes) -> Told:
+    def apply(self, index: int, payload: bytes) -> PutOutcome:
         """One agreed entry, without the log's prefix. One that can't be read does nothing, on every voter
         alike."""
         try:
             op = decode(payload)
         except (msgspec.MsgspecError, UnicodeDecodeError):
-            return Told(waits="an entry that can't be read")
+            return PutOutcome(waits="an entry that can't be read")
         self.now = max(self.now, op.at)
-        if isinstance(op, Settle):
+        if isinstance(op, SettleVersion):
             return self._settle(op)
         if op.id not in self.asks:
             self.asks[op.id] = self._put(op)
@@ -258,67 +258,67 @@
                 self.asks.popitem(last=False)
         return self.asks[op.id]
 
-    def _put(self, op: Put) -> Told:
+    def _put(self, op: PutVersion) -> PutOutcome:
         newest, number = self.newest, self._number()
         if op.based_on != number:
-            return Told(waits=f"{number} is the newest, not {op.based_on}: look at it, then put again")
+            return PutOutcome(waits=f"{number} is the newest, not {op.based_on}: look at it, then put again")
         try:
             text = op.text if op.text is not None else patched(newest.text if newest else "", op.hunks)
-        except WrongContent as wrong:
-            return Told(waits=str(wrong))
+        except ConfigContentError as wrong:
+            return PutOutcome(waits=str(wrong))
         if text_digest(text) != op.digest:
-            return Told(waits="its text is not the one that its digest is of")
+            return PutOutcome(waits="its text is not the one that its digest is of")
         if len(text.encode()) > MOST_TEXT:
-            return Told(waits=f"more than {MOST_TEXT} bytes")
+            return PutOutcome(waits=f"more than {MOST_TEXT} bytes")
         was = self.parts or op.old
         old, moved = moves(was, op.now) if was is not None else None, number + 1
         if old is not None and self.moving:
-            return Told(waits=f"parts still move: wait {number}")
+            return PutOutcome(waits=f"parts still move: wait {number}")
         if old is None:
             old, moved = (newest.old, newest.moved) if newest is not None and self.moving else (None, 0)
         told, gone = {name for name, _ in op.now.hosts}, [] if was is None else [*was.hosts]
         gone = [one for one in gone if one[0] not in told]
         if len(gone) > MOST_GONE:
-            return Told(waits=f"more than {MOST_GONE} volumes went since parts were settled last")
+            return PutOutcome(waits=f"more than {MOST_GONE} volumes went since parts were settled last")
         before = newest.digest if newest is not None else NO_DIGEST
-        version = Version(number + 1, before, text, op.by, self.now, old, moved)
+        version = ConfigVersion(number + 1, before, text, op.by, self.now, old, moved)
         self.kept[version.number] = version
         self.gone = {name: self.gone.get(name, version.number) for name, _ in gone}
-        self.parts = Divisors(op.now.dispatchers, tuple(sorted([*op.now.hosts, *gone])))
+        self.parts = QuotaDivisors(op.now.dispatchers, tuple(sorted([*op.now.hosts, *gone])))
         if old is None:
             self.settled = version.number
         self._bound()
         return self._told(version)
 
-    def _settle(self, op: Settle) -> Told:
+    def _settle(self, op: SettleVersion) -> PutOutcome:
         newest = self.newest
         if newest is None or not self.moving or self.moving != op.number:
-            return Told(waits=f"no parts move since {op.number}")
+            return PutOutcome(waits=f"no parts move since {op.number}")
         self.settled = newest.number
         past = {name for name, since in self.gone.items() if since <= op.number}
         self.gone = {name: since for name, since in self.gone.items() if name not in past}
         assert self.parts is not None
         hosts = tuple(one for one in self.parts.hosts if one[0] not in past)
-        self.parts = Divisors(self.parts.dispatchers, hosts)
+        self.parts = QuotaDivisors(self.parts.dispatchers, hosts)
         return self._told(newest)
 
     def _number(self) -> int:
         newest = self.newest
         return newest.number if newest is not None else 0
 
-    def _told(self, version: Version) -> Told:
-        return Told(version.number, self.stage, version.mark)
+    def _told(self, version: ConfigVersion) -> PutOutcome:
+        return PutOutcome(version.number, self.stage, version.mark)
 
     def _bound(self) -> None:
         length = sum(len(one.text.encode()) for one in self.kept.values())
         while len(self.kept) > 1 and (len(self.kept) > MOST_KEPT or length > MOST_KEPT_BYTES):
             length -= len(self.kept.popitem(last=False)[1].text.encode())
 
-    def state(self) -> State:
+    def state(self) -> VersionLogState:
         kept, asks = [*self.kept.values()], [*self.asks.items()]
-        return State(self.now, kept, self.settled, self.parts, dict(self.gone), asks)
+        return VersionLogState(self.now, kept, self.settled, self.parts, dict(self.gone), asks)
 
-    def restore(self, state: State) -> None:
+    def restore(self, state: VersionLogState) -> None:
         self.now, self.settled = state.now, state.settled
         self.parts, self.gone = state.parts, dict(state.gone)
         self.kept = OrderedDict((one.number, one) for one in state.kept)
@@ -329,4 +329,4 @@
 
     def restore_bytes(self, data: bytes) -> None:
         """ValidationError where it is no snapshot."""
-        self.restore(msgspec.msgpack.decode(data, type=State))
+        self.restore(msgspec.msgpack.decode(data, type=VersionLogState))
--- a/cherrygrade/fleet/council/outs.py
+++ b/cherrygrade/fleet/consensus/disruption_budget.py
@@ -13,7 +13,7 @@
 DISPATCHER, NODE = "dispatcher", "node"
 
 
-class Thing(msgspec.Struct, array_like=True, frozen=True):
+class Resource(msgspec.Struct, array_like=True, frozen=True):
     """One of the fleet of record: a dispatcher or a node, its zone, the shards that it holds."""
 
     name: str
@@ -22,7 +22,7 @@
     shards: tuple[str, ...] = ()
 
 
-class Limit(msgspec.Struct, array_like=True, frozen=True):
+class DisruptionLimit(msgspec.Struct, array_like=True, frozen=True):
     """Of one kind: how many may be out, as a number and as a share of all (one at least, so that a small
     fleet can be kept up at all); in one zone, 0: no limit of its own; how many holders of each shard stay;
     ms between two that go."""
@@ -37,7 +37,7 @@
         return min(self.most, max(1, int(self.share * count)))
 
 
-class Why(Enum):
+class ResourceState(Enum):
     """How a thing stands. All but IN are out."""
 
     IN = "in use"
@@ -49,28 +49,28 @@
     COLD = "back and cold"
 
 
-class Outs:
+class DisruptionBudget:
     """All tables hold the things of record and go with them."""
 
-    def __init__(self, limits: dict[str, Limit]) -> None:
+    def __init__(self, limits: dict[str, DisruptionLimit]) -> None:
         self.limits = limits
-        self.things: dict[str, Thing] = {}
-        self.why: dict[str, Why] = {}
+        self.things: dict[str, Resource] = {}
+        self.why: dict[str, ResourceState] = {}
         self.since: dict[str, float] = {}
         self.last_at: dict[str, float] = {}  # when one of a kind was let go last
 
-    def add(self, thing: Thing, now: float) -> None:
+    def add(self, thing: Resource, now: float) -> None:
         """It counts as out until somebody has seen it in use."""
         self.things[thing.name] = thing
         if thing.name not in self.why:
-            self.why[thing.name], self.since[thing.name] = Why.UNKNOWN, now
+            self.why[thing.name], self.since[thing.name] = ResourceState.UNKNOWN, now
 
     def drop(self, name: str) -> None:
         """It is gone for good, and the fleet of record is one less."""
         for table in (self.things, self.why, self.since):
             table.pop(name, None)
 
-    def stands(self, name: str, why: Why, now: float) -> None:
+    def stands(self, name: str, why: ResourceState, now: float) -> None:
         if name in self.things and self.why[name] is not why:
             self.why[name], self.since[name] = why, now
 
@@ -78,7 +78,7 @@
         return [
             name
             for name, thing in self.things.items()
-            if thing.kind == kind and name != but and self.why[name] is not Why.IN
+            if thing.kind == kind and name != but and self.why[name] is not ResourceState.IN
         ]
 
     def waits_for(self, name: str, now: float) -> list[str]:
@@ -86,7 +86,7 @@
         thing = self.things.get(name)
         if thing is None:
             return [f"{name} is not of the fleet of record"]
-        limit = self.limits.get(thing.kind, Limit())
+        limit = self.limits.get(thing.kind, DisruptionLimit())
         same = [one for one in self.things.values() if one.kind == thing.kind]
         out, found = self.out(thing.kind, name), list[str]()
         most = limit.of(len(same))
@@ -97,7 +97,7 @@
             found.append(f"{len(near)} of {limit.zone} are out in zone {thing.zone}: {self._told(near)}")
         for shard in thing.shards:
             holders = [one.name for one in same if shard in one.shards and one.name != name]
-            stay = [one for one in holders if self.why[one] is Why.IN]
+            stay = [one for one in holders if self.why[one] is ResourceState.IN]
             if len(stay) < limit.holders:
                 lacking = self._told([one for one in holders if one not in stay]) or "no other holds it"
                 found.append(f"shard {shard} would keep {len(stay)} of {limit.holders} holders: {lacking}")
--- a/cherrygrade/fleet/council/orders.py
+++ b/cherrygrade/fleet/consensus/fencing.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 
-class Orders:
+class FencingGuard:
     """An old leader's or holder's come to nothing. `seen`: the highest number for each thing or task of the
     fleet's; who has something to lose keeps it over a restart, on disk before it carries an order out."""
 
--- a/cherrygrade/fleet/council/raft.py
+++ b/cherrygrade/fleet/consensus/raft.py
@@ -7,7 +7,8 @@
 is a name and the mark of its store, so that one whose store was lost is another voter, and none until it was
 let in.
 
-What a call comes to is a `Does`: its writes have to be on disk before anything else of it is done. Times are
+What a call comes to is a `RaftEffects`: its writes have to be on disk before anything else of it is done.
+Times are
 ms of any one clock, which may stand still or jump: that costs an election, never agreement.
 """
 
@@ -27,7 +28,7 @@
 NEVER = 1e15
 
 
-class Entry(msgspec.Struct, array_like=True, frozen=True):
+class LogEntry(msgspec.Struct, array_like=True, frozen=True):
     """`voters`, where the entry says who votes from here on."""
 
     term: int
@@ -35,7 +36,7 @@
     voters: tuple[str, ...] = ()
 
 
-class Base(msgspec.Struct, array_like=True, frozen=True):
+class Snapshot(msgspec.Struct, array_like=True, frozen=True):
     """All up to an index as one: the state that it comes to, who votes then."""
 
     index: int = 0
@@ -44,21 +45,21 @@
     data: bytes = b""
 
 
-class Stored(msgspec.Struct, array_like=True):
+class PersistentState(msgspec.Struct, array_like=True):
     """What a voter has on disk."""
 
     term: int = 0
     vote: str = ""
-    base: Base = Base()
-    entries: list[Entry] = []
+    base: Snapshot = Snapshot()
+    entries: list[LogEntry] = []
 
 
-class Word(msgspec.Struct, array_like=True, frozen=True, tag_field="kind"):
+class RaftMessage(msgspec.Struct, array_like=True, frozen=True, tag_field="kind", tag="Word"):
     by: str
     term: int
 
 
-class AskVote(Word, frozen=True, tag="v"):
+class RequestVote(RaftMessage, frozen=True, tag="v"):
     """`ahead`: would you, if I stood in this term?"""
 
     last_index: int
@@ -66,23 +67,23 @@
     ahead: bool = False
 
 
-class Vote(Word, frozen=True, tag="g"):
+class VoteReply(RaftMessage, frozen=True, tag="g"):
     given: bool
     ahead: bool = False
 
 
-class Append(Word, frozen=True, tag="a"):
+class AppendEntries(RaftMessage, frozen=True, tag="a"):
     """Entries behind `index`, which has `index_term`; an empty one is the leader's beat."""
 
     index: int
     index_term: int
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
     agreed: int
     round: int = 0
     """The leader's count of what it asked all for; the answer brings it back."""
 
 
-class Appended(Word, frozen=True, tag="d"):
+class AppendReply(RaftMessage, frozen=True, tag="d"):
     """`match`: up to where the log is the leader's now; where it does not fit, up to where it may."""
 
     fits: bool
@@ -90,12 +91,12 @@
     round: int = 0
 
 
-class Install(Word, frozen=True, tag="i"):
-    base: Base
+class InstallSnapshot(RaftMessage, frozen=True, tag="i"):
+    base: Snapshot
     round: int = 0
 
 
-Any_ = AskVote | Vote | Append | Appended | Install
+AnyRaftMessage = RequestVote | VoteReply | AppendEntries | AppendReply | InstallSnapshot
 
 
 class Role(Enum):
@@ -106,17 +107,17 @@
 
 
 @dataclass(slots=True)
-class Does:
+class RaftEffects:
     """What a call comes to. Writes first: `hard` (term and vote), `base` (a snapshot, which all up to its
     index goes for), `entries` in place of all from `since` on. Then the rest: mail, and what is agreed."""
 
     hard: tuple[int, str] | None = None
-    base: Base | None = None
+    base: Snapshot | None = None
     since: int = 0
-    entries: list[Entry] = field(default_factory=list)
-    mail: list[tuple[str, Any_]] = field(default_factory=list)
-    agreed: list[tuple[int, Entry]] = field(default_factory=list)
-    restored: Base | None = None
+    entries: list[LogEntry] = field(default_factory=list)
+    mail: list[tuple[str, AnyRaftMessage]] = field(default_factory=list)
+    agreed: list[tuple[int, LogEntry]] = field(default_factory=list)
+    restored: Snapshot | None = None
     """The state is this one now, whatever it was."""
 
     @property
@@ -128,7 +129,7 @@
     """One voter. `match`, `next` and `heard` hold the voters and newcomers, while it leads; `entries` is
     shortened by `compact`."""
 
-    def __init__(self, me: str, stored: Stored, seed: int, now: float) -> None:
+    def __init__(self, me: str, stored: PersistentState, seed: int, now: float) -> None:
         self.me, self.seed = me, seed
         self.term, self.vote, self.base = stored.term, stored.vote, stored.base
         self.entries = [*stored.entries]
@@ -145,7 +146,7 @@
         self.count = self.elections = 0
         self.beat_at = NEVER
         self.stand_at = now + self._patience()
-        self._does = Does()
+        self._does = RaftEffects()
 
     # What is known.
 
@@ -180,13 +181,13 @@
         self.count += 1
         return PATIENCE_MS + SPREAD_MS * crc32(f"{self.seed}:{self.me}:{self.count}".encode()) / 2.0**32
 
-    def _done(self) -> Does:
-        does, self._does = self._does, Does()
+    def _done(self) -> RaftEffects:
+        does, self._does = self._does, RaftEffects()
         return does
 
     # What comes in.
 
-    def tick(self, now: float) -> Does:
+    def tick(self, now: float) -> RaftEffects:
         if self.leads:
             quorum = [name for name, at in self.heard.items() if now - at < PATIENCE_MS]
             out = self.me not in self.voters and self.term_at(self.agreed) == self.term
@@ -201,15 +202,15 @@
                 self._ask(now)
         return self._done()
 
-    def propose(self, payload: bytes, now: float) -> tuple[int, Does]:
+    def propose(self, payload: bytes, now: float) -> tuple[int, RaftEffects]:
         """The index that it will have if it is agreed; 0 from who does not lead."""
         if not self.leads:
             return 0, self._done()
-        self._append([Entry(self.term, payload)])
+        self._append([LogEntry(self.term, payload)])
         self._tell_all()
         return self.last, self._done()
 
-    def prove(self, now: float) -> tuple[int, Does]:
+    def prove(self, now: float) -> tuple[int, RaftEffects]:
         """Ask all for proof that it still leads; once `proven` has come to the number given, it led after
         this call. 0 from who does not lead."""
         if not self.leads:
@@ -229,7 +230,7 @@
                 return number
         return 0
 
-    def admit(self, name: str, now: float) -> Does:
+    def admit(self, name: str, now: float) -> RaftEffects:
         """A newcomer gets the log from now on; `change` gives it its vote."""
         if self.leads and name not in self.voters:
             self.newcomers.add(name)
@@ -238,7 +239,7 @@
             self._tell(name)
         return self._done()
 
-    def change(self, voters: tuple[str, ...], now: float) -> tuple[bool, Does]:
+    def change(self, voters: tuple[str, ...], now: float) -> tuple[bool, RaftEffects]:
         """One voter more or less. False where that can't be now: no lead, another change under way, nothing
         agreed in this term yet, or a newcomer that lags."""
         old, new = {*self.voters}, {*voters}
@@ -247,7 +248,7 @@
         lags = any(self.match.get(name, 0) < self.agreed for name in new - old - {self.me})
         if not self.leads or pending or not own or lags or len(old ^ new) != 1 or not new:
             return False, self._done()
-        self._append([Entry(self.term, voters=tuple(sorted(new)))])
+        self._append([LogEntry(self.term, voters=tuple(sorted(new)))])
         self.newcomers -= new
         for name in new - {self.me}:
             self.next.setdefault(name, self.last)
@@ -255,27 +256,27 @@
         self._tell_all()
         return True, self._done()
 
-    def compact(self, index: int, data: bytes) -> Does:
+    def compact(self, index: int, data: bytes) -> RaftEffects:
         """The state up to an agreed index, in place of the log up to there."""
         if self.base.index < index <= self.agreed:
             kept = index - self.base.index
             voters = next((e.voters for e in reversed(self.entries[:kept]) if e.voters), self.base.voters)
-            self.base = Base(index, self.term_at(index), voters, data)
+            self.base = Snapshot(index, self.term_at(index), voters, data)
             del self.entries[:kept]
             self._does.base = self.base
         return self._done()
 
-    def hear(self, word: Any_, now: float) -> Does:
-        if isinstance(word, AskVote):
+    def hear(self, word: AnyRaftMessage, now: float) -> RaftEffects:
+        if isinstance(word, RequestVote):
             self._asked(word, now)
-        elif isinstance(word, Vote):
+        elif isinstance(word, VoteReply):
             self._voted(word, now)
-        elif isinstance(word, Append | Install):
+        elif isinstance(word, AppendEntries | InstallSnapshot):
             if word.term < self.term:
-                self._send(word.by, Appended(self.me, self.term, False, 0))
+                self._send(word.by, AppendReply(self.me, self.term, False, 0))
             else:
                 self._follow(word.term, word.by, now)
-                self._take(word) if isinstance(word, Append) else self._install(word)
+                self._take(word) if isinstance(word, AppendEntries) else self._install(word)
         elif word.term > self.term:
             self._follow(word.term, "", now)
         elif self.leads and word.term == self.term and word.by in self.match:
@@ -291,7 +292,7 @@
         if self.majority(self.votes):
             self.stand(now)
             return
-        self._tell_voters(AskVote(self.me, self.term + 1, self.last, self.term_at(self.last), True))
+        self._tell_voters(RequestVote(self.me, self.term + 1, self.last, self.term_at(self.last), True))
 
     def stand(self, now: float) -> None:
         self.role, self.leader, self.votes = Role.STANDS, "", {self.me}
@@ -301,14 +302,14 @@
         if self.majority(self.votes):
             self._lead(now)
             return
-        self._tell_voters(AskVote(self.me, self.term, self.last, self.term_at(self.last)))
+        self._tell_voters(RequestVote(self.me, self.term, self.last, self.term_at(self.last)))
 
-    def _asked(self, ask: AskVote, now: float) -> None:
+    def _asked(self, ask: RequestVote, now: float) -> None:
         led = self.leads or now - self.leader_at < PATIENCE_MS
         whole = (ask.last_term, ask.last_index) >= (self.term_at(self.last), self.last)
         if ask.ahead:
             given = ask.term > self.term and whole and not led
-            self._send(ask.by, Vote(self.me, ask.term if given else self.term, given, True))
+            self._send(ask.by, VoteReply(self.me, ask.term if given else self.term, given, True))
             return
         if ask.term > self.term and led:
             return  # while there is a leader nobody's word makes it go: who is no voter any more may ask
@@ -319,9 +320,9 @@
             self.stand_at = now + self._patience()
             if not self.vote:
                 self._hard(self.term, ask.by)
-        self._send(ask.by, Vote(self.me, self.term, given))
+        self._send(ask.by, VoteReply(self.me, self.term, given))
 
-    def _voted(self, vote: Vote, now: float) -> None:
+    def _voted(self, vote: VoteReply, now: float) -> None:
         if vote.ahead and vote.given:
             if self.role is Role.ASKS and vote.term == self.term + 1:
                 self.votes.add(vote.by)
@@ -355,16 +356,16 @@
         self.round, self.rounds = 0, {}
         self.heard = dict.fromkeys(others, now)
         self.beat_at = now + BEAT_MS
-        self._append([Entry(self.term)])
+        self._append([LogEntry(self.term)])
         self._tell_all()
 
     # The log.
 
-    def _append(self, entries: list[Entry]) -> None:
+    def _append(self, entries: list[LogEntry]) -> None:
         self._put(self.last + 1, entries)
         self._agree()  # a voter alone
 
-    def _put(self, since: int, entries: list[Entry]) -> None:
+    def _put(self, since: int, entries: list[LogEntry]) -> None:
         del self.entries[since - self.base.index - 1 :]
         self.entries += entries
         does = self._does
@@ -373,13 +374,13 @@
         else:
             does.since, does.entries = since, [*entries]
 
-    def _take(self, word: Append) -> None:
+    def _take(self, word: AppendEntries) -> None:
         index, entries = word.index, word.entries
         if index < self.base.index:  # what is in the base is agreed, and so the same
             entries, index = entries[self.base.index - index :], self.base.index
         elif self.term_at(index) != word.index_term:
             fits_to = min(self.last, index - 1)
-            self._send(word.by, Appended(self.me, self.term, False, fits_to, word.round))
+            self._send(word.by, AppendReply(self.me, self.term, False, fits_to, word.round))
             return
         for at, entry in enumerate(entries):
             if self.term_at(index + at + 1) != entry.term:
@@ -387,9 +388,9 @@
                 break
         match = index + len(entries)
         self._agreed(min(word.agreed, match))
-        self._send(word.by, Appended(self.me, self.term, True, match, word.round))
+        self._send(word.by, AppendReply(self.me, self.term, True, match, word.round))
 
-    def _install(self, word: Install) -> None:
+    def _install(self, word: InstallSnapshot) -> None:
         base = word.base
         if base.index > self.agreed:
             keeps = self.term_at(base.index) == base.term
@@ -397,9 +398,9 @@
             self.base, self.agreed = base, base.index
             self._does.base = self._does.restored = base
             self._does.since, self._does.entries = base.index + 1, [*self.entries]
-        self._send(word.by, Appended(self.me, self.term, True, base.index, word.round))
+        self._send(word.by, AppendReply(self.me, self.term, True, base.index, word.round))
 
-    def _appended(self, word: Appended, now: float) -> None:
+    def _appended(self, word: AppendReply, now: float) -> None:
         name = word.by
         self.heard[name] = now
         self.rounds[name] = max(self.rounds.get(name, 0), word.round)
@@ -434,10 +435,10 @@
         self.term, self.vote = term, vote
         self._does.hard = (term, vote)
 
-    def _send(self, to: str, word: Any_) -> None:
+    def _send(self, to: str, word: AnyRaftMessage) -> None:
         self._does.mail.append((to, word))
 
-    def _tell_voters(self, word: Any_) -> None:
+    def _tell_voters(self, word: AnyRaftMessage) -> None:
         for name in self.voters:
             if name != self.me:
                 self._send(name, word)
@@ -449,14 +450,14 @@
     def _tell(self, name: str) -> None:
         index = self.next[name] - 1
         if index < self.base.index:
-            self._send(name, Install(self.me, self.term, self.base, self.round))
+            self._send(name, InstallSnapshot(self.me, self.term, self.base, self.round))
             return
         at = index - self.base.index
-        some, room = list[Entry](), MOST_SENT_BYTES
+        some, room = list[LogEntry](), MOST_SENT_BYTES
         for entry in self.entries[at : at + MOST_SENT]:
             room -= len(entry.payload)
             if some and room < 0:
                 break
             some.append(entry)
         before = self.term_at(index)
-        self._send(name, Append(self.me, self.term, index, before, (*some,), self.agreed, self.round))
+        self._send(name, AppendEntries(self.me, self.term, index, before, (*some,), self.agreed, self.round))
--- a/cherrygrade/fleet/council/books.py
+++ b/cherrygrade/fleet/consensus/state_machine.py
@@ -6,36 +6,40 @@
 import msgspec
 
 from cherrygrade.fleet.config import versions
-from cherrygrade.fleet.council import permits
-from cherrygrade.fleet.leases import grants
+from cherrygrade.fleet.consensus import drain_permits
+from cherrygrade.fleet.leases import lease_table
 
 PERMIT, LEASE, CONFIG = b"p", b"l", b"c"  # what an entry begins with
-Told = permits.Told | grants.Told | versions.Told
-_lease = msgspec.msgpack.Decoder(grants.Any_)
+Told = drain_permits.PermitOutcome | lease_table.LeaseOutcome | versions.PutOutcome
+_lease = msgspec.msgpack.Decoder(lease_table.AnyLeaseCommand)
 
 
-class State(msgspec.Struct, array_like=True):
+class StateMachineSnapshot(msgspec.Struct, array_like=True):
     permits: bytes
-    leases: grants.State
-    versions: versions.State | None = None
+    leases: lease_table.LeaseTableState
+    versions: versions.VersionLogState | None = None
     """Left out by a program of before the configuration."""
 
 
-def permit(op: permits.Any_) -> bytes:
+def permit(op: drain_permits.AnyDrainCommand) -> bytes:
     return PERMIT + msgspec.msgpack.encode(op)
 
 
-def lease(op: grants.Any_) -> bytes:
+def lease(op: lease_table.AnyLeaseCommand) -> bytes:
     return LEASE + msgspec.msgpack.encode(op)
 
 
-def config(op: versions.Any_) -> bytes:
+def config(op: versions.AnyConfigCommand) -> bytes:
     return CONFIG + versions.encode(op)
 
 
-class Books:
+class StateMachine:
     def __init__(self) -> None:
-        self.permits, self.leases, self.versions = permits.Permits(), grants.Grants(), versions.Versions()
+        self.permits, self.leases, self.versions = (
+            drain_permits.DrainPermits(),
+            lease_table.LeaseTable(),
+            versions.VersionLog(),
+        )
 
     @property
     def now(self) -> float:
@@ -54,19 +58,19 @@
         try:
             op = _lease.decode(payload[1:])
         except (msgspec.MsgspecError, UnicodeDecodeError):
-            return grants.Told(waits="an entry that can't be read")
+            return lease_table.LeaseOutcome(waits="an entry that can't be read")
         return self.leases.apply(index, op)
 
     def snapshot(self) -> bytes:
         return msgspec.msgpack.encode(
-            State(self.permits.snapshot(), self.leases.state(), self.versions.state())
+            StateMachineSnapshot(self.permits.snapshot(), self.leases.state(), self.versions.state())
         )
 
     def restore(self, data: bytes) -> None:
         """ValidationError where it is no snapshot."""
-        state = msgspec.msgpack.decode(data, type=State)
+        state = msgspec.msgpack.decode(data, type=StateMachineSnapshot)
         self.permits.restore(state.permits)
         self.leases.restore(state.leases)
-        self.versions = versions.Versions()
+        self.versions = versions.VersionLog()
         if state.versions is not None:
             self.versions.restore(state.versions)
--- a/cherrygrade/fleet/council/voter.py
+++ b/cherrygrade/fleet/consensus/voter.py
@@ -2,7 +2,8 @@
 
 Asks are answered by the leader alone, once what they rest on is agreed or proven; any other voter says who
 leads. An ask that was not answered may be put again under its id, here or to another: nothing is done twice.
-Free of I/O, clock and chance: what a call comes to is a `Does`, whose steps' writes come before all else.
+Free of I/O, clock and chance: what a call comes to is a `VoterEffects`, whose steps' writes come before
+all else.
 """
 
 from __future__ import annotations
@@ -11,16 +12,16 @@
 
 import msgspec
 
-from cherrygrade.fleet.config.versions import Divisors, Hunk, Put, Settle, text_digest
-from cherrygrade.fleet.config.versions import Told as ConfigTold
-from cherrygrade.fleet.council import books
-from cherrygrade.fleet.council.books import Books
-from cherrygrade.fleet.council.raft import Any_ as Word
-from cherrygrade.fleet.council.raft import Base, Entry, Raft, Stored
-from cherrygrade.fleet.council.raft import Does as Step
-from cherrygrade.fleet.leases.count import NEVER, Count
-from cherrygrade.fleet.leases.grants import Free, Give, Take, digest
-from cherrygrade.fleet.leases.grants import Told as LeaseTold
+from cherrygrade.fleet.config.versions import DiffHunk, PutVersion, QuotaDivisors, SettleVersion, text_digest
+from cherrygrade.fleet.config.versions import PutOutcome as ConfigTold
+from cherrygrade.fleet.consensus import state_machine
+from cherrygrade.fleet.consensus.raft import AnyRaftMessage as Word
+from cherrygrade.fleet.consensus.raft import LogEntry, PersistentState, Raft, Snapshot
+from cherrygrade.fleet.consensus.raft import RaftEffects as Step
+from cherrygrade.fleet.consensus.state_machine import StateMachine
+from cherrygrade.fleet.leases.lease_table import Acquire, Expire, Release, digest
+from cherrygrade.fleet.leases.lease_table import LeaseOutcome as LeaseTold
+from cherrygrade.fleet.leases.renewal_tracker import NEVER, RenewalTracker
 
 COMPACT = 512  # entries, after which the log becomes a snapshot
 COMPACT_BYTES = 8_388_608  # or so many bytes of them
@@ -29,24 +30,24 @@
 PROOF_MS = 20.0  # proofs are asked for together: one round answers for all who came in it
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag_field="ask"):
+class CouncilRequest(msgspec.Struct, array_like=True, frozen=True, tag_field="ask", tag="Ask"):
     id: str
 
 
-class AskTake(Ask, frozen=True, tag="take"):
+class AcquireLease(CouncilRequest, frozen=True, tag="take"):
     task: str
     holder: str
     birth: int
     for_ms: float
 
 
-class AskGive(Ask, frozen=True, tag="give"):
+class ReleaseLease(CouncilRequest, frozen=True, tag="give"):
     task: str
     number: int
     failed: str = ""
 
 
-class AskRenew(Ask, frozen=True, tag="renew"):
+class RenewLeases(CouncilRequest, frozen=True, tag="renew"):
     """All leases of this life. `same`: the digest of what it holds, so that an answer need not say it all."""
 
     holder: str
@@ -54,17 +55,17 @@
     same: int = 0
 
 
-class AskFree(Ask, frozen=True, tag="free"):
+class ListFreeTasks(CouncilRequest, frozen=True, tag="free"):
     """Which of these are free and do not rest."""
 
     tasks: list[str]
 
 
-class AskShow(Ask, frozen=True, tag="show"):
+class ShowCouncil(CouncilRequest, frozen=True, tag="show"):
     """Who votes, leads, and holds what: for people."""
 
 
-class AskPut(Ask, frozen=True, tag="put"):
+class PutConfig(CouncilRequest, frozen=True, tag="put"):
     """A new version of the configuration, whole, behind `based_on`: the newest that its asker saw, 0 for the
     first. The carrier judges the text before the voter hears of it."""
 
@@ -73,39 +74,39 @@
     by: str
 
 
-class AskConfig(Ask, frozen=True, tag="config"):
+class ShowConfig(CouncilRequest, frozen=True, tag="config"):
     """What the log has of the configuration; `number`: with this version's text."""
 
     number: int = 0
 
 
-class Answer(msgspec.Struct, array_like=True, frozen=True, tag_field="answer"):
+class CouncilReply(msgspec.Struct, array_like=True, frozen=True, tag_field="answer", tag="Answer"):
     id: str
 
 
-class Elsewhere(Answer, frozen=True, tag="elsewhere"):
+class NotLeader(CouncilReply, frozen=True, tag="elsewhere"):
     """Not here; `leader` "" where nobody is known to lead."""
 
     leader: str
     why: str = ""
 
 
-class Took(Answer, frozen=True, tag="took"):
+class LeaseAcquired(CouncilReply, frozen=True, tag="took"):
     told: LeaseTold
 
 
-class Renewed(Answer, frozen=True, tag="renewed"):
+class LeasesRenewed(CouncilReply, frozen=True, tag="renewed"):
     """`same`: all that was asked for, and nothing else, is renewed; else `numbers` is."""
 
     numbers: dict[str, int]
     same: bool = False
 
 
-class Freed(Answer, frozen=True, tag="freed"):
+class FreeTasks(CouncilReply, frozen=True, tag="freed"):
     tasks: list[str]
 
 
-class Shown(Answer, frozen=True, tag="shown"):
+class CouncilStatus(CouncilReply, frozen=True, tag="shown"):
     leader: str
     term: int
     index: int
@@ -116,13 +117,13 @@
     """Task, times in a row, the last reason, ms that it rests yet."""
 
 
-class Configured(Answer, frozen=True, tag="put"):
+class ConfigPut(CouncilReply, frozen=True, tag="put"):
     """The number of the version that it became, or why there is none."""
 
     told: ConfigTold
 
 
-class Line(msgspec.Struct, array_like=True, frozen=True):
+class VersionSummary(msgspec.Struct, array_like=True, frozen=True):
     """One version of the log's, without its text; `at`: the leaders' time, ms."""
 
     number: int
@@ -132,40 +133,40 @@
     length: int
 
 
-class ConfigShown(Answer, frozen=True, tag="config"):
+class ConfigStatus(CouncilReply, frozen=True, tag="config"):
     """`stage` 0: there is no configuration. `moving`: the version whose parts still move, 0: none.
     `lines`: those that are kept, the newest last. `text`: None where the version asked for is not kept."""
 
     stage: int
     settled: int
     moving: int
-    lines: list[Line]
+    lines: list[VersionSummary]
     text: str | None
     leader: str
 
 
-Asks = AskTake | AskGive | AskRenew | AskFree | AskShow | AskPut | AskConfig
-Answers = Elsewhere | Took | Renewed | Freed | Shown | Configured | ConfigShown
+AnyRequest = AcquireLease | ReleaseLease | RenewLeases | ListFreeTasks | ShowCouncil | PutConfig | ShowConfig
+AnyReply = NotLeader | LeaseAcquired | LeasesRenewed | FreeTasks | CouncilStatus | ConfigPut | ConfigStatus
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
+class ConfigVerdict:
     """What came of judging a text: why it is refused, or the divisors of the site that comes of it, `old` of
     the site before it, and the difference against the text it is based on where that is the shorter."""
 
     why: str
-    parts: Divisors | None = None
-    old: Divisors | None = None
-    hunks: tuple[Hunk, ...] | None = None
+    parts: QuotaDivisors | None = None
+    old: QuotaDivisors | None = None
+    hunks: tuple[DiffHunk, ...] | None = None
 
 
 @dataclass(slots=True)
-class Does:
+class VoterEffects:
     """The steps' writes first, then all else."""
 
     steps: list[Step] = field(default_factory=list)
     mail: list[tuple[str, Word]] = field(default_factory=list)
-    answers: list[tuple[object, Answers]] = field(default_factory=list)
+    answers: list[tuple[object, AnyReply]] = field(default_factory=list)
     """To whom, as they were named in `ask`."""
 
 
@@ -177,17 +178,17 @@
     """
 
     def __init__(
-        self, me: str, stored: Stored, names: list[str], seed: int, now: float, drift: float
+        self, me: str, stored: PersistentState, names: list[str], seed: int, now: float, drift: float
     ) -> None:
         self.raft = Raft(me, stored, seed, now)
         self.names = {*names}
-        self.books = Books()
+        self.books = StateMachine()
         if stored.base.data:
             self.books.restore(stored.base.data)
-        self.count = Count(drift)
+        self.count = RenewalTracker(drift)
         self.waiting: dict[int, tuple[int, object, str]] = {}
-        self.proofs: dict[int, list[tuple[object, Asks]]] = {}
-        self._unproven: list[tuple[object, Asks]] = []
+        self.proofs: dict[int, list[tuple[object, AnyRequest]]] = {}
+        self._unproven: list[tuple[object, AnyRequest]] = []
         self._prove_at = NEVER
         self._led = 0  # the term of the lead that `count` is of
         self._applied = stored.base.index
@@ -210,69 +211,69 @@
 
     # What comes in.
 
-    def hear(self, word: Word, now: float) -> Does:
-        does = Does()
+    def hear(self, word: Word, now: float) -> VoterEffects:
+        does = VoterEffects()
         self._step(self.raft.hear(word, now), does, now)
         return self._settle(does, now)
 
-    def tick(self, now: float) -> Does:
-        does = Does()
+    def tick(self, now: float) -> VoterEffects:
+        does = VoterEffects()
         if now >= self.raft.due():
             self._step(self.raft.tick(now), does, now)
         if self.leads:
             for lease in self.count.over(self.books.leases, now, FREE_AT_ONCE):
-                self._propose(books.lease(Free(self._at(now), lease.task, lease.number)), does, now)
+                self._propose(state_machine.lease(Expire(self._at(now), lease.task, lease.number)), does, now)
         if now >= self._prove_at:
             self._prove(does, now)
         return self._settle(does, now)
 
-    def ask(self, ask: Asks, by: object, now: float) -> Does:
-        does = Does()
+    def ask(self, ask: AnyRequest, by: object, now: float) -> VoterEffects:
+        does = VoterEffects()
         if not self.raft.leads:
             why = "it leads" if self.leader else "nobody leads"
-            does.answers.append((by, Elsewhere(ask.id, self.leader, why)))
+            does.answers.append((by, NotLeader(ask.id, self.leader, why)))
         elif len(self.waiting) + len(self._unproven) >= MOST_WAITING:
-            does.answers.append((by, Elsewhere(ask.id, "", "too much is asked at once")))
-        elif isinstance(ask, AskTake):
-            op = Take(self._at(now), ask.id, ask.task, ask.holder, ask.birth, ask.for_ms)
-            self._propose(books.lease(op), does, now, by, ask.id)
-        elif isinstance(ask, AskGive):
-            op_ = Give(self._at(now), ask.task, ask.number, ask.failed)
-            self._propose(books.lease(op_), does, now, by, ask.id)
-        elif isinstance(ask, AskPut):
-            does.answers.append((by, Elsewhere(ask.id, "", "it was not judged")))
+            does.answers.append((by, NotLeader(ask.id, "", "too much is asked at once")))
+        elif isinstance(ask, AcquireLease):
+            op = Acquire(self._at(now), ask.id, ask.task, ask.holder, ask.birth, ask.for_ms)
+            self._propose(state_machine.lease(op), does, now, by, ask.id)
+        elif isinstance(ask, ReleaseLease):
+            op_ = Release(self._at(now), ask.task, ask.number, ask.failed)
+            self._propose(state_machine.lease(op_), does, now, by, ask.id)
+        elif isinstance(ask, PutConfig):
+            does.answers.append((by, NotLeader(ask.id, "", "it was not judged")))
         else:
             self._unproven.append((by, ask))
             self._prove_at = min(self._prove_at, now + PROOF_MS)
         return self._settle(does, now)
 
-    def put(self, ask: AskPut, judged: Judged, by: object, now: float) -> Does:
+    def put(self, ask: PutConfig, judged: ConfigVerdict, by: object, now: float) -> VoterEffects:
         """A change of the configuration whose text was judged."""
         if not self.raft.leads:
             return self.ask(ask, by, now)
-        does = Does()
+        does = VoterEffects()
         if len(self.waiting) + len(self._unproven) >= MOST_WAITING:
-            does.answers.append((by, Elsewhere(ask.id, "", "too much is asked at once")))
+            does.answers.append((by, NotLeader(ask.id, "", "too much is asked at once")))
         elif judged.why or judged.parts is None:
-            does.answers.append((by, Configured(ask.id, ConfigTold(waits=judged.why))))
+            does.answers.append((by, ConfigPut(ask.id, ConfigTold(waits=judged.why))))
         else:
             text = ask.text if judged.hunks is None else None
             at, digest = self._at(now), text_digest(ask.text)
             hunks, parts = judged.hunks or (), judged.parts
-            op = Put(at, ask.id, ask.based_on, text, hunks, digest, ask.by[:100], parts, judged.old)
-            self._propose(books.config(op), does, now, by, ask.id)
+            op = PutVersion(at, ask.id, ask.based_on, text, hunks, digest, ask.by[:100], parts, judged.old)
+            self._propose(state_machine.config(op), does, now, by, ask.id)
         return self._settle(does, now)
 
-    def settle(self, number: int, now: float) -> Does:
+    def settle(self, number: int, now: float) -> VoterEffects:
         """All of record use the smaller parts of the move that began with this version."""
-        does = Does()
+        does = VoterEffects()
         if self.leads and self.books.versions.moving == number:
-            self._propose(books.config(Settle(self._at(now), number)), does, now)
+            self._propose(state_machine.config(SettleVersion(self._at(now), number)), does, now)
         return self._settle(does, now)
 
-    def let_in(self, name: str, now: float) -> Does:
+    def let_in(self, name: str, now: float) -> VoterEffects:
         """A store that is no voter's asks to be one: of a name of the settings, and of another mark."""
-        does = Does()
+        does = VoterEffects()
         if self.raft.leads and name.partition("/")[0] in self.names and name not in self.raft.voters:
             self._step(self.raft.admit(name, now), does, now)
         return self._settle(does, now)
@@ -283,14 +284,16 @@
         """The leaders' time: it goes on from what the log has, by this one's clock, and never back."""
         return max(self.books.now, now)
 
-    def _propose(self, payload: bytes, does: Does, now: float, by: object = None, asked: str = "") -> None:
+    def _propose(
+        self, payload: bytes, does: VoterEffects, now: float, by: object = None, asked: str = ""
+    ) -> None:
         """`asked`: the id of who waits for what comes of it; a voter alone agrees within the step."""
         index, step = self.raft.propose(payload, now)
         if asked:
             self.waiting[index] = (self.raft.term, by, asked)
         self._step(step, does, now)
 
-    def _prove(self, does: Does, now: float) -> None:
+    def _prove(self, does: VoterEffects, now: float) -> None:
         self._prove_at = NEVER
         asked, self._unproven = self._unproven, []
         if not asked:
@@ -302,7 +305,7 @@
             self._nobody(asked, does)
         self._step(step, does, now)
 
-    def _step(self, step: Step, does: Does, now: float) -> None:
+    def _step(self, step: Step, does: VoterEffects, now: float) -> None:
         does.steps.append(step)
         does.mail += step.mail
         if step.restored is not None:
@@ -311,7 +314,7 @@
         for index, entry in step.agreed:
             self._apply(index, entry, does, now)
 
-    def _apply(self, index: int, entry: Entry, does: Does, now: float) -> None:
+    def _apply(self, index: int, entry: LogEntry, does: VoterEffects, now: float) -> None:
         self._applied = index
         told = self.books.apply(index, entry.payload)
         self._since += len(entry.payload)
@@ -324,13 +327,13 @@
         if not asked:
             return
         if term == entry.term and isinstance(told, LeaseTold):
-            does.answers.append((by, Took(asked, told)))
+            does.answers.append((by, LeaseAcquired(asked, told)))
         elif term == entry.term and isinstance(told, ConfigTold):
-            does.answers.append((by, Configured(asked, told)))
+            does.answers.append((by, ConfigPut(asked, told)))
         else:
-            does.answers.append((by, Elsewhere(asked, self.leader, "another entry took its place")))
+            does.answers.append((by, NotLeader(asked, self.leader, "another entry took its place")))
 
-    def _settle(self, does: Does, now: float) -> Does:
+    def _settle(self, does: VoterEffects, now: float) -> VoterEffects:
         """What follows from where the log stands now."""
         led = self.raft.term if self.raft.leads else 0
         anew = led != self._led
@@ -341,7 +344,7 @@
             lost = {at: one for at, one in self.waiting.items() if one[0] != led}
             for at, (_, by, asked) in lost.items():
                 del self.waiting[at]
-                does.answers.append((by, Elsewhere(asked, self.leader, "the lead was lost")))
+                does.answers.append((by, NotLeader(asked, self.leader, "the lead was lost")))
             asks = [one for some in [*self.proofs.values(), self._unproven] for one in some]
             self.proofs.clear()
             self._unproven = []
@@ -358,24 +361,26 @@
             does.steps.append(self.raft.compact(self._applied, self.books.snapshot()))
         return does
 
-    def _nobody(self, asks: list[tuple[object, Asks]], does: Does) -> None:
-        does.answers += [(by, Elsewhere(ask.id, self.leader, "the lead was lost")) for by, ask in asks]
+    def _nobody(self, asks: list[tuple[object, AnyRequest]], does: VoterEffects) -> None:
+        does.answers += [(by, NotLeader(ask.id, self.leader, "the lead was lost")) for by, ask in asks]
 
-    def _proven(self, ask: Asks, now: float) -> Answers:
+    def _proven(self, ask: AnyRequest, now: float) -> AnyReply:
         leases = self.books.leases
-        if isinstance(ask, AskRenew):
+        if isinstance(ask, RenewLeases):
             numbers = self.count.renews(leases, ask.holder, ask.birth, now)
             same = bool(numbers) and digest(numbers.items()) == ask.same
-            return Renewed(ask.id, {} if same else numbers, same)
-        if isinstance(ask, AskFree):
-            return Freed(ask.id, [task for task in ask.tasks if leases.free(task, self._at(now))])
-        if isinstance(ask, AskConfig):
+            return LeasesRenewed(ask.id, {} if same else numbers, same)
+        if isinstance(ask, ListFreeTasks):
+            return FreeTasks(ask.id, [task for task in ask.tasks if leases.free(task, self._at(now))])
+        if isinstance(ask, ShowConfig):
             known = self.books.versions
-            lines = [Line(v.number, v.digest.hex(), v.by, v.at, len(v.text)) for v in known.kept.values()]
+            lines = [
+                VersionSummary(v.number, v.digest.hex(), v.by, v.at, len(v.text)) for v in known.kept.values()
+            ]
             found = known.kept.get(ask.number)
             text = found.text if found is not None else None
-            return ConfigShown(ask.id, known.stage, known.settled, known.moving, lines, text, self.leader)
-        return Shown(
+            return ConfigStatus(ask.id, known.stage, known.settled, known.moving, lines, text, self.leader)
+        return CouncilStatus(
             ask.id,
             self.leader,
             self.raft.term,
@@ -385,7 +390,7 @@
             [(t, f.times, f.why, max(0.0, f.until - leases.now)) for t, f in leases.failed.items()],
         )
 
-    def _let_in(self, does: Does, now: float) -> None:
+    def _let_in(self, does: VoterEffects, now: float) -> None:
         """A newcomer that has the log becomes a voter, then the one whose place it takes goes."""
         voters = {*self.raft.voters}
         names = [one.partition("/")[0] for one in voters]
@@ -399,11 +404,11 @@
         elif self.raft.newcomers:
             self._change(voters | {min(self.raft.newcomers)}, does, now)
 
-    def _change(self, voters: set[str], does: Does, now: float) -> None:
+    def _change(self, voters: set[str], does: VoterEffects, now: float) -> None:
         _, step = self.raft.change(tuple(sorted(voters)), now)
         self._step(step, does, now)
 
 
-def founded(names: list[str]) -> Base:
+def founded(names: list[str]) -> Snapshot:
     """Where the log of a new council begins: who votes."""
-    return Base(0, 0, tuple(sorted(f"{name}/0" for name in names)), b"")
+    return Snapshot(0, 0, tuple(sorted(f"{name}/0" for name in names)), b"")
--- a/cherrygrade/fleet/leases/wanting.py
+++ b/cherrygrade/fleet/leases/lease_client.py
@@ -11,7 +11,7 @@
 
 from zlib import crc32
 
-from cherrygrade.fleet.leases.holding import turn
+from cherrygrade.fleet.leases.lease_holder import turn
 
 POLL_MS = 400.0  # while somebody came or went of late, or something is free
 REST_MS, LATELY_MS = 4000.0, 15_000.0  # else: what ends otherwise is found by that; how long "of late" is
@@ -21,7 +21,7 @@
 NEVER = 1e15
 
 
-class Wanting:
+class LeaseClient:
     """`seen_free` holds what was free at the last look, how often in a row; emptied by what is not."""
 
     def __init__(self, me: str, seed: int, now: float) -> None:
--- a/cherrygrade/fleet/leases/holding.py
+++ b/cherrygrade/fleet/leases/lease_holder.py
@@ -13,7 +13,7 @@
 
 import xxhash
 
-from cherrygrade.fleet.leases.grants import digest
+from cherrygrade.fleet.leases.lease_table import digest
 
 MARGIN_MS = 50.0  # that an order may take from the look at the clock to the socket
 PART = 3.0  # a lease is renewed after a third of its time, and again after each quarter of that
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class HeldLease:
     task: str
     number: int
     ends: float
@@ -30,14 +30,14 @@
     """Orders that were given and have no answer: it is not given back before."""
 
 
-class Holding:
+class LeaseHolder:
     """One life's. `held` is emptied by ends, by answers that lack a lease, by giving back; `asked` by answers
     and by MOST_OPEN. `strays`: what the council has for this life and this life does not hold, to be given
     back; else it would be renewed with the others and done by nobody."""
 
     def __init__(self, name: str, birth: int, for_ms: float, drift: float) -> None:
         self.name, self.birth, self.for_ms, self.drift = name, birth, for_ms, drift
-        self.held: dict[str, Held] = {}
+        self.held: dict[str, HeldLease] = {}
         self.asked: dict[str, float] = {}
         self.strays: dict[str, int] = {}
         self._takes: dict[str, str] = {}  # the task of an ask for one; goes with it
@@ -73,7 +73,7 @@
             return False
         known = self.held.get(task)
         if known is None or known.number < number:
-            self.held[task] = Held(task, number, self._runs(at))
+            self.held[task] = HeldLease(task, number, self._runs(at))
         self._renew_at = min(self._renew_at, at + self.for_ms / PART)
         return self.held[task].number == number
 
--- a/cherrygrade/fleet/leases/grants.py
+++ b/cherrygrade/fleet/leases/lease_table.py
@@ -21,11 +21,11 @@
 MOST_FAILS = 1024
 
 
-class Op(msgspec.Struct, array_like=True, frozen=True, tag_field="op"):
+class LeaseCommand(msgspec.Struct, array_like=True, frozen=True, tag_field="op", tag="Op"):
     at: float
 
 
-class Take(Op, frozen=True, tag="t"):
+class Acquire(LeaseCommand, frozen=True, tag="t"):
     """`id`: the asker's own, so that asking again does nothing twice."""
 
     id: str
@@ -35,7 +35,7 @@
     for_ms: float
 
 
-class Give(Op, frozen=True, tag="g"):
+class Release(LeaseCommand, frozen=True, tag="g"):
     """Back, by its holder; `failed` says why it could not do the task."""
 
     task: str
@@ -43,14 +43,14 @@
     failed: str = ""
 
 
-class Free(Op, frozen=True, tag="f"):
+class Expire(LeaseCommand, frozen=True, tag="f"):
     """A leader has counted all of its time."""
 
     task: str
     number: int
 
 
-Any_ = Take | Give | Free
+AnyLeaseCommand = Acquire | Release | Expire
 
 
 class Lease(msgspec.Struct, array_like=True, frozen=True):
@@ -61,7 +61,7 @@
     for_ms: float
 
 
-class Failed(msgspec.Struct, array_like=True, frozen=True):
+class FailedTask(msgspec.Struct, array_like=True, frozen=True):
     """A task that holders gave back undone: how often in a row, until when it rests, the last reason."""
 
     times: int
@@ -69,7 +69,7 @@
     why: str
 
 
-class Told(msgspec.Struct, array_like=True, frozen=True):
+class LeaseOutcome(msgspec.Struct, array_like=True, frozen=True):
     """What an entry came to: a lease's number, or why there is none and who has it."""
 
     number: int = 0
@@ -78,11 +78,11 @@
     rests_ms: float = 0.0
 
 
-class State(msgspec.Struct, array_like=True):
+class LeaseTableState(msgspec.Struct, array_like=True):
     now: float
     leases: list[Lease]
-    failed: dict[str, Failed]
-    asks: list[tuple[str, Told]]
+    failed: dict[str, FailedTask]
+    asks: list[tuple[str, LeaseOutcome]]
 
 
 def digest(numbers: Iterable[tuple[str, int]]) -> int:
@@ -93,7 +93,7 @@
     return found
 
 
-class Grants:
+class LeaseTable:
     """`leases` by task and `lives` by holder and birth, emptied by their ends; `failed` by a task done, or
     the oldest of MOST_FAILS."""
 
@@ -102,47 +102,53 @@
         self.leases: dict[str, Lease] = {}
         self.lives: dict[tuple[str, int], dict[str, Lease]] = {}
         self.least: dict[tuple[str, int], float] = {}  # for_ms that any of a life's had; goes with the life
-        self.failed: OrderedDict[str, Failed] = OrderedDict()
-        self.asks: OrderedDict[str, Told] = OrderedDict()
+        self.failed: OrderedDict[str, FailedTask] = OrderedDict()
+        self.asks: OrderedDict[str, LeaseOutcome] = OrderedDict()
 
-    def apply(self, index: int, op: Any_) -> Told:
+    def apply(self, index: int, op: AnyLeaseCommand) -> LeaseOutcome:
         self.now = max(self.now, op.at)
-        if isinstance(op, Take):
+        if isinstance(op, Acquire):
             return self._take(op, index)
         held = self.leases.get(op.task)
         if held is None or held.number != op.number:
-            return Told(waits=f"{op.task} is not held by number {op.number}")
+            return LeaseOutcome(waits=f"{op.task} is not held by number {op.number}")
         self._drop(held)
-        if isinstance(op, Give):
+        if isinstance(op, Release):
             self._gave(op)
-        return Told(op.number)
+        return LeaseOutcome(op.number)
 
-    def _take(self, op: Take, index: int) -> Told:
+    def _take(self, op: Acquire, index: int) -> LeaseOutcome:
         known = self.asks.get(op.id)
         held = self.leases.get(op.task)
         if known is not None:  # asked again; a lease that ended since is not granted again by an old word
             still = held is not None and held.number == known.number
-            return known if still else Told(waits="that lease has ended", holder=held.holder if held else "")
+            return (
+                known
+                if still
+                else LeaseOutcome(waits="that lease has ended", holder=held.holder if held else "")
+            )
         if held is not None:
-            return Told(waits=f"{op.task} is held", holder=held.holder)
+            return LeaseOutcome(waits=f"{op.task} is held", holder=held.holder)
         rest = self.failed.get(op.task)
         if rest is not None and self.now < rest.until:
-            return Told(waits=f"failed {rest.times} times: {rest.why}", rests_ms=rest.until - self.now)
+            return LeaseOutcome(
+                waits=f"failed {rest.times} times: {rest.why}", rests_ms=rest.until - self.now
+            )
         if len(self.leases) >= MOST_TASKS:
-            return Told(waits=f"{MOST_TASKS} tasks are held, and no more can be")
+            return LeaseOutcome(waits=f"{MOST_TASKS} tasks are held, and no more can be")
         for_ms = min(LONGEST_MS, max(LEAST_MS, op.for_ms))
         self._hold(Lease(index, op.task, op.holder, op.birth, for_ms))
-        told = self.asks[op.id] = Told(index, holder=op.holder)
+        told = self.asks[op.id] = LeaseOutcome(index, holder=op.holder)
         while len(self.asks) > MOST_ASKS:
             self.asks.popitem(last=False)
         return told
 
-    def _gave(self, op: Give) -> None:
+    def _gave(self, op: Release) -> None:
         before = self.failed.pop(op.task, None)
         if op.failed:
             times = 1 + (before.times if before is not None else 0)
             rest = min(MOST_REST_MS, REST_MS * 2.0 ** min(times - 1, 20))
-            self.failed[op.task] = Failed(times, self.now + rest, op.failed[:200])
+            self.failed[op.task] = FailedTask(times, self.now + rest, op.failed[:200])
             while len(self.failed) > MOST_FAILS:
                 self.failed.popitem(last=False)
 
@@ -168,10 +174,10 @@
         rest = self.failed.get(task)
         return task not in self.leases and (rest is None or at >= rest.until)
 
-    def state(self) -> State:
-        return State(self.now, [*self.leases.values()], dict(self.failed), [*self.asks.items()])
+    def state(self) -> LeaseTableState:
+        return LeaseTableState(self.now, [*self.leases.values()], dict(self.failed), [*self.asks.items()])
 
-    def restore(self, state: State) -> None:
+    def restore(self, state: LeaseTableState) -> None:
         self.now = state.now
         self.leases, self.lives, self.least = {}, {}, {}
         for one in state.leases:
--- a/cherrygrade/fleet/leases/count.py
+++ b/cherrygrade/fleet/leases/renewal_tracker.py
@@ -11,12 +11,12 @@
 
 from __future__ import annotations
 
-from cherrygrade.fleet.leases.grants import Grants, Lease
+from cherrygrade.fleet.leases.lease_table import Lease, LeaseTable
 
 NEVER = 1e15
 
 
-class Count:
+class RenewalTracker:
     """`answered` holds the lives that hold leases; `freeing` what is on its way to be freed in this lead."""
 
     def __init__(self, drift: float) -> None:
@@ -31,7 +31,7 @@
         self.answered.clear()
         self.freeing.clear()
 
-    def renews(self, grants: Grants, holder: str, birth: int, now: float) -> dict[str, int]:
+    def renews(self, grants: LeaseTable, holder: str, birth: int, now: float) -> dict[str, int]:
         """What an answer that leaves now renews, numbers by task. What is on its way to be freed is not
         renewed any more: the entry may be agreed already."""
         self.answered[(holder, birth)] = now
@@ -43,7 +43,7 @@
     def _since(self, life: tuple[str, int]) -> float:
         return max(self.begun, self.answered.get(life, -NEVER))
 
-    def over(self, grants: Grants, now: float, most: int = 1 << 30) -> list[Lease]:
+    def over(self, grants: LeaseTable, now: float, most: int = 1 << 30) -> list[Lease]:
         """Those whose time is counted to the end, so many at most; each is told once in a lead. What it costs
         goes by how many live, not by how many leases they hold."""
         found: list[Lease] = []
@@ -58,12 +58,12 @@
         self.answered = {life: at for life, at in self.answered.items() if life in grants.lives}
         return found
 
-    def due(self, grants: Grants) -> float:
+    def due(self, grants: LeaseTable) -> float:
         """When one may be over next; it is looked for a life at a time."""
         counts = [life for life, leases in grants.lives.items() if self._counts(leases)]
         return min((self._first(grants, life) for life in counts), default=NEVER)
 
-    def _first(self, grants: Grants, life: tuple[str, int]) -> float:
+    def _first(self, grants: LeaseTable, life: tuple[str, int]) -> float:
         """None of this life's is over before."""
         return self._since(life) + grants.least[life] * (1.0 + self.drift)
 
--- a/cherrygrade/fleet/members/probing.py
+++ b/cherrygrade/fleet/membership/failure_detector.py
@@ -23,7 +23,7 @@
 from math import exp2, log
 from zlib import crc32
 
-from cherrygrade.fleet.members.roll import Claim, Member, Roll, Standing
+from cherrygrade.fleet.membership.table import Member, MemberRecord, MembershipTable, MemberState
 
 PERIOD_MS = 400.0
 DIRECT_MS = 150.0  # for the member's own answer, before others are asked
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class Out:
+class OutstandingProbe:
     """A probe that is out."""
 
     name: str
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class Does:
+class ProbeEffects:
     """What comes of a beat: whom to probe, by which number; whom to ask for it; of whom there is news."""
 
     probe: list[tuple[Member, int]] = field(default_factory=list)
@@ -70,11 +70,11 @@
     news: list[str] = field(default_factory=list)
 
 
-class Probing:
+class FailureDetector:
     """`order` is what is left of this round; `suspects` hold when each is due, and lose who dies or is
     lifted."""
 
-    def __init__(self, roll: Roll, seed: int, now: float, period_ms: float = PERIOD_MS) -> None:
+    def __init__(self, roll: MembershipTable, seed: int, now: float, period_ms: float = PERIOD_MS) -> None:
         self.roll, self.seed, self.period_ms = roll, seed, period_ms
         self.doubt = 0
         self.accuses = True  # not while it is late with everything: sides.TABLE
@@ -84,7 +84,7 @@
         self.late: dict[int, tuple[str, float]] = {}  # probes of past periods; MOST_LATE, the oldest go
         self.begun = now
         self.order: list[str] = []
-        self.outs: list[Out] = []  # of this period
+        self.outs: list[OutstandingProbe] = []  # of this period
         self.called: dict[str, int] = {}  # suspects whose last calls are out; emptied by their ends
         self.mine: set[str] = set()  # accused here; emptied as they die or are lifted
         self.lost: list[str] = []  # of the last one: they are probed again before anybody hears of it
@@ -160,13 +160,13 @@
         """Somebody called this member suspect: it must have been slow."""
         self.doubt = min(MOST_DOUBT, self.doubt + 1)
 
-    def heard(self, claim: Claim, now: float) -> bool:
+    def heard(self, claim: MemberRecord, now: float) -> bool:
         """A claim of a member was joined to the roll: what suspicion makes of it. Whether somebody else
         came to it on their own, which is worth telling."""
         member = self.roll.members.get(claim.name)
         if member is None or member.name == self.roll.me:
             return False
-        if member.standing is not Standing.SUSPECT:
+        if member.standing is not MemberState.SUSPECT:
             self.suspects.pop(member.name, None)
             self.called.pop(member.name, None)  # the next suspicion has last calls of its own
             if member.name in self.mine:
@@ -174,7 +174,7 @@
                 if member.living:  # accused too hastily, or the ways are slow for all
                     self.doubt = min(MOST_DOUBT, self.doubt + 1)
             return False
-        fits = (claim.birth, claim.turn, claim.standing) == (member.birth, member.turn, Standing.SUSPECT)
+        fits = (claim.birth, claim.turn, claim.standing) == (member.birth, member.turn, MemberState.SUSPECT)
         known = member.witnesses
         more = bool(fits and claim.by and claim.by not in known and len(known) <= CONFIRM)
         if more:
@@ -198,9 +198,9 @@
 
     # The beat.
 
-    def beat(self, now: float) -> Does:
+    def beat(self, now: float) -> ProbeEffects:
         """All that is due."""
-        does = Does()
+        does = ProbeEffects()
         if now - self.wanted > LATE_MS:
             self._stood_still(now - self.wanted, now)
         for out in self.outs:
@@ -228,19 +228,19 @@
         self.lost.clear()
         self.suspects = {name: max(at, now + min(late, STALL_MS)) for name, at in self.suspects.items()}
 
-    def _ask(self, out: Out, does: Does) -> None:
+    def _ask(self, out: OutstandingProbe, does: ProbeEffects) -> None:
         out.asked = True
         if self.short:
             return
         target = self.roll.members.get(out.name)
-        alive = [one.name for one in self.roll.others() if one.standing is Standing.ALIVE]
+        alive = [one.name for one in self.roll.others() if one.standing is MemberState.ALIVE]
         if target is not None:
             # Of many that may have died, most have: one helper for each is enough.
             most = HELPERS if len(self.suspects) < MANY else 1
             helpers = self.some([name for name in alive if name != out.name], most)
             does.ask += [(self.roll.members[name], target, out.number) for name in helpers]
 
-    def _end_period(self, now: float, does: Does) -> None:
+    def _end_period(self, now: float, does: ProbeEffects) -> None:
         """A probe that did not come back, straight or through others, is an accusation, unless nobody at all
         spoke meanwhile: then it is this member that is deaf, and it waits for longer before it says so."""
         outs, self.outs = self.outs, []
@@ -255,25 +255,25 @@
         for out in outs:
             self._accuse(out, now, does)
 
-    def _accuse(self, out: Out, now: float, does: Does) -> None:
+    def _accuse(self, out: OutstandingProbe, now: float, does: ProbeEffects) -> None:
         member = self.roll.members.get(out.name)
         if member is None or member.birth != out.birth or member.heard >= out.at or not self.accuses:
             return
         if now < self.begun + NEW_MS:
             return
-        if member.standing is Standing.ALIVE and not out.again:
+        if member.standing is MemberState.ALIVE and not out.again:
             self.lost.append(member.name)
             return
         if member.living and self.roll.me not in member.witnesses:
-            if member.standing is Standing.ALIVE:
+            if member.standing is MemberState.ALIVE:
                 self.accusations += 1
                 self.mine.add(member.name)
-            claim = Claim(member.name, member.birth, member.turn, Standing.SUSPECT, by=self.roll.me)
+            claim = MemberRecord(member.name, member.birth, member.turn, MemberState.SUSPECT, by=self.roll.me)
             self.roll.hear(claim, now, self.roll.me)
             self.heard(claim, now)
             does.news.append(member.name)
 
-    def _begin_period(self, now: float, does: Does) -> None:
+    def _begin_period(self, now: float, does: ProbeEffects) -> None:
         # An answer that is slow has its time, and one through another after it.
         period = max(self.patience(self.period_ms), 2.5 * self.direct(now))
         self.next_at = max(self.next_at + period, now + self.period_ms / 4.0)
@@ -291,19 +291,19 @@
             if self.order and not self.outs:
                 self._probe(members[self.order.pop()], now, does)
 
-    def _probe(self, member: Member, now: float, does: Does, again: bool = False) -> None:
-        out = Out(member.name, member.birth, self._number(), now, self.direct(now), again)
+    def _probe(self, member: Member, now: float, does: ProbeEffects, again: bool = False) -> None:
+        out = OutstandingProbe(member.name, member.birth, self._number(), now, self.direct(now), again)
         self.outs.append(out)
         does.probe.append((member, out.number))
 
-    def _knock(self, now: float, does: Does) -> None:
+    def _knock(self, now: float, does: ProbeEffects) -> None:
         self.knock_at = now + KNOCK_MS * (0.75 + 0.5 * self._chance())
-        dead = [one.name for one in self.roll.dead() if one.standing is Standing.FAILED and one.facts]
+        dead = [one.name for one in self.roll.dead() if one.standing is MemberState.FAILED and one.facts]
         if dead:
             self.count += 1
             does.probe.append((self.roll.members[self.some(dead, 1)[0]], self.count))
 
-    def _bury(self, now: float, does: Does) -> None:
+    def _bury(self, now: float, does: ProbeEffects) -> None:
         for name in [name for name, at in self.suspects.items() if at <= now]:
             suspect = self.roll.members.get(name)
             if suspect is not None and now < suspect.since + LEAST_MS + self._more(now):
@@ -314,7 +314,7 @@
                 continue
             self.mine.discard(name)
             member = self.roll.members.get(name)
-            if member is None or member.standing is not Standing.SUSPECT:
+            if member is None or member.standing is not MemberState.SUSPECT:
                 continue
             # It spoke since, and its own word on that is on its way; or who is late itself leaves it to
             # others.
@@ -322,21 +322,23 @@
                 self.suspects[name] = now + LEAST_MS
                 continue
             self.deaths += 1
-            self.roll.hear(Claim(name, member.birth, member.turn, Standing.FAILED), now, self.roll.me)
+            self.roll.hear(
+                MemberRecord(name, member.birth, member.turn, MemberState.FAILED), now, self.roll.me
+            )
             does.news.append(name)
 
-    def _last_call(self, name: str, now: float, does: Does) -> bool:
+    def _last_call(self, name: str, now: float, does: ProbeEffects) -> bool:
         """Nobody is buried who was not asked once more, straight and through others: its word may have come
         to all but this member. Whether that is out now."""
         member = self.roll.members.get(name)
         calls = self.called.get(name, 0)
-        if calls >= CALLS or member is None or member.standing is not Standing.SUSPECT:
+        if calls >= CALLS or member is None or member.standing is not MemberState.SUSPECT:
             self.called.pop(name, None)
             return False
         self.called[name] = calls + 1
         least = LAST_MS if len(self.suspects) < MANY else LAST_OF_MANY_MS
         self.suspects[name] = now + max(least, 2.0 * self.slow(now))
-        out = Out(name, member.birth, self._number(), now, self.direct(now))
+        out = OutstandingProbe(name, member.birth, self._number(), now, self.direct(now))
         does.probe.append((member, out.number))
         if len(self.suspects) <= FEW:
             self._ask(out, does)
--- a/cherrygrade/fleet/members/telling.py
+++ b/cherrygrade/fleet/membership/gossip.py
@@ -16,7 +16,7 @@
 from math import ceil, log2
 from zlib import crc32
 
-from cherrygrade.fleet.members.roll import Claim, Roll, Standing
+from cherrygrade.fleet.membership.table import MemberRecord, MembershipTable, MemberState
 
 TELL_FACTOR = 1.0  # an item is told so many times the logarithm of the fleet's size, then no more
 LEAST_TOLD = 2
@@ -32,12 +32,12 @@
 EXCHANGE_MS = 1000.0  # between two exchanges that this member begins
 
 
-def _tells_all(roll: Roll, name: str) -> bool:
+def _tells_all(roll: MembershipTable, name: str) -> bool:
     member = roll.members.get(name)
-    return member is not None and member.standing is Standing.ALIVE
+    return member is not None and member.standing is MemberState.ALIVE
 
 
-class News:
+class GossipQueue:
     """`items`: names of whom there is news, and how many times it was told. Emptied by telling, and by new
     news."""
 
@@ -68,7 +68,9 @@
         same few of many."""
         return self.items.get(name, 0), self._places.get(name, 0)
 
-    def pick(self, roll: Roll, most: int = MOST_ITEMS, first: Iterable[str] = ()) -> list[Claim]:
+    def pick(
+        self, roll: MembershipTable, most: int = MOST_ITEMS, first: Iterable[str] = ()
+    ) -> list[MemberRecord]:
         """What goes along with a datagram: `first` before all, then what was told least."""
         limit = ceil(TELL_FACTOR * log2(len(roll.members) + 1))
         # Of much news at once each is told less often: whole rolls tell it cheaper.
@@ -87,7 +89,7 @@
                 claims.append(roll.members[name].claim(_tells_all(roll, name)))
         return claims
 
-    def push(self, roll: Roll, now: float) -> list[Claim]:
+    def push(self, roll: MembershipTable, now: float) -> list[MemberRecord]:
         """One datagram's load of fresh news, once it is time; what does not fit waits for the next."""
         if now < self.push_at:
             return []
@@ -104,7 +106,7 @@
         return self.pick(roll, len(load), load)
 
 
-class Exchanges:
+class ExchangeTrigger:
     """Since when all digests that come differ from the own one; one that is equal ends it. Guards against
     waiting for a second word of the same member, which in a large fleet comes late."""
 
--- a/cherrygrade/fleet/members/ration.py
+++ b/cherrygrade/fleet/membership/inbound_budget.py
@@ -32,7 +32,7 @@
     return length / UNIT_BYTES if kind == b"w" else LEAST + length / UNIT_BYTES
 
 
-class Ration(Generic[T]):
+class InboundBudget(Generic[T]):
     """`waiting` is emptied by `next`; at most MOST_WAITING pages of all ranks stand there."""
 
     def __init__(self, now: float, a_second: float = A_SECOND, burst: float = BURST) -> None:
--- a/cherrygrade/fleet/members/keepers.py
+++ b/cherrygrade/fleet/membership/load_aggregators.py
@@ -12,7 +12,7 @@
 SETTLE_MS = 1000.0  # a new keeper listens for so long before it tells: what it has not heard of is out there
 
 
-class Keepers:
+class LoadAggregators:
     """Both tables hold a node each, by the mark of 16 bits that words name it by, and no more than there
     are such marks; they are made anew when the living change, with what did not move carried over."""
 
--- a/cherrygrade/fleet/members/core.py
+++ b/cherrygrade/fleet/membership/membership.py
@@ -10,25 +10,32 @@
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from cherrygrade.fleet.members import seats
-from cherrygrade.fleet.members.keepers import Keepers
-from cherrygrade.fleet.members.pages import (
-    Answer,
-    Any_,
-    Ask,
-    Carried,
-    Here,
-    Hint,
+from cherrygrade.fleet.membership import seat_claims
+from cherrygrade.fleet.membership.failure_detector import DIRECT_MS, PERIOD_MS, FailureDetector, ProbeEffects
+from cherrygrade.fleet.membership.gossip import AGAIN_MS, FAN, ExchangeTrigger, GossipQueue
+from cherrygrade.fleet.membership.load_aggregators import LoadAggregators
+from cherrygrade.fleet.membership.messages import (
+    AnyMessage,
+    ConfigAdvert,
+    ConfigQuery,
+    ConfigReply,
+    GossipPush,
+    IndirectProbeRequest,
+    IndirectProbeResult,
     Probe,
-    Push,
-    Spoken,
-    Which,
+    ProbeAck,
+    SchedulerMessage,
+)
+from cherrygrade.fleet.membership.partition import ALONE_MS, TABLE, PartitionRules, PartitionState, side
+from cherrygrade.fleet.membership.reachability import ReachabilityView
+from cherrygrade.fleet.membership.table import (
+    Member,
+    MemberInfo,
+    MemberRecord,
+    MembershipTable,
+    MemberState,
+    sound,
 )
-from cherrygrade.fleet.members.probing import DIRECT_MS, PERIOD_MS, Does, Probing
-from cherrygrade.fleet.members.roll import Claim, Facts, Member, Roll, Standing, sound
-from cherrygrade.fleet.members.seen import Seen
-from cherrygrade.fleet.members.sides import ALONE_MS, TABLE, Follows, Side, side
-from cherrygrade.fleet.members.telling import AGAIN_MS, FAN, Exchanges, News
 
 KEEP_MS = 600_000.0  # the dead are remembered so long
 CONTACT_MS = 500.0  # between two tries of a contact, while nobody is known
@@ -42,38 +49,38 @@
 
 
 @dataclass(slots=True)
-class Hinted:
+class MemberConfigReport:
     """A living member's word on its configuration. `first`: it is the answer to what this one drew and asked
-    at the place that the roll has for it; `nonce` of a `Which`, else 0."""
+    at the place that the roll has for it; `nonce` of a `ConfigQuery`, else 0."""
 
     name: str
     birth: int
     seat: int
-    config: Hint
+    config: ConfigAdvert
     first: bool
     nonce: int = 0
     why: str = ""
 
 
 @dataclass(slots=True)
-class Mail:
+class Effects:
     """What a call comes to: pages to places; with whom to exchange rolls; words for the module, by seat."""
 
-    pages: list[tuple[str, Any_]] = field(default_factory=list)
-    answers: list[Any_] = field(default_factory=list)
+    pages: list[tuple[str, AnyMessage]] = field(default_factory=list)
+    answers: list[AnyMessage] = field(default_factory=list)
     """Go back to where the page came from."""
     exchange: list[tuple[str, str]] = field(default_factory=list)
     words: list[tuple[int, bytes]] = field(default_factory=list)
-    hints: list[Hinted] = field(default_factory=list)
+    hints: list[MemberConfigReport] = field(default_factory=list)
 
-    def to(self, member: Member, page: Any_) -> None:
+    def to(self, member: Member, page: AnyMessage) -> None:
         """Nowhere, where it is not known yet where the member is."""
         if member.facts is not None:
             self.pages.append((member.facts.place, page))
 
 
 @dataclass(slots=True)
-class Help:
+class IndirectProbe:
     """A probe made for another, under its number; `place`: where it waits."""
 
     number: int
@@ -83,7 +90,7 @@
     denied: bool = False
 
 
-class Core:
+class Membership:
     """`helps` is emptied by answers and by time, `talk` with the members; `back` holds places of those who
     are said to be back and were forgotten as dead, until they are asked themselves. `record`: dispatchers
     of the fleet as the settings have it; nothing that is heard changes it."""
@@ -92,7 +99,7 @@
         self,
         name: str,
         birth: int,
-        facts: Facts,
+        facts: MemberInfo,
         record: int,
         contacts: Iterable[str],
         seed: int,
@@ -103,24 +110,26 @@
         self.name, self.birth, self.record, self.seed = name, birth, record, seed
         self.begun = now
         self.contacts = [place for place in contacts if place != facts.place]
-        me = Claim(name, birth, 0, Standing.ALIVE, facts)
-        self.roll = Roll(me, now, max(64, 4 * record), keep_ms)
-        self.probing = Probing(self.roll, seed, now, period_ms)
-        self.news, self.exchanges, self.seen = News(seed), Exchanges(), Seen()
-        self.keepers = Keepers([facts.seat])
+        me = MemberRecord(name, birth, 0, MemberState.ALIVE, facts)
+        self.roll = MembershipTable(me, now, max(64, 4 * record), keep_ms)
+        self.probing = FailureDetector(self.roll, seed, now, period_ms)
+        self.news, self.exchanges, self.seen = GossipQueue(seed), ExchangeTrigger(), ReachabilityView()
+        self.keepers = LoadAggregators([facts.seat])
         self.place = facts.place
         self.superseded = ""  # who else, born later, has this name: then this one is silent
         self.left = False
         self.yielded_to = ""
-        self.side = Side.MOST if record <= 1 else Side.ALONE
+        self.side = PartitionState.MOST if record <= 1 else PartitionState.ALONE
         self.refuted = self.overheard = 0
         self.unread = False  # pages lie there that were not looked at
         self.short = False  # more comes than may be taken up: it says the least that keeps it known
-        self.helps: dict[int, Help] = {}
+        self.helps: dict[int, IndirectProbe] = {}
         self.talk: dict[str, tuple[float, int]] = {}
         self.back: dict[str, str] = {}
         self.strangers: dict[str, float] = {}  # who asked and is not known, since when; at most MOST_BACK
-        self.config: Hint | None = None  # what it says of its configuration; None: it has no part in that
+        self.config: ConfigAdvert | None = (
+            None  # what it says of its configuration; None: it has no part in that
+        )
         self.config_why = ""  # why it stays on that
         self._numbers = crc32(f"{seed}:{name}:{birth}".encode())
         self._seen_comings = -1
@@ -137,7 +146,7 @@
         return bool(self.superseded or self.yielded_to)
 
     @property
-    def follows(self) -> Follows:
+    def follows(self) -> PartitionRules:
         return TABLE[self.side]
 
     @property
@@ -151,15 +160,15 @@
         at = min(self.probing.due(), self.news.push_at, self._contact_at, self._forget_at)
         return min([at, *(help_.at + DIRECT_MS for help_ in self.helps.values() if not help_.denied)])
 
-    def whole(self) -> list[Claim]:
+    def whole(self) -> list[MemberRecord]:
         """Its whole roll, for an exchange."""
         return [member.claim() for member in self.roll]
 
     # What comes in.
 
-    def hear(self, page: Any_, place: str, now: float) -> Mail:
+    def hear(self, page: AnyMessage, place: str, now: float) -> Effects:
         """A datagram came, from this place."""
-        mail = Mail()
+        mail = Effects()
         if self.silent or page.name == self.name:
             self.overheard += 1
             return mail
@@ -168,39 +177,39 @@
             self.probing.spoke(speaker, now)
         else:
             self.probing.heard_at = now
-        if isinstance(page, Probe | Answer | Ask | Push):
+        if isinstance(page, Probe | ProbeAck | IndirectProbeRequest | GossipPush):
             self._join(page.news, page.name, now)
         if isinstance(page, Probe):
             news = self._carry(page.name, page.birth)
             hint = self._hint()
-            answer = Answer(self.name, self.birth, page.number, self.roll.digest, news, [], hint)
+            answer = ProbeAck(self.name, self.birth, page.number, self.roll.digest, news, [], hint)
             mail.answers.append(answer)
             self._hinted(page, page.config, False, mail)
             self._compare(page, place, now, mail)
             self._met(page, now)
-        elif isinstance(page, Answer):
+        elif isinstance(page, ProbeAck):
             self._answered(page, place, now, mail)
-        elif isinstance(page, Ask):
+        elif isinstance(page, IndirectProbeRequest):
             self._help(page, place, now, mail)
-        elif isinstance(page, Carried):
+        elif isinstance(page, IndirectProbeResult):
             if not page.denied:
                 self._lift(page.target, now)
                 self.probing.answered(page.target, page.number, now, straight=False)
-        elif isinstance(page, Push):
+        elif isinstance(page, GossipPush):
             self._hinted(page, page.config, False, mail)
-        elif isinstance(page, Which):
+        elif isinstance(page, ConfigQuery):
             if self.config is not None:
                 seat = self.roll.own.seat
-                here = Here(self.name, self.birth, page.nonce, seat, self.config, self.config_why)
+                here = ConfigReply(self.name, self.birth, page.nonce, seat, self.config, self.config_why)
                 mail.answers.append(here)
-        elif isinstance(page, Here):
+        elif isinstance(page, ConfigReply):
             self._hinted(page, page.config, True, mail, page.nonce, page.why)
-        elif isinstance(page, Spoken):
+        elif isinstance(page, SchedulerMessage):
             self._word(page, speaker, now, mail)
         self._look(now)
         return mail
 
-    def exchanged(self, claims: list[Claim], by: str, now: float) -> None:
+    def exchanged(self, claims: list[MemberRecord], by: str, now: float) -> None:
         """A whole roll came by a stream. A newcomer keeps to itself what all others know."""
         newcomer = len(self.roll.others()) <= 1
         changed = self._join(claims, by, now)
@@ -213,48 +222,48 @@
         """How a send of the module's ended at a node."""
         self.seen.sent(node, how, now)
 
-    def tell(self, seat: int | None, payload: bytes) -> Mail:
+    def tell(self, seat: int | None, payload: bytes) -> Effects:
         """A word of the module: to whoever holds the seat, or to all."""
-        mail = Mail()
+        mail = Effects()
         own = self.roll.own
         if self.silent or own.seat < 0:
             return mail
-        page = Spoken(self.name, self.birth, own.seat, payload)
+        page = SchedulerMessage(self.name, self.birth, own.seat, payload)
         if seat is None:
             for one in self.roll.others():
                 mail.to(one, page)
         else:
-            found = seats.holder(self.roll, seat)
+            found = seat_claims.holder(self.roll, seat)
             if found is not None and found.name != self.name:
                 mail.to(found, page)
         return mail
 
-    def which(self, name: str, nonce: int) -> Mail:
+    def which(self, name: str, nonce: int) -> Effects:
         """Ask a member which configuration it holds; nothing where it is not known where that one is."""
-        mail = Mail()
+        mail = Effects()
         member = self.roll.members.get(name)
         if member is not None and not self.silent:
-            mail.to(member, Which(self.name, self.birth, nonce))
+            mail.to(member, ConfigQuery(self.name, self.birth, nonce))
         return mail
 
-    def hint(self, names: Iterable[str]) -> Mail:
+    def hint(self, names: Iterable[str]) -> Effects:
         """Tell these which configuration this one holds."""
-        mail = Mail()
+        mail = Effects()
         for name in names:
             member = self.roll.members.get(name)
             if member is not None and not self.silent:
-                mail.to(member, Push(self.name, self.birth, [], self._hint()))
+                mail.to(member, GossipPush(self.name, self.birth, [], self._hint()))
         return mail
 
-    def leave(self, now: float) -> Mail:
+    def leave(self, now: float) -> Effects:
         """It goes by its own will: told to some, and what they do not hear is found out by probes."""
-        mail = Mail()
+        mail = Effects()
         own = self.roll.own
         if self.silent:
             return mail
-        claim = Claim(self.name, self.birth, own.turn + 1, Standing.LEFT, own.facts)
+        claim = MemberRecord(self.name, self.birth, own.turn + 1, MemberState.LEFT, own.facts)
         others = self.probing.some([one.name for one in self.roll.others()], 3 * FAN)
-        page = Push(self.name, self.birth, [claim])
+        page = GossipPush(self.name, self.birth, [claim])
         for name in others:
             mail.to(self.roll.members[name], page)
         self.left = True
@@ -262,9 +271,9 @@
 
     # Time.
 
-    def beat(self, now: float) -> Mail:
+    def beat(self, now: float) -> Effects:
         """What is due."""
-        mail = Mail()
+        mail = Effects()
         if self.silent:
             return mail
         self.probing.short, self.probing.unread = self.short, self.unread
@@ -275,11 +284,11 @@
         for help_ in self.helps.values():
             if not help_.denied and now >= help_.at + DIRECT_MS:
                 help_.denied = True
-                no = Carried(self.name, self.birth, help_.number, help_.target, True)
+                no = IndirectProbeResult(self.name, self.birth, help_.number, help_.target, True)
                 mail.pages.append((help_.place, no))
         if load := self.news.push(self.roll, now):
             for name in self.probing.some([one.name for one in self.roll.others()], 1 if self.short else FAN):
-                mail.to(self.roll.members[name], Push(self.name, self.birth, load, self._hint()))
+                mail.to(self.roll.members[name], GossipPush(self.name, self.birth, load, self._hint()))
         if now >= self._contact_at:
             self._contact(mail, now)
         if now >= self._forget_at:
@@ -293,31 +302,37 @@
         self._numbers = (self._numbers + 1) & 0x7FFFFFFF
         return self._numbers
 
-    def _hint(self, bits: bool = False) -> Hint | None:
+    def _hint(self, bits: bool = False) -> ConfigAdvert | None:
         """Bits go along only where room is filled anyway; where there is no version yet, nothing does."""
         held = self.config
         if held is None or not held.stage:
             return None
-        return held if bits else Hint(held.stage, held.mark)
+        return held if bits else ConfigAdvert(held.stage, held.mark)
 
     def _hinted(
-        self, page: Any_, hint: Hint | None, first: bool, mail: Mail, nonce: int = 0, why: str = ""
+        self,
+        page: AnyMessage,
+        hint: ConfigAdvert | None,
+        first: bool,
+        mail: Effects,
+        nonce: int = 0,
+        why: str = "",
     ) -> None:
         """Of a living member alone, in the life that is known of it."""
         member = self.roll.members.get(page.name)
         if hint is None or member is None or not member.living or member.birth != page.birth:
             return
-        mail.hints.append(Hinted(page.name, page.birth, member.seat, hint, first, nonce, why))
+        mail.hints.append(MemberConfigReport(page.name, page.birth, member.seat, hint, first, nonce, why))
 
-    def _carry(self, hearer: str, birth: int = -1) -> list[Claim]:
+    def _carry(self, hearer: str, birth: int = -1) -> list[MemberRecord]:
         """News for a hearer: before all what is said against itself, so that it can speak for itself."""
         member = self.roll.members.get(hearer)
         if member is None and (claim := self.roll.forgotten(hearer, birth)) is not None:
             return [claim, *self.news.pick(self.roll)]
-        against = [hearer] if member is not None and member.standing > Standing.ALIVE else []
+        against = [hearer] if member is not None and member.standing > MemberState.ALIVE else []
         return self.news.pick(self.roll, first=against)
 
-    def _probe(self, does: Does, mail: Mail, now: float) -> None:
+    def _probe(self, does: ProbeEffects, mail: Effects, now: float) -> None:
         met = self.seen.digest(now) if does.probe else []
         for member, number in does.probe:
             if member.facts is not None:
@@ -329,9 +344,11 @@
         for helper, target, number in does.ask:
             if target.facts is not None:
                 place = target.facts.place
-                mail.to(helper, Ask(self.name, self.birth, number, target.claim(False), place))
+                mail.to(
+                    helper, IndirectProbeRequest(self.name, self.birth, number, target.claim(False), place)
+                )
 
-    def _contact(self, mail: Mail, now: float) -> None:
+    def _contact(self, mail: Effects, now: float) -> None:
         """Contact points are probed without being known, often while nobody else is."""
         near = len(self.roll.others()) == 0
         chance = crc32(f"{self.seed}:contact:{self._contacted}".encode()) / 2.0**32
@@ -346,7 +363,7 @@
             page = Probe(self.name, self.birth, self._number(), self.roll.digest, [self.roll.own.claim()])
             mail.pages.append((place, page))
 
-    def _join(self, claims: list[Claim], by: str, now: float) -> list[str]:
+    def _join(self, claims: list[MemberRecord], by: str, now: float) -> list[str]:
         """Claims as one with the roll; gives what was news."""
         changed = []
         latest = self.birth + (now - self.begun) + SET_WRONG_MS
@@ -365,7 +382,7 @@
                     self.news.add(claim.name, now)
         return changed
 
-    def _of_itself(self, claim: Claim, now: float) -> None:
+    def _of_itself(self, claim: MemberRecord, now: float) -> None:
         """What others say of this one. It alone lifts a suspicion of itself, by a higher turn."""
         own = self.roll.own
         if claim.birth > self.birth:
@@ -373,25 +390,27 @@
                 self.superseded = f"{claim.name} at {claim.facts.place}, born later"
             elif claim.facts is not None:  # its own life before, by a clock that was set back since
                 self.birth = claim.birth + 1
-                self.roll.hear(Claim(self.name, self.birth, 0, Standing.ALIVE, own.facts), now, self.name)
+                self.roll.hear(
+                    MemberRecord(self.name, self.birth, 0, MemberState.ALIVE, own.facts), now, self.name
+                )
                 self.news.add(self.name, now)
-        elif claim.birth == self.birth and claim.standing > Standing.ALIVE and claim.turn >= own.turn:
+        elif claim.birth == self.birth and claim.standing > MemberState.ALIVE and claim.turn >= own.turn:
             self.refuted += 1
-            if claim.standing == Standing.SUSPECT:
+            if claim.standing == MemberState.SUSPECT:
                 self.probing.accused_here()
             self.roll.raise_turn(claim.turn, now)
             self.news.add(self.name, now)
             self._contact_at = min(self._contact_at, now + AGAIN_MS)  # where it was told, it may be unknown
 
-        elif claim.birth == self.birth and claim.standing > Standing.ALIVE:
+        elif claim.birth == self.birth and claim.standing > MemberState.ALIVE:
             self.news.add(self.name, now)  # it spoke against that already, and somebody has not heard it
 
-    def _compare(self, page: Probe | Answer, place: str, now: float, mail: Mail) -> None:
+    def _compare(self, page: Probe | ProbeAck, place: str, now: float, mail: Effects) -> None:
         member = self.roll.members.get(page.name)
         stranger = member is None or member.birth < page.birth or not member.living
         equal = page.digest == self.roll.digest
         # Who is asked by a stranger leaves it to that one; else the name that sorts first begins.
-        begins = isinstance(page, Answer) if stranger else self.name < page.name
+        begins = isinstance(page, ProbeAck) if stranger else self.name < page.name
         if not stranger:
             self.strangers.pop(page.name, None)
         elif not begins:  # unless it goes on asking: then it knows this one, and nobody would begin
@@ -404,31 +423,33 @@
         elif not stranger and self.exchanges.heard(equal, now) and member and member.facts:
             mail.exchange.append((page.name, member.facts.place))
 
-    def _met(self, page: Probe | Answer, now: float) -> None:
+    def _met(self, page: Probe | ProbeAck, now: float) -> None:
         member = self.roll.members.get(page.name)
         if page.met and member is not None and member.facts is not None:
             self.seen.hear(page.name, member.facts.zone, page.met, now)
 
-    def _answered(self, page: Answer, place: str, now: float, mail: Mail) -> None:
+    def _answered(self, page: ProbeAck, place: str, now: float, mail: Effects) -> None:
         help_ = self.helps.get(page.number)
         if help_ is not None and help_.target == page.name:  # numbers of one's own probes may meet those
             del self.helps[page.number]
-            mail.pages.append((help_.place, Carried(self.name, self.birth, help_.number, help_.target)))
+            mail.pages.append(
+                (help_.place, IndirectProbeResult(self.name, self.birth, help_.number, help_.target))
+            )
         else:
             mine = self.probing.answered(page.name, page.number, now)
             self._hinted(page, page.config, mine, mail)
         self._compare(page, place, now, mail)
         self._met(page, now)
 
-    def _help(self, ask: Ask, place: str, now: float, mail: Mail) -> None:
+    def _help(self, ask: IndirectProbeRequest, place: str, now: float, mail: Effects) -> None:
         """Probe for another. The place is what the asker says: its claim is not taken for more than that."""
         if len(self.helps) >= MOST_HELP or ask.target.name == self.name:
             return
         number = self._number()
-        self.helps[number] = Help(ask.number, ask.target.name, now, place)
+        self.helps[number] = IndirectProbe(ask.number, ask.target.name, now, place)
         known = self.roll.members.get(ask.target.name)
         at = known.facts.place if known is not None and known.facts is not None else ask.place
-        news = [ask.target] if ask.target.standing > Standing.ALIVE else []
+        news = [ask.target] if ask.target.standing > MemberState.ALIVE else []
         mail.pages.append((at, Probe(self.name, self.birth, number, self.roll.digest, news)))
 
     def _lift(self, name: str, now: float) -> None:
@@ -437,12 +458,12 @@
         if member is not None:
             member.heard = max(member.heard, now - DIRECT_MS)
 
-    def _word(self, page: Spoken, speaker: Member | None, now: float, mail: Mail) -> None:
+    def _word(self, page: SchedulerMessage, speaker: Member | None, now: float, mail: Effects) -> None:
         """Only whoever holds the seat speaks for it, and not without end."""
         if speaker is None or not speaker.living or speaker.birth != page.birth or page.seat < 0:
             self.overheard += 1
             return
-        if seats.holder(self.roll, page.seat) is not speaker:
+        if seat_claims.holder(self.roll, page.seat) is not speaker:
             self.overheard += 1
             return
         second, count = self.talk.get(page.name, (0.0, 0))
@@ -466,11 +487,11 @@
         others = self.roll.others()
         heard_ago = now - self.probing.heard_at if others else ALONE_MS
         self.side = side(self.record, len(others) + 1, heard_ago, self.probing.doubt)
-        self.probing.accuses = self.side is not Side.OVERLOADED
+        self.probing.accuses = self.side is not PartitionState.OVERLOADED
         if self._seen_comings == self.roll.comings or self.silent:
             return
         self._seen_comings = self.roll.comings
-        if not self.yielded_to and (to := seats.yields(self.roll)):
+        if not self.yielded_to and (to := seat_claims.yields(self.roll)):
             self.yielded_to = to
             self.roll.raise_turn(self.roll.own.turn, now, seat=-1)
             self.news.add(self.name, now)
--- a/cherrygrade/fleet/members/pages.py
+++ b/cherrygrade/fleet/membership/messages.py
@@ -15,8 +15,8 @@
 import xxhash
 from msgspec import Meta
 
-from cherrygrade.fleet.members.roll import Claim
-from cherrygrade.fleet.members.seen import Met
+from cherrygrade.fleet.membership.reachability import NodeContact
+from cherrygrade.fleet.membership.table import MemberRecord
 
 MAGIC = b"cgF1"
 HEAD = struct.Struct(">4sIQ")
@@ -29,12 +29,12 @@
 MOST_BITS = 512
 """Of a bitmap by seat: four thousand dispatchers."""
 
-Claims = Annotated[list[Claim], Meta(max_length=64)]
-Mets = Annotated[list[Met], Meta(max_length=16)]
+Claims = Annotated[list[MemberRecord], Meta(max_length=64)]
+Mets = Annotated[list[NodeContact], Meta(max_length=16)]
 Name = Annotated[str, Meta(max_length=100)]
 
 
-class Hint(msgspec.Struct, array_like=True, frozen=True):
+class ConfigAdvert(msgspec.Struct, array_like=True, frozen=True):
     """Which configuration the speaker holds: its stage and the head of its digest (`config/replica.py`).
     `bits`: by seat, who of the fleet is known to be on it; rides only where room is filled anyway. It is the
     last field of a page, so that a reader of before passes over it."""
@@ -44,40 +44,40 @@
     bits: Annotated[bytes, Meta(max_length=MOST_BITS)] = b""
 
 
-class Page(msgspec.Struct, array_like=True, frozen=True, tag_field="kind"):
+class MembershipMessage(msgspec.Struct, array_like=True, frozen=True, tag_field="kind", tag="Page"):
     """Any; `name` and `birth` tell who speaks."""
 
     name: Name
     birth: int
 
 
-class Probe(Page, frozen=True, tag="p"):
+class Probe(MembershipMessage, frozen=True, tag="p"):
     number: int
     digest: int
     news: Claims = []
     met: Mets = []
     filling: bytes = b""
-    config: Hint | None = None
+    config: ConfigAdvert | None = None
 
 
-class Answer(Page, frozen=True, tag="a"):
+class ProbeAck(MembershipMessage, frozen=True, tag="a"):
     number: int
     digest: int
     news: Claims = []
     met: Mets = []
-    config: Hint | None = None
+    config: ConfigAdvert | None = None
 
 
-class Ask(Page, frozen=True, tag="q"):
+class IndirectProbeRequest(MembershipMessage, frozen=True, tag="q"):
     """Probe that member for me; it is told by its own claim."""
 
     number: int
-    target: Claim
+    target: MemberRecord
     place: Name
     news: Claims = []
 
 
-class Carried(Page, frozen=True, tag="c"):
+class IndirectProbeResult(MembershipMessage, frozen=True, tag="c"):
     """It answered me; or, `denied`, it has not."""
 
     number: int
@@ -85,37 +85,46 @@
     denied: bool = False
 
 
-class Push(Page, frozen=True, tag="n"):
+class GossipPush(MembershipMessage, frozen=True, tag="n"):
     news: Claims = []
-    config: Hint | None = None
+    config: ConfigAdvert | None = None
 
 
-class Spoken(Page, frozen=True, tag="w"):
+class SchedulerMessage(MembershipMessage, frozen=True, tag="w"):
     """A word of one module to another's; `seat`: the speaker's."""
 
     seat: int
     payload: Annotated[bytes, Meta(max_length=256)]
 
 
-class Which(Page, frozen=True, tag="v"):
+class ConfigQuery(MembershipMessage, frozen=True, tag="v"):
     """Which configuration do you hold? Nonce: drawn for this question. Filled up as a probe is."""
 
     nonce: Annotated[int, Meta(ge=0)]
     filling: bytes = b""
 
 
-class Here(Page, frozen=True, tag="h"):
+class ConfigReply(MembershipMessage, frozen=True, tag="h"):
     """The answer to that, first-hand; `seat`: the speaker's, -1: none. `why` it refuses what is newer."""
 
     nonce: Annotated[int, Meta(ge=0)]
     seat: int
-    config: Hint
+    config: ConfigAdvert
     why: Annotated[str, Meta(max_length=120)] = ""
 
 
-Any_ = Probe | Answer | Ask | Carried | Push | Spoken | Which | Here
+AnyMessage = (
+    Probe
+    | ProbeAck
+    | IndirectProbeRequest
+    | IndirectProbeResult
+    | GossipPush
+    | SchedulerMessage
+    | ConfigQuery
+    | ConfigReply
+)
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Any_)
+_decoder = msgspec.msgpack.Decoder(AnyMessage)
 
 
 def letter(data: bytes) -> bytes:
@@ -123,21 +132,21 @@
     return data[HEAD.size + 2 : HEAD.size + 3]
 
 
-class Book:
+class MessageCodec:
     """Writes and reads one fleet's datagrams. `wrong` counts what was dropped, by why: a handful of kinds."""
 
     def __init__(self, fleet: str) -> None:
         self.mark = xxhash.xxh32_intdigest(fleet.encode())
         self.wrong: Counter[str] = Counter()
 
-    def write(self, page: Any_, most: int = MOST_PAGE) -> bytes:
+    def write(self, page: AnyMessage, most: int = MOST_PAGE) -> bytes:
         """At most so many bytes: what news does not fit is left out, the last first."""
-        hint: Hint | None = getattr(page, "config", None)
+        hint: ConfigAdvert | None = getattr(page, "config", None)
         while True:
             body = _encoder.encode(page)
             length = HEAD.size + len(body)
             if hint is not None and hint.bits and length > min(most, ROOM):
-                hint = Hint(hint.stage, hint.mark)  # bits go along only where room is filled anyway
+                hint = ConfigAdvert(hint.stage, hint.mark)  # bits go along only where room is filled anyway
                 page = msgspec.structs.replace(page, config=hint)
                 continue
             if length <= most:
@@ -149,12 +158,12 @@
                 page = msgspec.structs.replace(page, met=[])
             else:
                 break
-        if isinstance(page, Probe | Which) and HEAD.size + len(body) < ROOM:
+        if isinstance(page, Probe | ConfigQuery) and HEAD.size + len(body) < ROOM:
             lacks = ROOM - HEAD.size - len(body)
             body = _encoder.encode(msgspec.structs.replace(page, filling=bytes(lacks)))
         return HEAD.pack(MAGIC, self.mark, xxhash.xxh3_64_intdigest(body)) + body
 
-    def read(self, data: bytes) -> Any_ | None:
+    def read(self, data: bytes) -> AnyMessage | None:
         """None where it is no page of this fleet's."""
         if len(data) < HEAD.size or len(data) > MOST_PAGE:
             self.wrong["length"] += 1
@@ -170,7 +179,7 @@
             why = "checksum"
         else:
             try:
-                page: Any_ = _decoder.decode(body)
+                page: AnyMessage = _decoder.decode(body)
                 return page
             except (msgspec.MsgspecError, UnicodeDecodeError):
                 why = "form"
--- a/cherrygrade/fleet/members/sides.py
+++ b/cherrygrade/fleet/membership/partition.py
@@ -13,7 +13,7 @@
 TIRED = 4  # of the doubt in itself: it is late more often than others are
 
 
-class Side(Enum):
+class PartitionState(Enum):
     MOST = "among the most"
     FEW = "among the few"
     ALONE = "alone"
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Follows:
+class PartitionRules:
     """What a side does. `parts`: whose count deals out the parts of cold nodes and of limits."""
 
     keeps: bool
@@ -35,20 +35,20 @@
     parts: str = "the fleet of record"
 
 
-TABLE: dict[Side, Follows] = {
-    Side.MOST: Follows(keeps=True, believes=True, accuses=True, asks_out=True),
+TABLE: dict[PartitionState, PartitionRules] = {
+    PartitionState.MOST: PartitionRules(keeps=True, believes=True, accuses=True, asks_out=True),
     # Words of the own side tell of a part of the load only: bounded harm, see docs/fleet.md.
-    Side.FEW: Follows(keeps=True, believes=True, accuses=True, asks_out=False),
-    Side.ALONE: Follows(keeps=False, believes=False, accuses=False, asks_out=False),
-    Side.OVERLOADED: Follows(keeps=False, believes=True, accuses=False, asks_out=False),
+    PartitionState.FEW: PartitionRules(keeps=True, believes=True, accuses=True, asks_out=False),
+    PartitionState.ALONE: PartitionRules(keeps=False, believes=False, accuses=False, asks_out=False),
+    PartitionState.OVERLOADED: PartitionRules(keeps=False, believes=True, accuses=False, asks_out=False),
 }
 
 
-def side(record: int, living: int, heard_ago_ms: float, doubt: int) -> Side:
+def side(record: int, living: int, heard_ago_ms: float, doubt: int) -> PartitionState:
     """`record`: dispatchers of the fleet as the settings have it; `living`: those on the roll that live,
     this one among them; since when nobody was heard; the doubt in itself, 0 to 8."""
     if record > 1 and (living <= 1 or heard_ago_ms >= ALONE_MS):
-        return Side.ALONE
+        return PartitionState.ALONE
     if doubt >= TIRED:
-        return Side.OVERLOADED
-    return Side.MOST if 2 * living > record else Side.FEW
+        return PartitionState.OVERLOADED
+    return PartitionState.MOST if 2 * living > record else PartitionState.FEW
--- a/cherrygrade/fleet/members/seen.py
+++ b/cherrygrade/fleet/membership/reachability.py
@@ -19,7 +19,7 @@
 HALF_MS = 2000.0  # what was met fades by half in this
 
 
-class Met(msgspec.Struct, array_like=True, frozen=True):
+class NodeContact(msgspec.Struct, array_like=True, frozen=True):
     """Of one node by one member: sends answered, errored and unanswered of late, and for how long it is
     so, ms."""
 
@@ -34,7 +34,7 @@
         return self.errored + self.silent > self.answered
 
 
-class View(Enum):
+class Reachability(Enum):
     UNKNOWN = "too few tried it"
     WELL = "answers"
     LINK = "answers others: our own link"
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class Own:
+class ContactCounters:
     """What this dispatcher's own sends met at one node; fades, and goes once nothing is left of it."""
 
     answered: float = 0.0
@@ -64,34 +64,34 @@
 
 
 @dataclass(slots=True)
-class Told:
+class ReportedContacts:
     zone: str
     at: float
-    met: dict[int, Met] = field(default_factory=dict)
+    met: dict[int, NodeContact] = field(default_factory=dict)
 
 
-class Seen:
+class ReachabilityView:
     """`own` by node, as words name it; emptied by fading. `told` by member; goes with the member, or once
     old."""
 
     def __init__(self) -> None:
-        self.own: dict[int, Own] = {}
-        self.told: dict[str, Told] = {}
+        self.own: dict[int, ContactCounters] = {}
+        self.told: dict[str, ReportedContacts] = {}
 
     def sent(self, node: int, how: str, now: float) -> None:
         """A send of this dispatcher ended: 'answered', 'errored' or 'silent'."""
-        one = self.own.setdefault(node, Own(at=now))
+        one = self.own.setdefault(node, ContactCounters(at=now))
         one.fade(now)
         setattr(one, how, getattr(one, how) + 1.0)
         bad = one.errored + one.silent > one.answered
         one.bad_from = (one.bad_from if one.bad_from >= 0.0 else now) if bad else -1.0
 
-    def digest(self, now: float) -> list[Met]:
+    def digest(self, now: float) -> list[NodeContact]:
         """For others: troubled nodes first, then those tried most."""
         self.own = {node: one for node, one in self.own.items() if one.fade(now) > 0.05}
         ranked = sorted(self.own.items(), key=lambda pair: (pair[1].bad_from < 0.0, -pair[1].tried, pair[0]))
         return [
-            Met(
+            NodeContact(
                 node,
                 min(255, round(one.answered)),
                 min(255, round(one.errored)),
@@ -101,8 +101,8 @@
             for node, one in ranked[:MOST_TOLD]
         ]
 
-    def hear(self, name: str, zone: str, met: list[Met], now: float) -> None:
-        self.told[name] = Told(zone, now, {one.node: one for one in met[:MOST_TOLD]})
+    def hear(self, name: str, zone: str, met: list[NodeContact], now: float) -> None:
+        self.told[name] = ReportedContacts(zone, now, {one.node: one for one in met[:MOST_TOLD]})
 
     def forget(self, lives: Callable[[str], bool], now: float) -> None:
         self.told = {name: one for name, one in self.told.items() if lives(name) and now - one.at < FRESH_MS}
@@ -114,7 +114,7 @@
         theirs = {node for one in told for node, met in one.met.items() if met.trouble}
         return [*sorted(ours), *sorted(theirs - {*ours})]
 
-    def view(self, node: int, now: float) -> tuple[View, int, int, list[str]]:
+    def view(self, node: int, now: float) -> tuple[Reachability, int, int, list[str]]:
         """What the fleet makes of a node: how many of how many that tried meet trouble, and from which
         zones."""
         told = [one for one in self.told.values() if now - one.at < FRESH_MS and node in one.met]
@@ -124,7 +124,7 @@
         ours = own is not None and own.bad_from >= 0.0
         zones = sorted({*bad})
         if len(tried) < ENOUGH:
-            return View.UNKNOWN, len(bad), len(tried), zones
+            return Reachability.UNKNOWN, len(bad), len(tried), zones
         if 2 * len(bad) > len(tried):
-            return View.BAD, len(bad), len(tried), zones
-        return View.LINK if ours else View.WELL, len(bad), len(tried), zones
+            return Reachability.BAD, len(bad), len(tried), zones
+        return Reachability.LINK if ours else Reachability.WELL, len(bad), len(tried), zones
--- a/cherrygrade/fleet/members/seats.py
+++ b/cherrygrade/fleet/membership/seat_claims.py
@@ -11,20 +11,20 @@
 
 from __future__ import annotations
 
-from cherrygrade.fleet.members.roll import Member, Roll
+from cherrygrade.fleet.membership.table import Member, MembershipTable
 
 
 def rank(member: Member) -> tuple[int, str]:
     return (member.birth, member.name)
 
 
-def holder(roll: Roll, seat: int) -> Member | None:
+def holder(roll: MembershipTable, seat: int) -> Member | None:
     """Of the living that claim the seat, who holds it."""
     claims = [one for one in roll if one.living and one.facts is not None and one.seat == seat]
     return max(claims, key=rank, default=None)
 
 
-def yields(roll: Roll) -> str:
+def yields(roll: MembershipTable) -> str:
     """Whether this dispatcher has to give up its seat: the name of who holds it, or nothing."""
     own = roll.own
     if own.seat < 0:
@@ -33,7 +33,7 @@
     return "" if found is None or found is own else found.name
 
 
-def doubled(roll: Roll) -> dict[int, list[str]]:
+def doubled(roll: MembershipTable) -> dict[int, list[str]]:
     """Seats that more than one of the living claim, with their names, for people."""
     claims: dict[int, list[str]] = {}
     for one in roll.living():
--- a/cherrygrade/fleet/members/roll.py
+++ b/cherrygrade/fleet/membership/table.py
@@ -21,7 +21,7 @@
 MOST_GONE = 4096  # of those forgotten, whose old words are known for what they are
 
 
-class Standing(IntEnum):
+class MemberState(IntEnum):
     """By rank: of two claims of one turn the worse holds."""
 
     ALIVE = 0
@@ -30,7 +30,7 @@
     LEFT = 3
 
 
-class Facts(msgspec.Struct, array_like=True, frozen=True, order=True):
+class MemberInfo(msgspec.Struct, array_like=True, frozen=True, order=True):
     """What a member says of itself. Place: host:port of its datagrams; seat -1: it yielded its seat."""
 
     place: str
@@ -40,7 +40,7 @@
     seat: int = -1
 
 
-class Claim(msgspec.Struct, array_like=True, frozen=True):
+class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
     """One word on one member; `facts` is left out where the hearer is likely to have them."""
 
     name: str
@@ -48,13 +48,13 @@
     """Unix ms of its start; a later start under the name has a later one."""
     turn: int
     standing: int
-    facts: Facts | None = None
+    facts: MemberInfo | None = None
     by: str = ""
     """Of a suspicion: who came to it on its own."""
 
     @property
     def key(self) -> tuple[int, bool, int, int]:
-        return (self.birth, self.standing == Standing.LEFT, self.turn, self.standing)
+        return (self.birth, self.standing == MemberState.LEFT, self.turn, self.standing)
 
 
 class Member:
@@ -64,9 +64,9 @@
         "birth", "by", "facts", "facts_turn", "heard", "name", "since", "standing", "turn", "witnesses",
     )  # fmt: skip
 
-    def __init__(self, claim: Claim, now: float, by: str) -> None:
+    def __init__(self, claim: MemberRecord, now: float, by: str) -> None:
         self.name, self.birth, self.turn = claim.name, claim.birth, claim.turn
-        self.standing = Standing(claim.standing)
+        self.standing = MemberState(claim.standing)
         self.facts, self.facts_turn = claim.facts, claim.turn
         self.since, self.by = now, by
         self.heard = -1e15  # when it last spoke to this dispatcher itself
@@ -74,21 +74,21 @@
 
     @property
     def key(self) -> tuple[int, bool, int, int]:
-        return (self.birth, self.standing is Standing.LEFT, self.turn, int(self.standing))
+        return (self.birth, self.standing is MemberState.LEFT, self.turn, int(self.standing))
 
     @property
     def living(self) -> bool:
-        return self.standing <= Standing.SUSPECT
+        return self.standing <= MemberState.SUSPECT
 
     @property
     def seat(self) -> int:
         return self.facts.seat if self.facts is not None else -1
 
-    def claim(self, whole: bool = True) -> Claim:
+    def claim(self, whole: bool = True) -> MemberRecord:
         """Facts go along only under the turn that they were told with: older ones would pass for newer."""
         facts = self.facts if whole and self.facts_turn == self.turn else None
-        by = self.witnesses[-1] if self.witnesses and self.standing is Standing.SUSPECT else ""
-        return Claim(self.name, self.birth, self.turn, int(self.standing), facts, by)
+        by = self.witnesses[-1] if self.witnesses and self.standing is MemberState.SUSPECT else ""
+        return MemberRecord(self.name, self.birth, self.turn, int(self.standing), facts, by)
 
     def mark(self) -> int:
         """Of what has to be equal once two rolls are."""
@@ -97,12 +97,12 @@
         return int(xxhash.xxh3_64_intdigest(told + facts))
 
 
-class Roll:
+class MembershipTable:
     """Members by name. At most `most`: a claim of one more takes the place of who has been dead for
     longest, or is dropped. The dead go `keep_ms` after they failed or left, and leave their birth in
     `gone`, which holds the last MOST_GONE."""
 
-    def __init__(self, me: Claim, now: float, most: int, keep_ms: float) -> None:
+    def __init__(self, me: MemberRecord, now: float, most: int, keep_ms: float) -> None:
         self.me, self.most, self.keep_ms = me.name, most, keep_ms
         self.members: dict[str, Member] = {}
         self.gone: OrderedDict[str, tuple[int, int]] = OrderedDict()
@@ -148,7 +148,7 @@
 
     # What changes it.
 
-    def hear(self, claim: Claim, now: float, by: str) -> bool:
+    def hear(self, claim: MemberRecord, now: float, by: str) -> bool:
         """Join a claim; whether it was news. `by`: whose word it is, for people."""
         if not sound(claim):
             self.dropped += 1
@@ -174,31 +174,31 @@
                     member.witnesses = ()
                 if claim.standing != member.standing:
                     member.since, member.by = now, by
-                member.turn, member.standing = claim.turn, Standing(claim.standing)
+                member.turn, member.standing = claim.turn, MemberState(claim.standing)
         self._count_in(member)
         self.comings += before != (member.living, member.facts, member.birth)
         return True
 
-    def alike(self, other: Roll) -> None:
+    def alike(self, other: MembershipTable) -> None:
         """Know of the others what that one knows: for fleets of thousands, whose rolls would take minutes to
         be made by words."""
         own = self.own
         self.members = {}
         for one in other:
-            claim = Claim(one.name, one.birth, one.turn, int(one.standing), one.facts)
+            claim = MemberRecord(one.name, one.birth, one.turn, int(one.standing), one.facts)
             self.members[one.name] = Member(claim, one.since, one.by)
         self.members[self.me] = own
         self._digest = other._digest
         self.comings += 1
 
-    def raise_turn(self, above: int, now: float, seat: int | None = None) -> Claim:
+    def raise_turn(self, above: int, now: float, seat: int | None = None) -> MemberRecord:
         """This member's own word against what is said of it, or with another seat."""
         own = self.own
         facts = own.facts
         assert facts is not None
         if seat is not None:
             facts = msgspec.structs.replace(facts, seat=seat)
-        claim = Claim(own.name, own.birth, max(above, own.turn) + 1, Standing.ALIVE, facts)
+        claim = MemberRecord(own.name, own.birth, max(above, own.turn) + 1, MemberState.ALIVE, facts)
         self.hear(claim, now, own.name)
         return claim
 
@@ -209,25 +209,25 @@
             self._drop(name)
         return old
 
-    def forgotten(self, name: str, birth: int) -> Claim | None:
+    def forgotten(self, name: str, birth: int) -> MemberRecord | None:
         """What a member is told that comes back after its death was forgotten here: only a turn of its own
         above that death's brings it back, and it can't know of it by itself."""
         known, turn = self.gone.get(name, (-1, -1))
-        return Claim(name, birth, turn, Standing.FAILED) if known == birth else None
+        return MemberRecord(name, birth, turn, MemberState.FAILED) if known == birth else None
 
-    def asks_itself(self, claim: Claim) -> bool:
+    def asks_itself(self, claim: MemberRecord) -> bool:
         """Whether others have it that one is back whose death was forgotten here: theirs may be a slow word,
         so that it is to say so itself."""
         birth, turn = self.gone.get(claim.name, (-1, -1))
-        return claim.standing <= Standing.SUSPECT and claim.birth == birth and claim.turn > turn
+        return claim.standing <= MemberState.SUSPECT and claim.birth == birth and claim.turn > turn
 
-    def _meet(self, claim: Claim, now: float, by: str) -> bool:
+    def _meet(self, claim: MemberRecord, now: float, by: str) -> bool:
         """A name that is not on the roll. Who is dead is of no use to who never knew it, and a word from
         before a death that is forgotten here brings nobody back: only a later birth does, or the member
         itself."""
         birth, turn = self.gone.get(claim.name, (-1, -1))
         itself = by == claim.name and (claim.birth, claim.turn) > (birth, turn)
-        if claim.standing >= Standing.FAILED or (claim.birth <= birth and not itself):
+        if claim.standing >= MemberState.FAILED or (claim.birth <= birth and not itself):
             return False
         if len(self.members) >= self.most:
             if not self._dead:
@@ -260,15 +260,15 @@
             self._digest ^= member.mark()
 
 
-def sound(claim: Claim) -> bool:
+def sound(claim: MemberRecord) -> bool:
     """Whether it can be a claim at all. Guards against turns that nothing could be raised above."""
-    standing = 0 <= claim.standing <= Standing.LEFT
+    standing = 0 <= claim.standing <= MemberState.LEFT
     return bool(claim.name) and standing and claim.birth >= 0 and 0 <= claim.turn <= MOST_TURN
 
 
-def join(one: Iterable[Claim], other: Iterable[Claim]) -> dict[str, Claim]:
+def join(one: Iterable[MemberRecord], other: Iterable[MemberRecord]) -> dict[str, MemberRecord]:
     """Two sets of claims as one, for tests of the laws and for the audit: what any roll comes to by both."""
-    found: dict[str, Claim] = {}
+    found: dict[str, MemberRecord] = {}
     for claim in [*one, *other]:
         known = found.get(claim.name)
         found[claim.name] = claim if known is None else max(known, claim, key=lambda held: held.key)
