--- a/cherrygrade/fleet/carriers/config.py
+++ b/cherrygrade/fleet/runtime/config_exchange.py
@@ -17,20 +17,27 @@
 
 import msgspec
 
-from cherrygrade.fleet.carriers.council_server import CouncilServer
-from cherrygrade.fleet.carriers.kept import KeptFile, KeptTornError
-from cherrygrade.fleet.carriers.places import address
-from cherrygrade.fleet.config.parts import Seated, Settling, seats
-from cherrygrade.fleet.config.replica import Does, Gave, Kept, Near, Replica, Wanted
-from cherrygrade.fleet.config.versions import Version
-from cherrygrade.fleet.members.core import Core, Hinted, Mail
-from cherrygrade.fleet.members.pages import Hint
-from cherrygrade.fleet.members.roll import Standing
-from cherrygrade.site import Council
+from cherrygrade.fleet.config.joint_phase import JointPhase, SeatedMember, seats
+from cherrygrade.fleet.config.replica import (
+    ConfigReplica,
+    FetchRequest,
+    FetchResponse,
+    ReachableMember,
+    ReplicaEffects,
+    StoredConfig,
+)
+from cherrygrade.fleet.config.versions import ConfigVersion
+from cherrygrade.fleet.membership.membership import Effects, MemberConfigReport, Membership
+from cherrygrade.fleet.membership.messages import ConfigAdvert
+from cherrygrade.fleet.membership.table import MemberState
+from cherrygrade.fleet.runtime.addresses import address
+from cherrygrade.fleet.runtime.council_server import CouncilServer
+from cherrygrade.fleet.runtime.sealed_file import SealedFile, SealedFileError
+from cherrygrade.settings import CouncilSettings
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, Bye, Hello, Members, Welcome
 
-InForce = Callable[[Version, int], str | Awaitable[str]]
+InForce = Callable[[ConfigVersion, int], str | Awaitable[str]]
 """Put a version in force at this stage: "", or why it is refused and all is as it was. Awaited where it is to
 be: reading a text takes tens of ms, for which RPCs need not wait."""
 
@@ -46,7 +53,7 @@
 NEVER = 1e15
 
 
-class Framed:
+class FramedConnection:
     """Words in frames over one connection, each way at most MOST_WORD."""
 
     def __init__(self, conn: Connection | None = None) -> None:
@@ -89,10 +96,10 @@
     def closed(self, conn: Connection, why: str) -> None: ...
 
 
-class Fetch(Framed):
+class ConfigFetch(FramedConnection):
     """One fetch out."""
 
-    def __init__(self, config: Configuration, by: str, wanted: Wanted) -> None:
+    def __init__(self, config: ConfigExchange, by: str, wanted: FetchRequest) -> None:
         super().__init__()
         self.config, self.by, self._wanted = config, by, wanted
         self._over = False
@@ -115,7 +122,7 @@
         self.say(msgspec.msgpack.encode(self._wanted))
 
     def word(self, data: bytes) -> None:
-        gave = msgspec.msgpack.decode(data, type=Gave)
+        gave = msgspec.msgpack.decode(data, type=FetchResponse)
         if not self._over:
             self._finish()
             self.config.fetched(self.by, gave, len(data))
@@ -143,16 +150,16 @@
         self.config.fetches.pop(self, None)
 
 
-class Giver(Framed):
+class ConfigServer(FramedConnection):
     """One that fetches from here; the agent's stream hands its frames on."""
 
-    def __init__(self, config: Configuration, conn: Connection) -> None:
+    def __init__(self, config: ConfigExchange, conn: Connection) -> None:
         super().__init__(conn)
         self.config, self._serves = config, False
         self._timer = asyncio.get_running_loop().call_later(FETCH_S, conn.abort, "no fetch in time")
 
     def word(self, data: bytes) -> None:
-        wanted = msgspec.msgpack.decode(data, type=Wanted)
+        wanted = msgspec.msgpack.decode(data, type=FetchRequest)
         replica = self.config.replica
         if replica is None or self._serves:
             self.conn.close("nothing to fetch")
@@ -171,33 +178,33 @@
             self.config.replica.served()
 
 
-class Configuration:
+class ConfigExchange:
     """`fetches` and `givers` end by themselves or by time; `steps` are emptied as they are on disk and in
     force; `said`: the last first-hand words, for people, the oldest go."""
 
     def __init__(
         self,
         fleet: str,
-        core: Core,
-        council: Council,
+        core: Membership,
+        council: CouncilSettings,
         file: str,
         source: str,
         seed: int,
         clock: Callable[[], float],
         in_force: InForce,
-        post: Callable[[Mail], None],
+        post: Callable[[Effects], None],
         log: Callable[..., None],
     ) -> None:
         """`file`: "" keeps it in memory alone. `source`: the address that streams go out from."""
         self.fleet, self.core, self.council, self.clock, self.log = fleet, core, council, clock, log
         self._source, self._seed, self._in_force, self._post = source, seed, in_force, post
-        self.file = KeptFile(Path(file)) if file else None
-        self.replica: Replica | None = None
+        self.file = SealedFile(Path(file)) if file else None
+        self.replica: ConfigReplica | None = None
         self.council_server: CouncilServer | None = None
-        self.fetches: dict[Fetch, None] = {}
-        self.givers: dict[Giver, None] = {}
+        self.fetches: dict[ConfigFetch, None] = {}
+        self.givers: dict[ConfigServer, None] = {}
         self.said: dict[str, tuple[int, int, str, float]] = {}
-        self.settling: Settling | None = None
+        self.settling: JointPhase | None = None
         self._left = False  # it left before, and is not sure again
         self.kept_why = "" if file else "kept in memory alone"
         self.fetched_bytes = self.given_bytes = self.saves = 0
@@ -205,7 +212,7 @@
         self._settling_of = (0, 0)  # the term and the move that `settling` is of
         self._learned = (-1, False)  # stage of the voter's log, and whether it leads with all of it
         self._asked = 0
-        self._steps: deque[Does] = deque()
+        self._steps: deque[ReplicaEffects] = deque()
         self._disk = ThreadPoolExecutor(1, "configuration disk")
         self._work: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -221,8 +228,8 @@
         zone = own.facts.zone if own.facts is not None else ""
         left = self._left = self.file is not None and self.file.left
         me = (core.name, zone, own.seat, core.record, self.council.voters, self._seed, self.clock())
-        replica = self.replica = Replica(*me, None if left else kept)
-        does = Does(force=(kept.version, kept.stage)) if kept is not None else Does()
+        replica = self.replica = ConfigReplica(*me, None if left else kept)
+        does = ReplicaEffects(force=(kept.version, kept.stage)) if kept is not None else ReplicaEffects()
         if left and kept is not None:
             # Parts may have been dealt out anew without one that left by its own word: it goes by what it
             # kept, and is sure of it only once others said so.
@@ -233,15 +240,15 @@
         self._do(does)
         self._show()
 
-    async def _load(self) -> Kept | None:
+    async def _load(self) -> StoredConfig | None:
         if self.file is None:
             self.log("configuration is kept in memory alone", do="Name fleet.config_file to keep it.")
             return None
         loop = asyncio.get_running_loop()
         try:
             body = await loop.run_in_executor(self._disk, self.file.load)
-            return msgspec.msgpack.decode(body, type=Kept) if body else None
-        except (KeptTornError, msgspec.MsgspecError, UnicodeDecodeError, OSError) as wrong:
+            return msgspec.msgpack.decode(body, type=StoredConfig) if body else None
+        except (SealedFileError, msgspec.MsgspecError, UnicodeDecodeError, OSError) as wrong:
             try:
                 aside: object = await loop.run_in_executor(self._disk, self.file.put_aside)
             except OSError as held:
@@ -281,7 +288,7 @@
 
     # What comes in.
 
-    def heard(self, hints: list[Hinted]) -> None:
+    def heard(self, hints: list[MemberConfigReport]) -> None:
         replica, now = self.replica, self.clock()
         if replica is None:
             return
@@ -318,17 +325,17 @@
             self._settling_of, self.settling = of, None
             if of[1] and known.parts is not None and newest is not None and newest.old is not None:
                 count = seats(known.parts, newest.old)
-                self.settling = Settling(2 * of[1], count, self._seed, self.clock())
+                self.settling = JointPhase(2 * of[1], count, self._seed, self.clock())
             self._set()
 
-    def welcome(self, conn: Connection) -> Giver | None:
+    def welcome(self, conn: Connection) -> ConfigServer | None:
         if self.replica is None or len(self.givers) >= MOST_GIVERS:
             return None
-        giver = Giver(self, conn)
+        giver = ConfigServer(self, conn)
         self.givers[giver] = None
         return giver
 
-    def fetched(self, by: str, gave: Gave, length: int) -> None:
+    def fetched(self, by: str, gave: FetchResponse, length: int) -> None:
         self.fetched_bytes += length
         if self.replica is not None:
             self._do(self.replica.fetched(by, gave, self.clock()))
@@ -381,7 +388,7 @@
 
     # What comes of it.
 
-    def _do(self, does: Does) -> None:
+    def _do(self, does: ReplicaEffects) -> None:
         if self._steps or does.keep is not None or does.force is not None:
             self._steps.append(does)
             if self._work is None:
@@ -410,7 +417,7 @@
             self._work = None
             self._set()
 
-    async def _keep(self, kept: Kept) -> str:
+    async def _keep(self, kept: StoredConfig) -> str:
         """Why it may not go into force: an older one that can be neither replaced nor removed would come back
         with the next start."""
         file = self.file
@@ -432,7 +439,7 @@
             return f"can't keep it: {held.strerror or held}"
         return ""
 
-    async def _force(self, version: Version, stage: int) -> str:
+    async def _force(self, version: ConfigVersion, stage: int) -> str:
         try:
             told = self._in_force(version, stage)
             why = told if isinstance(told, str) else await told
@@ -450,7 +457,7 @@
             self.log("configuration in force", by=version.by, since=self.since, **facts)
         return why
 
-    def _tell(self, does: Does) -> None:
+    def _tell(self, does: ReplicaEffects) -> None:
         core = self.core
         for name, nonce in does.which:
             self._post(core.which(name, nonce))
@@ -459,8 +466,8 @@
         if does.fetch is not None:
             self._fetch(*does.fetch)
 
-    def _fetch(self, by: str, wanted: Wanted) -> None:
-        fetch = Fetch(self, by, wanted)
+    def _fetch(self, by: str, wanted: FetchRequest) -> None:
+        fetch = ConfigFetch(self, by, wanted)
         self.fetches[fetch] = None
         member = self.core.roll.members.get(by)
         to = address(member.facts.place) if member is not None and member.facts is not None else None
@@ -471,7 +478,7 @@
         replica = self.replica
         if replica is not None:
             here = replica.here()
-            self.core.config = Hint(here.stage, here.mark, here.bits)
+            self.core.config = ConfigAdvert(here.stage, here.mark, here.bits)
             self.core.config_why = replica.status()[:120]
             if self._left and replica.sure and self.file is not None:
                 self._left = False
@@ -479,17 +486,21 @@
 
     # What it is told and tells.
 
-    def _near(self) -> list[Near]:
-        return [Near(one.name, one.facts.zone, one.seat) for one in self.core.roll.others() if one.facts]
+    def _near(self) -> list[ReachableMember]:
+        return [
+            ReachableMember(one.name, one.facts.zone, one.seat)
+            for one in self.core.roll.others()
+            if one.facts
+        ]
 
-    def _claims(self) -> list[Seated]:
+    def _claims(self) -> list[SeatedMember]:
         return [
-            Seated(one.seat, one.name, one.birth, one.living, one.standing is Standing.LEFT)
+            SeatedMember(one.seat, one.name, one.birth, one.living, one.standing is MemberState.LEFT)
             for one in self.core.roll
             if one.facts is not None
         ]
 
-    def _say(self, one: Hinted, now: float) -> None:
+    def _say(self, one: MemberConfigReport, now: float) -> None:
         self.said.pop(one.name, None)
         self.said[one.name] = (one.birth, one.config.stage, one.why, now)
         while len(self.said) > MOST_SAID:
@@ -546,13 +557,13 @@
             _, stage, why, at = self.said.get(one.name, (0, 0, "", -NEVER))
             if self._stage(one.name, one.birth) >= 2 * number:
                 continue
-            if one.standing is Standing.SUSPECT or (at < asked and one in wanting[:MOST_ASKED]):
+            if one.standing is MemberState.SUSPECT or (at < asked and one in wanting[:MOST_ASKED]):
                 why = "cut off: it gave no answer"
             found.append(self._lacks(one.name, stage, why, number) | {"seat": one.seat})
         living = {one.seat for one in self.core.roll.living()}
         for one in self.core.roll.dead():
             if 0 <= one.seat < self.core.record and one.seat not in living:
-                left = one.standing is Standing.LEFT
+                left = one.standing is MemberState.LEFT
                 since = round((loop.time() * 1000.0 - one.since) / 1000.0)
                 why = "left" if left else "dead, or cut off from here"
                 why = f"{why}, for {since} s"
--- a/cherrygrade/fleet/carriers/council_server.py
+++ b/cherrygrade/fleet/runtime/council_server.py
@@ -17,14 +17,22 @@
 import lmdb
 import msgspec
 
-from cherrygrade.fleet.carriers.disk import Store, open_store
-from cherrygrade.fleet.carriers.places import address
-from cherrygrade.fleet.config.versions import Divisors, difference
-from cherrygrade.fleet.council import raft
-from cherrygrade.fleet.council.raft import Stored
-from cherrygrade.fleet.council.voter import Answers, AskPut, Asks, Does, Elsewhere, Judged, Voter
-from cherrygrade.fleet.errors import NoVoter, Unreached
-from cherrygrade.site import Council
+from cherrygrade.fleet.config.versions import QuotaDivisors, difference
+from cherrygrade.fleet.consensus import raft
+from cherrygrade.fleet.consensus.raft import PersistentState
+from cherrygrade.fleet.consensus.voter import (
+    AnyReply,
+    AnyRequest,
+    ConfigVerdict,
+    NotLeader,
+    PutConfig,
+    Voter,
+    VoterEffects,
+)
+from cherrygrade.fleet.errors import CouncilUnreachableError, VoterStoppedError
+from cherrygrade.fleet.runtime.addresses import address
+from cherrygrade.fleet.runtime.voter_store import VoterStore, open_store
+from cherrygrade.settings import CouncilSettings
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, Bye, Hello, Members, Welcome
 
@@ -37,17 +45,17 @@
 LET_IN_MS = 1000.0  # between two asks of a voter without a vote
 MOST_JUDGING = 16  # changes of the configuration at once
 
-Judge = Callable[[str, str], tuple[str, Divisors | None, Divisors | None]]
+Judge = Callable[[str, str], tuple[str, QuotaDivisors | None, QuotaDivisors | None]]
 """Of the texts before and after a change: why it is refused, or "" and the divisors of the site that comes of
 it and of the one before. Blocking; it may touch nothing of the dispatcher's."""
 
-_word = msgspec.msgpack.Decoder(raft.Any_)
-_ask = msgspec.msgpack.Decoder(Asks)
-_answer = msgspec.msgpack.Decoder(Answers)
+_word = msgspec.msgpack.Decoder(raft.AnyRaftMessage)
+_ask = msgspec.msgpack.Decoder(AnyRequest)
+_answer = msgspec.msgpack.Decoder(AnyReply)
 _encode = msgspec.msgpack.Encoder().encode
 
 
-class Line:
+class CouncilConnection:
     """One connection for the council's words, made here (`to`) or there. Words come in frames."""
 
     def __init__(self, council_server: CouncilServer, name: str = "") -> None:
@@ -129,7 +137,7 @@
         self.council_server.lost(self)
 
 
-class Guest(Line):
+class CouncilClientConnection(CouncilConnection):
     """One that came in: the agent's stream hands its frames on."""
 
     def __init__(self, council_server: CouncilServer, conn: Connection, name: str) -> None:
@@ -141,19 +149,19 @@
             self._send(kind + _encode(word))
 
 
-def judged(judge: Judge | None, before: str, text: str) -> Judged:
+def judged(judge: Judge | None, before: str, text: str) -> ConfigVerdict:
     """In a thread of its own: RPCs do not wait for a text to be read."""
     if judge is None:
-        return Judged("this dispatcher takes no configuration")
+        return ConfigVerdict("this dispatcher takes no configuration")
     try:
         why, parts, old = judge(before, text)
     except Exception as broke:  # whatever reads it: a text that breaks it is refused, and nothing else is
-        return Judged(f"reading it failed: {type(broke).__name__}: {broke}"[:500])
+        return ConfigVerdict(f"reading it failed: {type(broke).__name__}: {broke}"[:500])
     if why or parts is None:
-        return Judged(why or "no site comes of it")
+        return ConfigVerdict(why or "no site comes of it")
     hunks = difference(before, text)
     short = sum(len(one) for hunk in hunks for one in hunk.lines) < len(text)
-    return Judged("", parts, old, hunks if short and before else None)
+    return ConfigVerdict("", parts, old, hunks if short and before else None)
 
 
 class CouncilServer:
@@ -162,7 +170,7 @@
 
     def __init__(
         self,
-        council: Council,
+        council: CouncilSettings,
         fleet: str,
         name: str,
         birth: int,
@@ -182,10 +190,10 @@
         self.source, self.clock, self._whereabouts, self._log = source, clock, whereabouts, log
         self._seed = seed
         self.voter: Voter | None = None
-        self.store: Store | None = None
-        self.lines: dict[str, Line] = {}
-        self.guests: dict[Guest, None] = {}
-        self.asks: dict[str, asyncio.Future[Answers]] = {}
+        self.store: VoterStore | None = None
+        self.lines: dict[str, CouncilConnection] = {}
+        self.guests: dict[CouncilClientConnection, None] = {}
+        self.asks: dict[str, asyncio.Future[AnyReply]] = {}
         self.leader = ""
         self.said_bytes = self.writes = 0
         self._turn = 0
@@ -193,7 +201,7 @@
         self._let_in_at = 0.0
         self._led = ""
         self._disk = ThreadPoolExecutor(1, "council disk")
-        self._steps: deque[tuple[Does, int]] = deque()  # not on disk yet; emptied as they are
+        self._steps: deque[tuple[VoterEffects, int]] = deque()  # not on disk yet; emptied as they are
         self._writing: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
@@ -211,7 +219,7 @@
             self._log("council store put aside", why=trouble)
         self._begin(stored)
 
-    def _begin(self, stored: Stored) -> None:
+    def _begin(self, stored: PersistentState) -> None:
         assert self.store is not None
         self.voter = Voter(
             self.store.me, stored, self.council.voters, self._seed, self.clock(), self.council.drift
@@ -277,20 +285,20 @@
 
     # What sockets bring.
 
-    def welcome(self, conn: Connection, name: str) -> Guest | None:
+    def welcome(self, conn: Connection, name: str) -> CouncilClientConnection | None:
         if len(self.guests) >= MOST_GUESTS:
             return None
-        guest = Guest(self, conn, name)
+        guest = CouncilClientConnection(self, conn, name)
         self.guests[guest] = None
         return guest
 
-    def lost(self, line: Line) -> None:
-        if isinstance(line, Guest):
+    def lost(self, line: CouncilConnection) -> None:
+        if isinstance(line, CouncilClientConnection):
             self.guests.pop(line, None)
         elif self.lines.get(line.name) is line:
             del self.lines[line.name]
 
-    def came(self, line: Line, data: bytes) -> None:
+    def came(self, line: CouncilConnection, data: bytes) -> None:
         kind, body = data[:1], data[1:]
         if kind == b"n":
             self._answered(_answer.decode(body))
@@ -300,7 +308,7 @@
         voter, now = self.voter, self.clock()
         if voter is None:
             if kind == b"q":
-                line.say(b"n", Elsewhere(_ask.decode(body).id, "", "this one does not vote"))
+                line.say(b"n", NotLeader(_ask.decode(body).id, "", "this one does not vote"))
         elif kind == b"r":
             self._do(voter.hear(_word.decode(body), now))
         elif kind == b"q":
@@ -308,18 +316,18 @@
         else:
             self._do(voter.let_in(msgspec.msgpack.decode(body, type=str), now))
 
-    def _asked(self, voter: Voter, ask: Asks, by: Line | None) -> None:
-        if not (isinstance(ask, AskPut) and voter.raft.leads):
+    def _asked(self, voter: Voter, ask: AnyRequest, by: CouncilConnection | None) -> None:
+        if not (isinstance(ask, PutConfig) and voter.raft.leads):
             self._do(voter.ask(ask, by, self.clock()))
         elif ask.id not in self.judging:  # else it is asked again, and the first answer is on its way
             if len(self.judging) >= MOST_JUDGING:
-                does = Does(answers=[(by, Elsewhere(ask.id, "", "too many changes at once"))])
+                does = VoterEffects(answers=[(by, NotLeader(ask.id, "", "too many changes at once"))])
                 self._do(does)
                 return
             task = asyncio.get_running_loop().create_task(self._put_judged(ask, by))
             self.judging[ask.id] = task
 
-    async def _put_judged(self, ask: AskPut, by: Line | None) -> None:
+    async def _put_judged(self, ask: PutConfig, by: CouncilConnection | None) -> None:
         voter = self.voter
         try:
             assert voter is not None
@@ -328,7 +336,9 @@
             loop = asyncio.get_running_loop()
             found = await loop.run_in_executor(self._judges, judged, self._judge, before, ask.text)
             if newest is not None and newest.number != ask.based_on:
-                found = Judged(found.why, found.parts, found.old)  # refused by the log, whose word it is
+                found = ConfigVerdict(
+                    found.why, found.parts, found.old
+                )  # refused by the log, whose word it is
             if self.voter is voter:
                 self._do(voter.put(ask, found, by, self.clock()))
         finally:
@@ -356,7 +366,7 @@
         """It would vote, and its store is no voter's."""
         return self.voter is not None and self.voter.raft.me not in self.voter.raft.voters
 
-    def _do(self, does: Does) -> None:
+    def _do(self, does: VoterEffects) -> None:
         voter = self.voter
         assert voter is not None
         self._steps.append((does, voter.raft.last))
@@ -383,12 +393,12 @@
         finally:
             self._writing = None
 
-    def _put(self, store: Store, does: Does, last: int) -> None:
+    def _put(self, store: VoterStore, does: VoterEffects, last: int) -> None:
         for step in does.steps:
             store.write(step, last)
             self.writes += step.writes
 
-    def _leave(self, does: Does) -> None:
+    def _leave(self, does: VoterEffects) -> None:
         """What rests on what is on disk."""
         voter = self.voter
         if voter is None:
@@ -396,7 +406,7 @@
         for to, word in does.mail:
             self._line(to.partition("/")[0]).say(b"r", word)
         for by, answer in does.answers:
-            if isinstance(by, Line):
+            if isinstance(by, CouncilConnection):
                 by.say(b"n", answer)
             else:
                 self._answered(answer)
@@ -409,7 +419,7 @@
         self.voter = None
         self._steps.clear()
         self._shut()
-        trouble = NoVoter(f"the council's store takes nothing: {wrong}")
+        trouble = VoterStoppedError(f"the council's store takes nothing: {wrong}")
         self._log("no voter", what=trouble.what, means=trouble.means, do=trouble.do)
 
     def _set(self) -> None:
@@ -421,22 +431,22 @@
         at = max(due, self.clock()) / 1000.0
         self._timer = asyncio.get_running_loop().call_at(at, self._beat)
 
-    def _line(self, name: str) -> Line:
+    def _line(self, name: str) -> CouncilConnection:
         line = self.lines.get(name)
         if line is None:
-            line = self.lines[name] = Line(self, name)
+            line = self.lines[name] = CouncilConnection(self, name)
         return line
 
     # What members ask.
 
-    async def ask(self, ask: Asks, within_s: float) -> Answers:
+    async def ask(self, ask: AnyRequest, within_s: float) -> AnyReply:
         """The answer of whoever leads. Unreached where none came in time: it may have been done."""
         loop = asyncio.get_running_loop()
         ends, why = loop.time() + within_s, "no voter answered"
         while (left := ends - loop.time()) > 0.0:
             name = self._whom()
             answer = await self._ask_one(ask, name, min(left, ASK_S))
-            if answer is not None and not isinstance(answer, Elsewhere):
+            if answer is not None and not isinstance(answer, NotLeader):
                 self.leader = name
                 return answer
             if answer is None:
@@ -446,7 +456,7 @@
             self.leader = answer.leader if answer.leader != name else ""
             if not self.leader:
                 await asyncio.sleep(AGAIN_S)
-        raise Unreached(f"the council gave no answer: {why}")
+        raise CouncilUnreachableError(f"the council gave no answer: {why}")
 
     def _whom(self) -> str:
         voters = self.council.voters
@@ -455,7 +465,7 @@
         self._turn += 1
         return voters[self._turn % len(voters)]
 
-    async def _ask_one(self, ask: Asks, name: str, within_s: float) -> Answers | None:
+    async def _ask_one(self, ask: AnyRequest, name: str, within_s: float) -> AnyReply | None:
         held = self.asks[ask.id] = asyncio.get_running_loop().create_future()
         try:
             if name == self.name and self.voter is not None:
@@ -468,7 +478,7 @@
         finally:
             self.asks.pop(ask.id, None)
 
-    def _answered(self, answer: Answers) -> None:
+    def _answered(self, answer: AnyReply) -> None:
         held = self.asks.get(answer.id)
         if held is not None and not held.done():
             held.set_result(answer)
--- a/cherrygrade/fleet/carriers/agent.py
+++ b/cherrygrade/fleet/runtime/fleet_agent.py
@@ -15,23 +15,23 @@
 
 import msgspec
 
-from cherrygrade.fleet.carriers.places import address
-from cherrygrade.fleet.members.core import Core, Mail
-from cherrygrade.fleet.members.pages import MOST_PAGE, Any_, Book, Probe, letter
-from cherrygrade.fleet.members.ration import Ration
-from cherrygrade.fleet.members.roll import Claim, Facts
-from cherrygrade.fleet.members.sides import TABLE, Side
-from cherrygrade.interface import Outcome, Send
-from cherrygrade.site import Council, Fleet, Origin
+from cherrygrade.fleet.membership.inbound_budget import InboundBudget
+from cherrygrade.fleet.membership.membership import Effects, Membership
+from cherrygrade.fleet.membership.messages import MOST_PAGE, AnyMessage, MessageCodec, Probe, letter
+from cherrygrade.fleet.membership.partition import TABLE, PartitionState
+from cherrygrade.fleet.membership.table import MemberInfo, MemberRecord
+from cherrygrade.fleet.runtime.addresses import address
+from cherrygrade.scheduling.model import Attempt, Outcome
+from cherrygrade.settings import CouncilSettings, FleetSettings, StartReference
 from cherrygrade.transport.connection import Connection
 from cherrygrade.transport.listening import listen
 from cherrygrade.wire.messages import VERSION, Bye, Hello, Members, Welcome
 
 if TYPE_CHECKING:
-    from cherrygrade.fleet.carriers.config import Configuration, Giver, InForce
-    from cherrygrade.fleet.carriers.council_server import CouncilServer, Guest, Judge
-    from cherrygrade.fleet.carriers.operator import Desk
-    from cherrygrade.fleet.carriers.tasks import Tasks
+    from cherrygrade.fleet.runtime.config_exchange import ConfigExchange, ConfigServer, InForce
+    from cherrygrade.fleet.runtime.council_server import CouncilClientConnection, CouncilServer, Judge
+    from cherrygrade.fleet.runtime.lease_tasks import LeaseTaskRunner
+    from cherrygrade.fleet.runtime.operator_commands import AdminServer
 
 EXCHANGE_S = 2.0
 MOST_STREAMS = 16  # that came in and have not ended
@@ -48,7 +48,7 @@
     Outcome.TIMED_OUT: "silent",
 }
 
-_claims = msgspec.msgpack.Decoder(list[Claim])
+_claims = msgspec.msgpack.Decoder(list[MemberRecord])
 
 
 class FleetAgent:
@@ -56,12 +56,12 @@
 
     def __init__(
         self,
-        fleet: Fleet,
+        fleet: FleetSettings,
         name: str,
         seat: int,
         record: int,
         seed: int,
-        origin: Origin,
+        origin: StartReference,
         clock: Callable[[], float],
         heard: Callable[[int, bytes], None],
         log: Callable[..., None],
@@ -71,21 +71,21 @@
         """`in_force`, where there is a council: configuration is on, and put in force by this. `judge`: of a
         change that somebody asks for."""
         self._in_force, self._judge = in_force, judge
-        self.config: Configuration | None = None
-        self.desks: dict[Desk, None] = {}
+        self.config: ConfigExchange | None = None
+        self.desks: dict[AdminServer, None] = {}
         self.fleet, self.name, self.clock = fleet, name, clock
         self._heard, self._log, self._seed = heard, log, seed
-        self.book = Book(fleet.name)
-        own = Facts(fleet.place, fleet.zone, origin.version, origin.settings, seat)
-        self.core = Core(
+        self.book = MessageCodec(fleet.name)
+        own = MemberInfo(fleet.place, fleet.zone, origin.version, origin.settings, seat)
+        self.core = Membership(
             name, origin.birth, own, record, fleet.contacts, seed, clock(), fleet.period_ms, fleet.keep_ms
         )
         self.sent = self.sent_bytes = self.got = self.got_bytes = self.unsent = 0
-        self.ration: Ration[tuple[bytes, tuple[str, int]]] = Ration(clock())
-        self.streams: dict[Stream, None] = {}
+        self.ration: InboundBudget[tuple[bytes, tuple[str, int]]] = InboundBudget(clock())
+        self.streams: dict[PeerStream, None] = {}
         self.addresses: dict[int, str] = {}  # of nodes that sends went to, by mark: no more than marks
         self.council_server: CouncilServer | None = None
-        self.tasks: Tasks | None = None
+        self.tasks: LeaseTaskRunner | None = None
         self._transport: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -99,17 +99,17 @@
         if self.fleet.council is not None and self._in_force is not None:
             await self._configure(self.fleet.council, host, self._in_force)
         self._transport, _ = await loop.create_datagram_endpoint(
-            lambda: Ear(self), local_addr=(host, int(port))
+            lambda: DatagramReceiver(self), local_addr=(host, int(port))
         )
-        self._server = await listen(lambda: Stream(self).conn, f"{host}:{port}", MOST_STREAMS)
+        self._server = await listen(lambda: PeerStream(self).conn, f"{host}:{port}", MOST_STREAMS)
         self._beat()
         if self.fleet.council is not None:
             await self._sit(self.fleet.council, host)
 
-    async def _configure(self, council: Council, host: str, in_force: InForce) -> None:
-        from cherrygrade.fleet.carriers.config import Configuration
+    async def _configure(self, council: CouncilSettings, host: str, in_force: InForce) -> None:
+        from cherrygrade.fleet.runtime.config_exchange import ConfigExchange
 
-        self.config = Configuration(
+        self.config = ConfigExchange(
             self.fleet.name,
             self.core,
             council,
@@ -123,10 +123,10 @@
         )
         await self.config.start()
 
-    async def _sit(self, council: Council, host: str) -> None:
+    async def _sit(self, council: CouncilSettings, host: str) -> None:
         # Where no council is named, none of it is loaded.
-        from cherrygrade.fleet.carriers.council_server import CouncilServer
-        from cherrygrade.fleet.carriers.tasks import Tasks
+        from cherrygrade.fleet.runtime.council_server import CouncilServer
+        from cherrygrade.fleet.runtime.lease_tasks import LeaseTaskRunner
 
         core = self.core
         self.council_server = CouncilServer(
@@ -145,12 +145,12 @@
         await self.council_server.start()
         if self.config is not None:
             self.config.ready(self.council_server)
-        self.tasks = Tasks(
+        self.tasks = LeaseTaskRunner(
             self.council_server,
             council,
             self._seed,
             self.clock,
-            lambda: [one.name for one in core.roll.living()] if core.side is Side.MOST else [],
+            lambda: [one.name for one in core.roll.living()] if core.side is PartitionState.MOST else [],
             self._log,
         )
         self.tasks.start()
@@ -164,7 +164,7 @@
     def tell(self, peer: int | None, payload: bytes) -> None:
         self._post(self.core.tell(peer, payload))
 
-    def met(self, send: Send) -> None:
+    def met(self, send: Attempt) -> None:
         """How a send ended, for what the fleet makes of its node. What never left tells nothing."""
         how = MET.get(send.outcome) if send.outcome is not None else None
         if how is not None:
@@ -203,7 +203,7 @@
         core, now = self.core, self.clock()
         members = []
         for one in sorted(core.roll, key=lambda one: one.name):
-            facts = one.facts or Facts("")
+            facts = one.facts or MemberInfo("")
             members.append(
                 {
                     "name": one.name,
@@ -313,7 +313,7 @@
         self.core.unread = self._unread()
         self._post(self.core.beat(self.clock() + GRAIN_S * 1000.0))
 
-    def _post(self, mail: Mail, source: tuple[str, int] | None = None, length: int = MOST_PAGE) -> None:
+    def _post(self, mail: Effects, source: tuple[str, int] | None = None, length: int = MOST_PAGE) -> None:
         for place, page in mail.pages:
             self._send(page, address(place), MOST_PAGE)
         for page in mail.answers:
@@ -332,7 +332,7 @@
             self._timer_at = at
             self._timer = asyncio.get_running_loop().call_at(max(at, self.clock()) / 1000.0, self._beat)
 
-    def _send(self, page: Any_, to: tuple[str, int] | None, most: int) -> None:
+    def _send(self, page: AnyMessage, to: tuple[str, int] | None, most: int) -> None:
         if to is None or self._transport is None or self._transport.is_closing():
             self.unsent += 1
             return
@@ -347,7 +347,7 @@
     def _exchange(self, name: str, place: str) -> None:
         to = address(place)
         if to is not None and len(self.streams) < MOST_STREAMS:
-            stream = Stream(self, name)
+            stream = PeerStream(self, name)
             stream.task = asyncio.get_running_loop().create_task(stream.connect(to))
 
     def _show(self) -> None:
@@ -362,7 +362,7 @@
             self._log("fleet side", side=core.side.value, **facts)
 
 
-class Ear(asyncio.DatagramProtocol):
+class DatagramReceiver(asyncio.DatagramProtocol):
     def __init__(self, agent: FleetAgent) -> None:
         self.agent = agent
 
@@ -373,7 +373,7 @@
         pass  # a place where nobody listens: found out by silence, as everywhere
 
 
-class Stream:
+class PeerStream:
     """One exchange of whole rolls, begun here (`to`) or there; or a person's question."""
 
     def __init__(self, agent: FleetAgent, to: str = "") -> None:
@@ -381,8 +381,8 @@
         self.task: asyncio.Task[None] | None = None
         self.conn = Connection(self, 0)
         self.peer = ""
-        self.guest: Guest | Giver | Desk | None = None
-        self._claims: list[Claim] = []
+        self.guest: CouncilClientConnection | ConfigServer | AdminServer | None = None
+        self._claims: list[MemberRecord] = []
         self._frames = 0
         self._timer: asyncio.TimerHandle | None = None
 
@@ -455,7 +455,7 @@
             if not self.to:
                 self._say()
             self.agent.core.exchanged(self._claims, self.peer, self.agent.clock())
-            self.agent._post(Mail())
+            self.agent._post(Effects())
             self._claims = []
             if self.to:
                 self.conn.close("exchanged")
@@ -464,17 +464,17 @@
         council_server = self.agent.council_server
         self._stays(council_server.welcome(self.conn, name) if council_server is not None else None, name)
 
-    def _desk(self) -> Desk | None:
-        from cherrygrade.fleet.carriers.operator import MOST_OPERATORS, Desk
+    def _desk(self) -> AdminServer | None:
+        from cherrygrade.fleet.runtime.operator_commands import MOST_OPERATORS, AdminServer
 
         agent = self.agent
         if agent.config is None or agent.council_server is None or len(agent.desks) >= MOST_OPERATORS:
             return None
-        desk = Desk(agent.config, agent.council_server, self.conn, lambda: agent.desks.pop(desk, None))
+        desk = AdminServer(agent.config, agent.council_server, self.conn, lambda: agent.desks.pop(desk, None))
         agent.desks[desk] = None
         return desk
 
-    def _stays(self, guest: Guest | Giver | Desk | None, name: str) -> None:
+    def _stays(self, guest: CouncilClientConnection | ConfigServer | AdminServer | None, name: str) -> None:
         """It is none of the exchanges, and has its own time or none."""
         self.guest = guest
         if guest is None:
--- a/cherrygrade/fleet/carriers/tasks.py
+++ b/cherrygrade/fleet/runtime/lease_tasks.py
@@ -10,13 +10,21 @@
 import json
 from collections.abc import Callable
 
-from cherrygrade.fleet.carriers.council_server import CouncilServer
-from cherrygrade.fleet.carriers.places import address
-from cherrygrade.fleet.council.voter import AskFree, AskGive, AskRenew, AskTake, Freed, Renewed, Took
-from cherrygrade.fleet.errors import Unreached
-from cherrygrade.fleet.leases.holding import Holding
-from cherrygrade.fleet.leases.wanting import Wanting
-from cherrygrade.site import Council
+from cherrygrade.fleet.consensus.voter import (
+    AcquireLease,
+    FreeTasks,
+    LeaseAcquired,
+    LeasesRenewed,
+    ListFreeTasks,
+    ReleaseLease,
+    RenewLeases,
+)
+from cherrygrade.fleet.errors import CouncilUnreachableError
+from cherrygrade.fleet.leases.lease_client import LeaseClient
+from cherrygrade.fleet.leases.lease_holder import LeaseHolder
+from cherrygrade.fleet.runtime.addresses import address
+from cherrygrade.fleet.runtime.council_server import CouncilServer
+from cherrygrade.settings import CouncilSettings
 
 TICK_S = 0.05
 DRILL_S = 0.1
@@ -24,13 +32,13 @@
 MOST_ASKS = 8  # at once
 
 
-class Tasks:
+class LeaseTaskRunner:
     """`asking` is emptied as answers come or their time is up."""
 
     def __init__(
         self,
         council_server: CouncilServer,
-        council: Council,
+        council: CouncilSettings,
         seed: int,
         clock: Callable[[], float],
         living: Callable[[], list[str]],
@@ -39,17 +47,17 @@
         """`living`: by name; nobody where this one is in no state to do anything for the fleet."""
         self.council_server, self.council, self.clock = council_server, council, clock
         self._living, self._log = living, log
-        self.holding = Holding(council_server.name, council_server.birth, council.lease_ms, council.drift)
-        self.wanting = Wanting(council_server.name, seed, clock())
+        self.holding = LeaseHolder(council_server.name, council_server.birth, council.lease_ms, council.drift)
+        self.wanting = LeaseClient(council_server.name, seed, clock())
         self.asking: set[asyncio.Task[None]] = set()
-        self.drill: Drill | None = None
+        self.drill: LeaseExercise | None = None
         for task in council.drills:
             self.wanting.want(task)
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
         if self.council.drills and self.council.receiver:
-            self.drill = Drill(self, self.council.receiver, self.council_server.source)
+            self.drill = LeaseExercise(self, self.council.receiver, self.council_server.source)
         self._beat()
 
     def leave(self) -> None:
@@ -98,12 +106,12 @@
 
     async def _renew(self) -> None:
         asked, same = self.holding.renew(self.clock())
-        ask = AskRenew(asked, self.holding.name, self.holding.birth, same)
+        ask = RenewLeases(asked, self.holding.name, self.holding.birth, same)
         try:
             answer = await self.council_server.ask(ask, WITHIN_S)
-        except Unreached:
+        except CouncilUnreachableError:
             return
-        if isinstance(answer, Renewed):
+        if isinstance(answer, LeasesRenewed):
             for task in self.holding.renewed(asked, answer.numbers, self.clock(), answer.same):
                 self._log("lease lost", task=task)
             strays, self.holding.strays = self.holding.strays, {}
@@ -113,18 +121,22 @@
 
     async def _look(self, some: list[str]) -> None:
         try:
-            answer = await self.council_server.ask(AskFree(self.holding.ask(self.clock()), some), WITHIN_S)
-            if isinstance(answer, Freed):
+            answer = await self.council_server.ask(
+                ListFreeTasks(self.holding.ask(self.clock()), some), WITHIN_S
+            )
+            if isinstance(answer, FreeTasks):
                 for task in self.wanting.told(some, answer.tasks, self._living(), self.clock()):
                     await self._take(task)
-        except Unreached:
+        except CouncilUnreachableError:
             return
 
     async def _take(self, task: str) -> None:
         asked = self.holding.ask(self.clock(), task)
-        ask = AskTake(asked, task, self.holding.name, self.holding.birth, self.council.lease_ms)
+        ask = AcquireLease(asked, task, self.holding.name, self.holding.birth, self.council.lease_ms)
         answer = await self.council_server.ask(ask, WITHIN_S)
-        if isinstance(answer, Took) and self.holding.granted(asked, task, answer.told.number, self.clock()):
+        if isinstance(answer, LeaseAcquired) and self.holding.granted(
+            asked, task, answer.told.number, self.clock()
+        ):
             self._log("lease held", task=task, number=answer.told.number)
 
     async def give(self, task: str, failed: str = "") -> bool:
@@ -135,17 +147,17 @@
         return bool(number)
 
     async def _back(self, task: str, number: int, failed: str = "") -> None:
-        ask = AskGive(self.holding.ask(self.clock()), task, number, failed)
+        ask = ReleaseLease(self.holding.ask(self.clock()), task, number, failed)
         try:
             await self.council_server.ask(ask, WITHIN_S)
-        except Unreached:
+        except CouncilUnreachableError:
             pass  # it ends by its time, or is found again
 
 
-class Drill:
+class LeaseExercise:
     """Orders of all drills that are held, on one connection."""
 
-    def __init__(self, tasks: Tasks, receiver: str, source: str) -> None:
+    def __init__(self, tasks: LeaseTaskRunner, receiver: str, source: str) -> None:
         self.tasks, self.receiver, self.source = tasks, receiver, source
         self.count = 0
         self._task = asyncio.get_running_loop().create_task(self._run())
--- a/cherrygrade/fleet/carriers/company.py
+++ b/cherrygrade/fleet/runtime/peer_directory.py
@@ -5,14 +5,14 @@
 
 from __future__ import annotations
 
-from cherrygrade.fleet.members.core import Core
-from cherrygrade.interface import Company
+from cherrygrade.fleet.membership.membership import Membership
+from cherrygrade.scheduling.model import PeerDirectory
 
 
-class Fellows(Company):
+class FleetPeerDirectory(PeerDirectory):
     """Seats are the dispatchers' numbers. `has`: False where the configuration gives this one no part."""
 
-    def __init__(self, core: Core, number: int) -> None:
+    def __init__(self, core: Membership, number: int) -> None:
         super().__init__(core.record)
         self.core, self.number, self.has = core, number, True
 
--- a/cherrygrade/fleet/carriers/kept.py
+++ b/cherrygrade/fleet/runtime/sealed_file.py
@@ -17,7 +17,7 @@
 MOST = 4 * 1024 * 1024  # bytes of such a file; more is none of ours
 
 
-class KeptTornError(Exception):
+class SealedFileError(Exception):
     """What is on disk can't be trusted; says why."""
 
 
@@ -28,16 +28,16 @@
 def opened(data: bytes) -> bytes:
     """KeptTornError where anything of it is not as it was written."""
     if len(data) < len(FORM) + SEAL:
-        raise KeptTornError(f"cut short at {len(data)} bytes")
+        raise SealedFileError(f"cut short at {len(data)} bytes")
     if data[: len(FORM)] != FORM:
-        raise KeptTornError("of another form")
+        raise SealedFileError("of another form")
     body = data[len(FORM) + SEAL :]
     if data[len(FORM) : len(FORM) + SEAL] != hashlib.sha256(FORM + body).digest():
-        raise KeptTornError("its seal does not fit what it holds")
+        raise SealedFileError("its seal does not fit what it holds")
     return body
 
 
-class KeptFile:
+class SealedFile:
     """One dispatcher's. Blocking: called by a thread of its own."""
 
     def __init__(self, file: Path) -> None:
@@ -53,7 +53,7 @@
         except FileNotFoundError:
             return b""
         if len(data) > MOST:
-            raise KeptTornError(f"longer than {MOST} bytes")
+            raise SealedFileError(f"longer than {MOST} bytes")
         return opened(data)
 
     def save(self, body: bytes) -> None:
--- a/cherrygrade/fleet/carriers/ask.py
+++ b/cherrygrade/fleet/runtime/status_query.py
@@ -6,14 +6,14 @@
 import json
 from typing import Any
 
-from cherrygrade.fleet.carriers.places import address
+from cherrygrade.fleet.runtime.addresses import address
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, Bye, Hello, Members, Welcome
 
 PATIENCE_S = 3.0
 
 
-class Question:
+class StatusQuery:
     def __init__(self) -> None:
         self.conn = Connection(self, 0)
         self.answer: asyncio.Future[dict[str, Any]] = asyncio.get_running_loop().create_future()
@@ -50,6 +50,6 @@
     if to is None:
         raise OSError(f"{place}: no place")
     async with asyncio.timeout(PATIENCE_S):
-        question = Question()
+        question = StatusQuery()
         await asyncio.get_running_loop().create_connection(lambda: question.conn, *to)
         return await question.answer
--- a/cherrygrade/fleet/carriers/show.py
+++ b/cherrygrade/fleet/runtime/status_view.py
@@ -12,7 +12,7 @@
 from rich.table import Table
 from rich.text import Text
 
-from cherrygrade.fleet.carriers.ask import ask
+from cherrygrade.fleet.runtime.status_query import ask
 
 ALL_WELL, NOT_ALL, NOBODY = 0, 1, 3
 COLUMNS = ("member", "standing", "for", "by", "heard", "seat", "zone", "version", "settings", "place")
--- a/cherrygrade/fleet/carriers/disk.py
+++ b/cherrygrade/fleet/runtime/voter_store.py
@@ -19,9 +19,9 @@
 import msgspec
 import xxhash
 
-from cherrygrade.fleet.council.raft import Base, Does, Entry, Stored
-from cherrygrade.fleet.council.voter import founded
-from cherrygrade.fleet.errors import Founded, NotNamed
+from cherrygrade.fleet.consensus.raft import LogEntry, PersistentState, RaftEffects, Snapshot
+from cherrygrade.fleet.consensus.voter import founded
+from cherrygrade.fleet.errors import AlreadyFoundedError, NotAVoterError
 
 SIZE = 256 * 1024 * 1024  # at most; the file grows as it is used
 HARD, BASE, ENTRY, OWNER = b"hard", b"base", b"e", b"owner"
@@ -30,7 +30,7 @@
 FORM = 1  # of records; another is not read
 
 
-class Owner(msgspec.Struct, array_like=True, frozen=True):
+class StoreOwner(msgspec.Struct, array_like=True, frozen=True):
     form: int
     fleet: str
     name: str
@@ -38,12 +38,12 @@
     """Of this store: a voter is its name and this."""
 
 
-class Hard(msgspec.Struct, array_like=True, frozen=True):
+class HardState(msgspec.Struct, array_like=True, frozen=True):
     term: int
     vote: str
 
 
-class StoreError(Exception):
+class VoterStoreError(Exception):
     """What is on disk can't be trusted; says why."""
 
 
@@ -59,11 +59,11 @@
     if len(data) < SUM.size or SUM.unpack_from(data)[0] != xxhash.xxh3_64_intdigest(
         key + b"\0" + data[SUM.size :]
     ):
-        raise StoreError(f"record {key!r} is torn")
+        raise VoterStoreError(f"record {key!r} is torn")
     return data[SUM.size :]
 
 
-class Store:
+class VoterStore:
     """One voter's. OSError or lmdb.Error where the disk takes nothing: what a step wrote is then not on disk,
     and nothing of that step may leave."""
 
@@ -73,35 +73,35 @@
         folder.mkdir(parents=True, exist_ok=True)
         self.folder, file = folder, folder / "council.mdb"
         if file.exists() and 0 < file.stat().st_size < 2 * os.sysconf("SC_PAGE_SIZE"):
-            raise StoreError("the file was cut short")
+            raise VoterStoreError("the file was cut short")
         try:
             self._env = lmdb.open(str(file), subdir=False, map_size=SIZE, max_dbs=0, metasync=True, sync=True)
         except lmdb.Error as trouble:
-            raise StoreError(f"no store: {trouble}") from trouble
+            raise VoterStoreError(f"no store: {trouble}") from trouble
         try:
             self._long_enough()
-            self.owner = self._own(Owner(FORM, fleet, name, mark))
-        except (StoreError, lmdb.Error, msgspec.MsgspecError, UnicodeDecodeError) as trouble:
+            self.owner = self._own(StoreOwner(FORM, fleet, name, mark))
+        except (VoterStoreError, lmdb.Error, msgspec.MsgspecError, UnicodeDecodeError) as trouble:
             self._env.close()
-            raise StoreError(str(trouble)) from trouble
+            raise VoterStoreError(str(trouble)) from trouble
 
     def _long_enough(self) -> None:
         """Guards against a file that was cut short: what is mapped and not there ends the process."""
         wanted = (self._env.info()["last_pgno"] + 1) * self._env.stat()["psize"]
         if (self.folder / "council.mdb").stat().st_size < wanted:
-            raise StoreError("the file was cut short")
+            raise VoterStoreError("the file was cut short")
 
-    def _own(self, owner: Owner) -> Owner:
+    def _own(self, owner: StoreOwner) -> StoreOwner:
         with self._env.begin(write=True) as txn:
             data = txn.get(OWNER)
             if data is None:
                 if txn.stat()["entries"]:
-                    raise StoreError("records of nobody")
+                    raise VoterStoreError("records of nobody")
                 txn.put(OWNER, sealed(OWNER, msgspec.msgpack.encode(owner)))
                 return owner
-            found = msgspec.msgpack.decode(opened(OWNER, data), type=Owner)
+            found = msgspec.msgpack.decode(opened(OWNER, data), type=StoreOwner)
         if (found.form, found.fleet, found.name) != (owner.form, owner.fleet, owner.name):
-            raise StoreError(f"of {found.name} of fleet {found.fleet}, form {found.form}")
+            raise VoterStoreError(f"of {found.name} of fleet {found.fleet}, form {found.form}")
         return found
 
     @property
@@ -109,38 +109,38 @@
         """The voter's name in the council."""
         return f"{self.owner.name}/{self.owner.mark}"
 
-    def load(self) -> Stored:
+    def load(self) -> PersistentState:
         """StoreError where anything of it is torn, or lacking."""
         try:
             with self._env.begin() as txn:
-                hard, base = Hard(0, ""), Base()
+                hard, base = HardState(0, ""), Snapshot()
                 if (data := txn.get(HARD)) is not None:
-                    hard = msgspec.msgpack.decode(opened(HARD, data), type=Hard)
+                    hard = msgspec.msgpack.decode(opened(HARD, data), type=HardState)
                 if (data := txn.get(BASE)) is not None:
-                    base = msgspec.msgpack.decode(opened(BASE, data), type=Base)
-                entries: list[Entry] = []
+                    base = msgspec.msgpack.decode(opened(BASE, data), type=Snapshot)
+                entries: list[LogEntry] = []
                 cursor = txn.cursor()
                 if cursor.set_range(ENTRY + bytes(8)):
                     for key, data in cursor:
                         if not (key.startswith(ENTRY) and len(key) == len(ENTRY) + 8):
                             break
                         if key != place(base.index + len(entries) + 1):
-                            raise StoreError(f"a gap in the log before {key!r}")
-                        entries.append(msgspec.msgpack.decode(opened(key, data), type=Entry))
+                            raise VoterStoreError(f"a gap in the log before {key!r}")
+                        entries.append(msgspec.msgpack.decode(opened(key, data), type=LogEntry))
         except (lmdb.Error, msgspec.MsgspecError, UnicodeDecodeError) as trouble:
-            raise StoreError(str(trouble)) from trouble
+            raise VoterStoreError(str(trouble)) from trouble
         terms = [base.term, *(entry.term for entry in entries)]
         if terms != sorted(terms) or terms[-1] > hard.term:
-            raise StoreError("terms that no voter writes")
-        return Stored(hard.term, hard.vote, base, entries)
+            raise VoterStoreError("terms that no voter writes")
+        return PersistentState(hard.term, hard.vote, base, entries)
 
-    def write(self, does: Does, last: int) -> None:
+    def write(self, does: RaftEffects, last: int) -> None:
         """All that a step writes, at once; on disk when it returns. `last`: the log's last index after it."""
         if not does.writes:
             return
         with self._env.begin(write=True) as txn:
             if does.hard is not None:
-                txn.put(HARD, sealed(HARD, msgspec.msgpack.encode(Hard(*does.hard))))
+                txn.put(HARD, sealed(HARD, msgspec.msgpack.encode(HardState(*does.hard))))
             if does.base is not None:
                 txn.put(BASE, sealed(BASE, msgspec.msgpack.encode(does.base)))
                 self._drop(txn, 0, does.base.index)
@@ -172,13 +172,13 @@
     return at
 
 
-def open_store(folder: Path, fleet: str, name: str, birth: int) -> tuple[Store, Stored, str]:
+def open_store(folder: Path, fleet: str, name: str, birth: int) -> tuple[VoterStore, PersistentState, str]:
     """The store, what it holds, and why an old one was put aside, if one was. `birth`: this life's, which
     marks a store that is made now."""
     trouble = tried(folder, fleet, name)
     if trouble:
         put_aside(folder)
-    store = Store(folder, fleet, name, f"{crc32(f'{fleet}:{name}:{birth}'.encode()):08x}")
+    store = VoterStore(folder, fleet, name, f"{crc32(f'{fleet}:{name}:{birth}'.encode()):08x}")
     return store, store.load(), trouble
 
 
@@ -186,11 +186,11 @@
     """The store of a council's first voters, whose mark is "0" and whose log begins with them. Founded,
     NotNamed: see there."""
     if name not in voters:
-        raise NotNamed(f"{name} is not among the council's voters")
+        raise NotAVoterError(f"{name} is not among the council's voters")
     if (folder / "council.mdb").exists():
-        raise Founded(f"{folder} holds a voter's store")
-    store = Store(folder, fleet, name, "0")
-    store.write(Does(base=founded(voters)), 0)
+        raise AlreadyFoundedError(f"{folder} holds a voter's store")
+    store = VoterStore(folder, fleet, name, "0")
+    store.write(RaftEffects(base=founded(voters)), 0)
     store.close()
 
 
@@ -199,7 +199,7 @@
     page's head make lmdb look where nothing is mapped, which ends whoever reads."""
     if not (folder / "council.mdb").exists():
         return ""
-    line = [sys.executable, "-m", "cherrygrade.fleet.carriers.disk", str(folder), fleet, name]
+    line = [sys.executable, "-m", "cherrygrade.fleet.runtime.voter_store", str(folder), fleet, name]
     try:
         done = subprocess.run(line, capture_output=True, text=True, timeout=TRIED_S)
     except subprocess.TimeoutExpired:
@@ -212,8 +212,8 @@
 def main() -> int:
     folder, fleet, name = sys.argv[1:]
     try:
-        Store(Path(folder), fleet, name, "").load()
-    except StoreError as trouble:
+        VoterStore(Path(folder), fleet, name, "").load()
+    except VoterStoreError as trouble:
         print(trouble)
         return 1
     return 0
--- a/cherrygrade/gateway/inforce.py
+++ b/cherrygrade/gateway/inforce.py
@@ -19,13 +19,13 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from cherrygrade.fleet.carriers.company import Fellows
-from cherrygrade.fleet.config.parts import Parts
-from cherrygrade.fleet.config.versions import Divisors
-from cherrygrade.interface import Workload
-from cherrygrade.policy import NEVER, SHARE_PART, Dispatcher
-from cherrygrade.policy import Volume as Due
-from cherrygrade.site import Bearings, Site, Trade
+from cherrygrade.fleet.config.joint_phase import QuotaParts
+from cherrygrade.fleet.config.versions import QuotaDivisors
+from cherrygrade.fleet.runtime.peer_directory import FleetPeerDirectory
+from cherrygrade.scheduling.model import Workload
+from cherrygrade.scheduling.scheduler import NEVER, SHARE_PART, Scheduler
+from cherrygrade.scheduling.scheduler import VolumeQuota as Due
+from cherrygrade.settings import SchedulingSettings, SiteSettings, TrafficSettings
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,8 +34,8 @@
     smaller number of hosts while that moves; `counts`: dispatchers likewise, one or two numbers; `has`: False
     where this dispatcher has no part."""
 
-    trade: Trade
-    bearings: Bearings
+    trade: TrafficSettings
+    bearings: SchedulingSettings
     counts: tuple[int, ...]
     fewest: dict[str, int]
     has: bool
@@ -43,7 +43,7 @@
     tight: float
 
 
-def terms(site: Site, parts: Parts, old: Divisors | None = None) -> Terms:
+def terms(site: SiteSettings, parts: QuotaParts, old: QuotaDivisors | None = None) -> Terms:
     """`old`: what parts were dealt out over before, while they move. Raises ValueError where something would
     be dealt out over nobody."""
     volumes, fewest = {}, {}
@@ -62,7 +62,7 @@
     return Terms(trade, site.bearings, parts.counts, fewest, parts.has, float(top), float(tight))
 
 
-def put(module: Dispatcher, company: Fellows, into: Terms, now: float) -> None:
+def put(module: Scheduler, company: FleetPeerDirectory, into: Terms, now: float) -> None:
     """`company`: the module's; it is told of counts and part here, with all else."""
     gate, bearings = module.gate, into.bearings
     yielded = company.yields
@@ -92,7 +92,7 @@
             lane.cold = [(now, NEVER)]
 
 
-def _dues(module: Dispatcher) -> Iterator[tuple[str, Due]]:
+def _dues(module: Scheduler) -> Iterator[tuple[str, Due]]:
     """Each volume that lives once; one that its RPCs alone still hold too."""
     seen = set()
     for name, due in [
--- a/cherrygrade/gateway/overlay.py
+++ b/cherrygrade/gateway/overlay.py
@@ -10,10 +10,10 @@
 from dataclasses import replace
 from pathlib import Path
 
-from cherrygrade.fleet.config.live import changes, divisors
-from cherrygrade.fleet.config.versions import Divisors
+from cherrygrade.fleet.config.live_changes import changes, divisors
+from cherrygrade.fleet.config.versions import QuotaDivisors
 from cherrygrade.records.load import RecordError, laid, names, site_of
-from cherrygrade.site import Site
+from cherrygrade.settings import SiteSettings
 
 MOST_READ = 2  # a change and what it is based on: judged, then taken
 MOST_TOLD = 2000  # characters of why a text is refused
@@ -22,7 +22,7 @@
 class Overlay:
     """`own`: what the file alone comes to, as this process was started with it."""
 
-    def __init__(self, file: Path, given: Sequence[str], own: Site) -> None:
+    def __init__(self, file: Path, given: Sequence[str], own: SiteSettings) -> None:
         """`given`: more text of the command line, over the file. RecordError where the file is gone."""
         self.own = own
         try:
@@ -31,9 +31,9 @@
             raise RecordError([f"{file}: {trouble}"]) from trouble
         if given:
             self._below.append(("given", "\n".join(given)))
-        self._read: dict[str, Site] = {}  # by text; MOST_READ at most
+        self._read: dict[str, SiteSettings] = {}  # by text; MOST_READ at most
 
-    def site(self, text: str) -> Site:
+    def site(self, text: str) -> SiteSettings:
         """Raises RecordError with every fault, each with its key. A dispatcher that is numbered outside of
         the text's place.dispatchers has settings too: it goes on without a part."""
         if not text:
@@ -44,7 +44,7 @@
             self._read = dict([*self._read.items(), (text, found)][-MOST_READ:])
         return found
 
-    def _site(self, text: str) -> Site:
+    def _site(self, text: str) -> SiteSettings:
         over = ("configuration", text)
         try:
             return site_of(laid([*self._below, over], "site.rec"))
@@ -54,7 +54,7 @@
             site = site_of(laid([*self._below, ("place", "place: number: 0"), over], "site.rec"))
             return replace(site, place=replace(site.place, number=self.own.place.number))
 
-    def judge(self, before: str, text: str) -> tuple[str, Divisors | None, Divisors | None]:
+    def judge(self, before: str, text: str) -> tuple[str, QuotaDivisors | None, QuotaDivisors | None]:
         """Of a change from one text to another (before the first: ""): why it is refused, or "", the divisors
         of the site that comes of it, and of the one before. What needs a restart is told by its key."""
         try:
@@ -84,7 +84,7 @@
     return key == "place.dispatchers" or (key.startswith("volumes.") and key.endswith(".hosts"))
 
 
-def _gone(old: Site, new: Site) -> set[str]:
+def _gone(old: SiteSettings, new: SiteSettings) -> set[str]:
     """Of volumes that there are no more."""
     return {f"volumes.{name}.hosts" for name in old.trade.volumes.keys() - new.trade.volumes.keys()}
 
--- a/cherrygrade/gateway/process.py
+++ b/cherrygrade/gateway/process.py
@@ -7,7 +7,6 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from cherrygrade.door import Nodes
 from cherrygrade.extents.carrier import Carrier
 from cherrygrade.gateway.lateness import Lateness
 from cherrygrade.gateway.life import LEFT_BROKEN, LEFT_BY_FORCE, LEFT_CLEAN, Alarm, module_broke
@@ -18,21 +17,33 @@
 from cherrygrade.gateway.sessions import Session
 from cherrygrade.gateway.wheel import Wheel
 from cherrygrade.gateway.words import Words
-from cherrygrade.held import Asker, Body, Held, Out, Whole
-from cherrygrade.interface import Node, Outcome
+from cherrygrade.inflight import Body, ClientSession, InflightAttempt, InflightRequest, RangeRequest
 from cherrygrade.peers.arrivals import Arrivals
 from cherrygrade.peers.rooms import Rooms
 from cherrygrade.peers.store import Claim, waits
 from cherrygrade.peers.watch import Watch
-from cherrygrade.policy import Dispatcher, presses
-from cherrygrade.site import Bearings, Bounds, Cuts, Fleet, Lines, Origin, Pace, Place, Site, Trade
+from cherrygrade.scheduling.model import Node, Outcome
+from cherrygrade.scheduling.round_inputs import NodeTable
+from cherrygrade.scheduling.scheduler import Scheduler, presses
+from cherrygrade.settings import (
+    DispatcherIdentity,
+    ExtentSettings,
+    FleetSettings,
+    FlowControlSettings,
+    LimitSettings,
+    NodeConnectionSettings,
+    SchedulingSettings,
+    SiteSettings,
+    StartReference,
+    TrafficSettings,
+)
 from cherrygrade.transport.listening import listen
 from cherrygrade.wire.messages import Errored, Leaving, Ok, ReadRpc, Rejected, WriteRpc
 
 if TYPE_CHECKING:
-    from cherrygrade.fleet.carriers.agent import FleetAgent
-    from cherrygrade.fleet.carriers.company import Fellows
-    from cherrygrade.fleet.config.versions import Version
+    from cherrygrade.fleet.config.versions import ConfigVersion
+    from cherrygrade.fleet.runtime.fleet_agent import FleetAgent
+    from cherrygrade.fleet.runtime.peer_directory import FleetPeerDirectory
     from cherrygrade.gateway.overlay import Overlay
 
 TELL_S = 60.0
@@ -45,18 +56,18 @@
 
     def __init__(
         self,
-        place: Place,
-        trade: Trade,
-        bearings: Bearings,
-        bounds: Bounds,
-        lines: Lines,
+        place: DispatcherIdentity,
+        trade: TrafficSettings,
+        bearings: SchedulingSettings,
+        bounds: LimitSettings,
+        lines: NodeConnectionSettings,
         log: Callable[..., None],
-        make: Callable[..., Dispatcher] = Dispatcher,
-        cuts: Cuts | None = None,
-        pace: Pace | None = None,
+        make: Callable[..., Scheduler] = Scheduler,
+        cuts: ExtentSettings | None = None,
+        pace: FlowControlSettings | None = None,
         places: Sequence[str] = (),
-        fleet: Fleet | None = None,
-        origin: Origin | None = None,
+        fleet: FleetSettings | None = None,
+        origin: StartReference | None = None,
         overlay: Overlay | None = None,
     ) -> None:
         """`overlay`: the own file, for what is laid over it by the fleet's configuration; None: there is
@@ -65,25 +76,25 @@
         self.name, self.most_body, self.most_open = place.name, bounds.most_body, bounds.most_open
         self.hello_ms, self.come_back_ms = bounds.hello_ms, bearings.permits.come_back_ms
         self.leaving, self._lingering = False, True
-        self.held: dict[Held | Whole, None] = {}  # taken and not over; emptied by final answers and leavings
+        self.held: dict[
+            InflightRequest | RangeRequest, None
+        ] = {}  # taken and not over; emptied by final answers and leavings
         self.sessions: dict[Session, None] = {}
         self.arrivals: Arrivals[Session] = Arrivals(bounds.most_clients, bounds.most_silent)
         self.links: dict[Node, Link] = {}
-        self.nodes = Nodes()
-        self.wheel: Wheel[Out] = Wheel()
+        self.nodes = NodeTable()
+        self.wheel: Wheel[InflightAttempt] = Wheel()
         self.done: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self.agent: FleetAgent | None = None
         self.overlay = overlay
-        self.company: Fellows | None = None
+        self.company: FleetPeerDirectory | None = None
         self._unsure = False  # what the fleet's configuration is: then this one has no part
-        self._in_force: tuple[Site, Version | None, int] | None = None
+        self._in_force: tuple[SiteSettings, ConfigVersion | None, int] | None = None
         if overlay is not None:
             self._in_force = (overlay.own, None, 0)
         if fleet is not None:
-            from cherrygrade.fleet.carriers.agent import FleetAgent
-            from cherrygrade.fleet.carriers.company import (
-                Fellows,  # where no fleet is named, none of it is loaded
-            )
+            from cherrygrade.fleet.runtime.fleet_agent import FleetAgent
+            from cherrygrade.fleet.runtime.peer_directory import FleetPeerDirectory
 
             seat, loop = place.number, asyncio.get_running_loop()
             self.agent = FleetAgent(
@@ -92,14 +103,14 @@
                 seat,
                 place.dispatchers,
                 place.seed,
-                origin or Origin(0),
+                origin or StartReference(0),
                 lambda: loop.time() * 1000.0,
                 lambda peer, word: self.rounds.hear(peer, word),
                 log,
                 self.in_force if overlay is not None else None,
                 overlay.judge if overlay is not None else None,
             )
-            self.company = Fellows(self.agent.core, seat)
+            self.company = FleetPeerDirectory(self.agent.core, seat)
         dispatcher = make(
             seed=place.seed,
             number=place.number,
@@ -112,11 +123,11 @@
             key_rest_ms=bearings.key_rest_ms,
             **({"company": self.company} if self.company is not None else {}),
         )
-        pace = pace or Pace()
+        pace = pace or FlowControlSettings()
         pressed = partial(presses, top=dispatcher.top, tight=dispatcher.tight)
         self.rooms = Rooms(trade, bearings.earnings, pressed, pace, bounds.most_body, log)
         self.rounds = Rounds(dispatcher, self, self._crashed, lambda text: log("module", text=text))
-        self.ranges = Carrier(self, cuts or Cuts(), self._ask_map)
+        self.ranges = Carrier(self, cuts or ExtentSettings(), self._ask_map)
         self.register_watch = RegisterWatch(
             place.register,
             place.name,
@@ -214,7 +225,7 @@
         self.rounds.end()
         for held in [*self.held]:
             assert held.ask is not None
-            if not isinstance(held, Held):
+            if not isinstance(held, InflightRequest):
                 held.drop()
             self.final(held, Errored(held.ask.id, "dispatcher ends"))
         if self._server is not None:
@@ -270,7 +281,7 @@
             self.log("client left", client=session.name, peer=session.conn.peer, why=why)
             self._look_done()
 
-    def until(self, session: Asker, ask: ReadRpc | WriteRpc) -> float:
+    def until(self, session: ClientSession, ask: ReadRpc | WriteRpc) -> float:
         """When the RPC's answer must be on its way. To be asked once an RPC."""
         now = self.rounds.clock()
         waited = session.waited(ask.at_ms, now)
@@ -281,7 +292,7 @@
 
     def make(
         self,
-        session: Asker,
+        session: ClientSession,
         ask: ReadRpc | WriteRpc,
         body: Body,
         key: str,
@@ -289,9 +300,9 @@
         start: int,
         length: int,
         until: float,
-    ) -> Held:
+    ) -> InflightRequest:
         volume = self.trade.volumes.get(ask.volume)
-        return Held(
+        return InflightRequest(
             workload=self.trade.workloads.get(ask.workload),
             plan=volume.plan if volume else None,
             volume=ask.volume,
@@ -310,18 +321,20 @@
             body=body,
         )
 
-    def take(self, session: Session, ask: ReadRpc | WriteRpc, body: Any) -> Held | Whole | None:
+    def take(
+        self, session: Session, ask: ReadRpc | WriteRpc, body: Any
+    ) -> InflightRequest | RangeRequest | None:
         """An RPC on an extent that the client names itself, or on a range; None: answered at once."""
         return self.take_plain(session, ask, body) if ask.key else self.ranges.take(session, ask, body)
 
-    def take_plain(self, session: Asker, ask: ReadRpc | WriteRpc, body: Body) -> Held:
+    def take_plain(self, session: ClientSession, ask: ReadRpc | WriteRpc, body: Body) -> InflightRequest:
         """An RPC that no map is asked for."""
         length = ask.length if isinstance(ask, ReadRpc) else len(body or b"")
         held = self.make(session, ask, body, ask.key, ask.shard, ask.offset, length, self.until(session, ask))
         self.admit(held)
         return held
 
-    def admit(self, held: Held) -> None:
+    def admit(self, held: InflightRequest) -> None:
         """To the module, once there is room for the bytes that it will bring."""
         session, work = held.session, held.workload
         assert session is not None
@@ -333,23 +346,23 @@
         if not waits(held.claim):
             self.rounds.take(held)
 
-    def admitted(self, held: Held) -> None:
+    def admitted(self, held: InflightRequest) -> None:
         """Room for its bytes came."""
         self.rounds.take(held)
 
-    def keep(self, taken: Held | Whole) -> None:
+    def keep(self, taken: InflightRequest | RangeRequest) -> None:
         self.held[taken] = None
 
-    def keeps(self, one: Whole) -> bool:
+    def keeps(self, one: RangeRequest) -> bool:
         return one in self.held
 
-    def abandon(self, held: Held) -> None:
+    def abandon(self, held: InflightRequest) -> None:
         self.rounds.leave(held)
 
     def clock(self) -> float:
         return self.rounds.clock()
 
-    def turn_away(self, held: Held) -> None:
+    def turn_away(self, held: InflightRequest) -> None:
         """No room came in its time: it never was the module's."""
         held.over = True
         if held.range is not None:
@@ -357,30 +370,35 @@
         elif held.ask is not None:
             self.final(held, Rejected(held.ask.id, self.come_back_ms, "no room for its bytes"))
 
-    def release(self, held: Held | Whole) -> Claim | None:
+    def release(self, held: InflightRequest | RangeRequest) -> Claim | None:
         """The RPC needs its room no more: whoever gets it gives it back. Sends that are out still hold it."""
-        if isinstance(held, Held) and held.purse is not None:
+        if isinstance(held, InflightRequest) and held.purse is not None:
             held.purse.spent -= held.length
             held.purse = None
         claim, held.claim = held.claim, None
-        if claim is not None and isinstance(held, Held):
+        if claim is not None and isinstance(held, InflightRequest):
             self.pin_sends(held, claim)
         return claim
 
-    def pin_sends(self, held: Held, claim: Claim) -> None:
+    def pin_sends(self, held: InflightRequest, claim: Claim) -> None:
         """The RPC is over, its sends are not: their bytes have to go, or to come in."""
         for out in held.sends:
-            if isinstance(out, Out) and out.outcome is None and out.flight is not None and out.claim is None:
+            if (
+                isinstance(out, InflightAttempt)
+                and out.outcome is None
+                and out.flight is not None
+                and out.claim is None
+            ):
                 claim.pin()
                 out.claim = claim
 
-    def let_go(self, held: Held | Whole) -> None:
+    def let_go(self, held: InflightRequest | RangeRequest) -> None:
         """Nobody gets its bytes."""
         self.rooms.leave(self.release(held))
 
-    def left(self, held: Held | Whole) -> None:
+    def left(self, held: InflightRequest | RangeRequest) -> None:
         self.held.pop(held, None)
-        if isinstance(held, Held):
+        if isinstance(held, InflightRequest):
             self.rounds.leave(held)
         else:
             held.drop()
@@ -394,10 +412,10 @@
 
     # The fleet's configuration.
 
-    async def in_force(self, version: Version, stage: int) -> str:
+    async def in_force(self, version: ConfigVersion, stage: int) -> str:
         """The version at this stage: all that hangs on it goes over between two rounds, at once. Gives why it
         is refused, and then all is as it was. Its text is read in a thread of its own."""
-        from cherrygrade.fleet.config.live import changes
+        from cherrygrade.fleet.config.live_changes import changes
         from cherrygrade.gateway.overlay import needs, told
         from cherrygrade.records.load import RecordError
 
@@ -425,10 +443,10 @@
         config = self.agent.config if self.agent is not None else None
         return config is None or (config.replica is not None and config.replica.sure)
 
-    def _go_over(self, site: Site, version: Version | None, stage: int) -> None:
+    def _go_over(self, site: SiteSettings, version: ConfigVersion | None, stage: int) -> None:
         """Between two rounds. All is built first; behind that nothing fails."""
-        from cherrygrade.fleet.config.live import divisors
-        from cherrygrade.fleet.config.parts import parts
+        from cherrygrade.fleet.config.joint_phase import parts
+        from cherrygrade.fleet.config.live_changes import divisors
         from cherrygrade.gateway.inforce import put, terms
 
         assert self.agent is not None and self.company is not None
@@ -455,11 +473,11 @@
         self.agent.core.record = max(into.counts)
         self.rounds.stir()
 
-    def _held(self) -> list[Held]:
+    def _held(self) -> list[InflightRequest]:
         """All RPCs for the module that are not over, pieces of others among them."""
-        found: list[Held] = []
+        found: list[InflightRequest] = []
         for one in self.held:
-            found += [one] if isinstance(one, Held) else one.pieces
+            found += [one] if isinstance(one, InflightRequest) else one.pieces
         return found
 
     # What the register watch calls.
@@ -485,7 +503,7 @@
         for out in self.wheel.due(now):
             self.links[out.node].give_up(out, Outcome.TIMED_OUT)
 
-    def carry(self, out: Out, limit_ms: float) -> None:
+    def carry(self, out: InflightAttempt, limit_ms: float) -> None:
         if out.lead is not None:
             return  # it goes with the one that carries it
         link = self.links.get(out.node)
@@ -504,25 +522,25 @@
             )
         outs = [out]
         if out.mates:
-            outs += [mate for mate in out.mates if isinstance(mate, Out)]
+            outs += [mate for mate in out.mates if isinstance(mate, InflightAttempt)]
             self.ranges.joined += len(out.mates)
         for one in outs:
             one.slot = self.wheel.put(one, one.rpc.give_up_ms)
         link.carry(outs)
         self._alarm.set()
 
-    def withdraw(self, out: Out) -> None:
+    def withdraw(self, out: InflightAttempt) -> None:
         self.wheel.drop(out, out.slot)
         self.links[out.node].give_up(out, Outcome.CANCELLED)
 
-    def answer_ok(self, held: Held, out: Out) -> None:
+    def answer_ok(self, held: InflightRequest, out: InflightAttempt) -> None:
         if held.range is not None:
             held.range.ok(held)
             return
         assert held.ask is not None
         self.final(held, Ok(held.ask.id, out.node.shard), None if held.writes else held.body)
 
-    def answer_rejected(self, held: Held, come_back_ms: float) -> None:
+    def answer_rejected(self, held: InflightRequest, come_back_ms: float) -> None:
         if held.range is not None:
             held.range.rejected(held, come_back_ms)
             return
@@ -534,7 +552,7 @@
             reason = f"unknown volume '{held.volume}'"
         self.final(held, Rejected(held.ask.id, come_back_ms, reason))
 
-    def answer_errored(self, held: Held) -> None:
+    def answer_errored(self, held: InflightRequest) -> None:
         if held.range is not None:
             held.range.errored(held)
             return
@@ -542,12 +560,14 @@
         last = held.sends[-1].outcome if held.sends else None
         self.final(held, Errored(held.ask.id, f"last send: {last.value}" if last else ""))
 
-    def final(self, held: Held | Whole, message: Ok | Rejected | Errored, body: Any = None) -> None:
+    def final(
+        self, held: InflightRequest | RangeRequest, message: Ok | Rejected | Errored, body: Any = None
+    ) -> None:
         """The one final answer."""
         assert held.session is not None
         self.held.pop(held, None)
         held.session.answer(message, body, self.release(held))
-        if isinstance(held, Held):
+        if isinstance(held, InflightRequest):
             held.body = None
         self._look_done()
 
--- a/cherrygrade/gateway/register_watch.py
+++ b/cherrygrade/gateway/register_watch.py
@@ -11,7 +11,7 @@
 
 from cherrygrade.gateway.backoff import Backoff
 from cherrygrade.gateway.roster import Book
-from cherrygrade.interface import Node
+from cherrygrade.scheduling.model import Node
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, AskMap, Bye, Follow, Hello, MapPart, Roster, Welcome
 
--- a/cherrygrade/gateway/roster.py
+++ b/cherrygrade/gateway/roster.py
@@ -5,18 +5,18 @@
 
 from __future__ import annotations
 
-from cherrygrade.door import Nodes
-from cherrygrade.interface import Node, Standing
+from cherrygrade.scheduling.model import Node, NodeState
+from cherrygrade.scheduling.round_inputs import NodeTable
 from cherrygrade.wire.messages import Roster
 
-STANDINGS = {"live": Standing.LIVE, "draining": Standing.DRAINING, "gone": Standing.GONE}
+STANDINGS = {"live": NodeState.LIVE, "draining": NodeState.DRAINING, "gone": NodeState.GONE}
 
 
 class Book:
     """The node list as last told. Versions are compared within one epoch of the register; a later epoch
     (the register began anew) replaces an earlier one only by a whole list."""
 
-    def __init__(self, nodes: Nodes) -> None:
+    def __init__(self, nodes: NodeTable) -> None:
         self.nodes = nodes
         self.epoch = self.version = -1
         self.gap = False  # a change was missed: only the whole list helps
@@ -43,7 +43,7 @@
                 self._starts[entry.address] = entry.start
                 node.born_ms = now - entry.age_ms
             node.zone, node.kind, node.shard, node.size = entry.zone, entry.kind, entry.shard, entry.size
-            node.standing = STANDINGS.get(entry.standing, Standing.GONE)
+            node.standing = STANDINGS.get(entry.standing, NodeState.GONE)
             named.append(node)
         self.epoch, self.version, self.gap = roster.epoch, roster.version, False
         return self.nodes.told(named, roster.full)
--- a/cherrygrade/gateway/sessions.py
+++ b/cherrygrade/gateway/sessions.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from cherrygrade.gateway.transit import Transit
-from cherrygrade.held import Body, Held, Whole
+from cherrygrade.inflight import Body, InflightRequest, RangeRequest
 from cherrygrade.peers.ladder import Step
 from cherrygrade.peers.rooms import PURSE, Rooms
 from cherrygrade.peers.store import Account, Claim, Purse, waits
@@ -62,17 +62,19 @@
 
     def exit(self, session: Session, why: str) -> None: ...
 
-    def take(self, session: Session, ask: ReadRpc | WriteRpc, body: Any) -> Held | Whole | None:
+    def take(
+        self, session: Session, ask: ReadRpc | WriteRpc, body: Any
+    ) -> InflightRequest | RangeRequest | None:
         """None where it was answered at once."""
 
-    def keep(self, taken: Held | Whole) -> None:
+    def keep(self, taken: InflightRequest | RangeRequest) -> None:
         """It is in the session's table, under its id."""
 
-    def admitted(self, held: Held) -> None: ...
+    def admitted(self, held: InflightRequest) -> None: ...
 
-    def turn_away(self, held: Held) -> None: ...
+    def turn_away(self, held: InflightRequest) -> None: ...
 
-    def left(self, held: Held | Whole) -> None:
+    def left(self, held: InflightRequest | RangeRequest) -> None:
         """Its client wants no answer any more."""
 
 
@@ -83,10 +85,10 @@
         self.house = house
         self.conn = Connection(self, house.most_body, taken=self.taken)
         self.name = ""
-        self.rpcs: dict[int, Held | Whole] = {}
+        self.rpcs: dict[int, InflightRequest | RangeRequest] = {}
         self.features: list[str] = []
         self.flying = 0  # bytes of pieces that are out for this client
-        self.hungry: dict[Whole, None] = {}  # wait for room here; emptied by it and by their ends
+        self.hungry: dict[RangeRequest, None] = {}  # wait for room here; emptied by it and by their ends
         self.account = Account()
         self.claim: Claim | None = None  # of the body that is coming in, or that waits to
         self.purse: Purse | None = None
@@ -129,7 +131,7 @@
         self.conn.give(None)
         self.read_on()
 
-    def pays(self, held: Held, workload: str) -> bool:
+    def pays(self, held: InflightRequest, workload: str) -> bool:
         """Whether the purse pays for the bytes that a small read will bring."""
         conn = self.conn
         if held.length > PURSE // 8 or conn.stuck or not self.house.rooms.bounded:
@@ -148,10 +150,10 @@
         """How long its word was on its way, ms."""
         return self.transit.waited(since_hello_ms, now)
 
-    def admitted(self, held: Held) -> None:
+    def admitted(self, held: InflightRequest) -> None:
         self.house.admitted(held)
 
-    def turned_away(self, held: Held) -> None:
+    def turned_away(self, held: InflightRequest) -> None:
         self.house.turn_away(held)
 
     def idle(self) -> None:
@@ -214,7 +216,7 @@
 
     def _taken(
         self, ask: ReadRpc | WriteRpc, body: bytearray | memoryview | None, dropped: bool
-    ) -> Held | Whole | None:
+    ) -> InflightRequest | RangeRequest | None:
         if ask.id in self.rpcs:
             self.conn.close(f"two RPCs with the id {ask.id}")
             return None
--- a/cherrygrade/held.py
+++ b/cherrygrade/inflight.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, Protocol
 
-from cherrygrade.interface import Rpc, Send
+from cherrygrade.scheduling.model import Attempt, Request
 
 if TYPE_CHECKING:  # a platform's dispatcher loads none of these
     from cherrygrade.peers.ladder import Step
@@ -20,13 +20,13 @@
 Body = bytearray | memoryview | None
 
 
-class Whole(Protocol):
+class RangeRequest(Protocol):
     """A client's RPC that goes as pieces: what its pieces and its client tell it."""
 
     claim: Claim | None
 
     @property
-    def session(self) -> Asker: ...
+    def session(self) -> ClientSession: ...
 
     @property
     def ask(self) -> ReadRpc | WriteRpc: ...
@@ -36,30 +36,30 @@
         """Its client takes bytes as they come."""
 
     @property
-    def pieces(self) -> list[Held]:
+    def pieces(self) -> list[InflightRequest]:
         """Those that are taken and not over."""
 
     def feed(self) -> None:
         """There may be room for more pieces."""
 
-    def ok(self, held: Held) -> None: ...
+    def ok(self, held: InflightRequest) -> None: ...
 
-    def rejected(self, held: Held, come_back_ms: float) -> None: ...
+    def rejected(self, held: InflightRequest, come_back_ms: float) -> None: ...
 
-    def errored(self, held: Held) -> None: ...
+    def errored(self, held: InflightRequest) -> None: ...
 
     def drop(self) -> None:
         """What is still held of it is of no use any more."""
 
 
-class Asker(Protocol):
+class ClientSession(Protocol):
     """The client whose RPC it is, as those who carry it know it."""
 
     name: str
     features: list[str]
     flying: int
     """Bytes of pieces that are out for it."""
-    hungry: dict[Whole, None]
+    hungry: dict[RangeRequest, None]
     """Wait until it has taken more."""
 
     @property
@@ -74,13 +74,13 @@
     def waited(self, since_hello_ms: float, now: float) -> float:
         """How long its word was on its way, ms."""
 
-    def pays(self, held: Held, workload: str) -> bool:
+    def pays(self, held: InflightRequest, workload: str) -> bool:
         """Whether its purse pays for the bytes of a small read."""
 
-    def admitted(self, held: Held) -> None:
+    def admitted(self, held: InflightRequest) -> None:
         """Room for the RPC's bytes came."""
 
-    def turned_away(self, held: Held) -> None:
+    def turned_away(self, held: InflightRequest) -> None:
         """It did not come in time."""
 
     def hand(self, message: Ok | Rejected | Errored | Part, body: Body, claim: Claim | None) -> None: ...
@@ -89,10 +89,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held(Rpc):
+class InflightRequest(Request):
     """A client's RPC, with where its answer goes, and what it asked."""
 
-    session: Asker | None = None
+    session: ClientSession | None = None
     ask: ReadRpc | WriteRpc | None = None
     body: Body = None
     """What a write writes; what a read's ok answer carries."""
@@ -101,7 +101,7 @@
     extent: int = -1
     version: int = -1
     """Of the extent, as the map told it; -1: named by key, not by range."""
-    range: Whole | None = None
+    range: RangeRequest | None = None
     piece: Any = None
     """What it is of its range; the range's own."""
     claim: Claim | None = None
@@ -126,7 +126,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Out(Send):
+class InflightAttempt(Attempt):
     """One send, with the frame that carries it, alone or with others, or the HTTP exchange that does."""
 
     flight: Any = None
--- a/cherrygrade/lab/capacity/page.py
+++ b/cherrygrade/lab/capacity/page.py
@@ -9,7 +9,7 @@
 
 from jinja2 import Environment, StrictUndefined
 
-from cherrygrade.errors import Trouble
+from cherrygrade.errors import OperatorError
 from cherrygrade.lab.capacity.errors import PageWrong
 from cherrygrade.lab.capacity.reports import Figure, Promise, Report, Row, Target, read_reports, read_target
 from cherrygrade.lab.capacity.slopes import ENOUGH, LEAST, Point, Seen, Slope, at, fit, pooled, reaches
@@ -328,7 +328,7 @@
         target = read_target(folder)
         page = file.read_text()
         new = redraw(page, tables(target, read_reports(folder, target)))
-    except Trouble as trouble:
+    except OperatorError as trouble:
         print(trouble, file=sys.stderr)
         return 2
     if check:
--- a/cherrygrade/lab/exploration/holders.py
+++ b/cherrygrade/lab/exploration/holders.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from cherrygrade.fleet.council.orders import Orders
-from cherrygrade.fleet.leases.count import Count
-from cherrygrade.fleet.leases.grants import Free, Give, Grants, Lease, Take
-from cherrygrade.fleet.leases.holding import Held, Holding
+from cherrygrade.fleet.consensus.fencing import FencingGuard
+from cherrygrade.fleet.leases.lease_holder import HeldLease, LeaseHolder
+from cherrygrade.fleet.leases.lease_table import Acquire, Expire, Lease, LeaseTable, Release
+from cherrygrade.fleet.leases.renewal_tracker import RenewalTracker
 from cherrygrade.lab.exploration.explore import Breach, Told
 
 TASK, FOR_MS, DRIFT, STEP_MS = "t", 2000.0, 0.25, 500.0
@@ -120,32 +120,32 @@
 
     # The product's objects from a state, and back.
 
-    def _holding(self, name: str, mind: Mind) -> Holding:
-        one = Holding(name, mind.life, FOR_MS, DRIFT)
+    def _holding(self, name: str, mind: Mind) -> LeaseHolder:
+        one = LeaseHolder(name, mind.life, FOR_MS, DRIFT)
         one.asked = dict(mind.asked)
         if mind.number:
-            one.held[TASK] = Held(TASK, mind.number, mind.ends, mind.out)
+            one.held[TASK] = HeldLease(TASK, mind.number, mind.ends, mind.out)
         return one
 
-    def _mind(self, one: Holding, life: int) -> Mind:
+    def _mind(self, one: LeaseHolder, life: int) -> Mind:
         held = one.held.get(TASK)
         asked = tuple(sorted(one.asked.items()))
         return Mind(life, held.number, held.ends, held.out, asked) if held else Mind(life, asked=asked)
 
-    def _grants(self, now: Now) -> Grants:
-        grants = Grants()
+    def _grants(self, now: Now) -> LeaseTable:
+        grants = LeaseTable()
         if now.lease is not None:
             grants._hold(now.lease)
         return grants
 
-    def _count(self, lead: Lead) -> Count:
-        count = Count(DRIFT)
+    def _count(self, lead: Lead) -> RenewalTracker:
+        count = RenewalTracker(DRIFT)
         count.begun = lead.begun
         count.answered = {(holder, life): at for holder, life, at in lead.answered}
         count.freeing = {*lead.freeing}
         return count
 
-    def _lead(self, count: Count) -> Lead:
+    def _lead(self, count: RenewalTracker) -> Lead:
         answered = tuple(sorted((holder, life, at) for (holder, life), at in count.answered.items()))
         return Lead(True, count.begun, answered, frozenset(count.freeing))
 
@@ -220,7 +220,7 @@
                 yield from self._agree(now, at, word, here)
             elif word.kind == "give" and true and now.lease and now.lease.number == word.number:
                 grants = self._grants(now)
-                grants.apply(now.newest + 1, Give(0.0, TASK, word.number))
+                grants.apply(now.newest + 1, Release(0.0, TASK, word.number))
                 yield "the lease is free", now._replace(newest=now.newest + 1, lease=grants.leases.get(TASK))
             elif word.kind == "renew" and (true or self.planted.unproven):
                 count = self._count(now.leads[at])
@@ -233,7 +233,7 @@
             count = self._count(now.leads[at])
             if over := count.over(self._grants(now), here):
                 grants = self._grants(now)
-                grants.apply(now.newest + 1, Free(0.0, TASK, over[0].number))
+                grants.apply(now.newest + 1, Expire(0.0, TASK, over[0].number))
                 more = now._replace(newest=now.newest + 1, lease=grants.leases.get(TASK))
                 yield f"{name} counted to the end", self._led(more, at, count, None)
 
@@ -249,7 +249,7 @@
         )
         if known is not None or now.lease is not None:
             return  # answered before, by its id; or held
-        told = grants.apply(index, Take(0.0, word.asked, TASK, word.holder, word.life, FOR_MS))
+        told = grants.apply(index, Acquire(0.0, word.asked, TASK, word.holder, word.life, FOR_MS))
         count = self._count(now.leads[at])
         count.answered[(word.holder, word.life)] = here
         answer = word._replace(kind="granted", number=told.number)
@@ -258,7 +258,7 @@
 
     def _change(self, now: Now) -> Now:
         at = 1 - now.true
-        count = Count(DRIFT)
+        count = RenewalTracker(DRIFT)
         count.lead(clock(LEADERS[at], now.at))
         if self.planted.trusts:  # as the log has it: from when it was granted, or last renewed there
             old = now.leads[now.true]
@@ -270,7 +270,7 @@
         return now._replace(true=at, leads=tuple(leads), changes=now.changes + 1)
 
     def _receive(self, now: Now, order: Order) -> Now:
-        orders = Orders({TASK: now.seen})
+        orders = FencingGuard({TASK: now.seen})
         flying = now.flying - {order}
         minds = [*now.minds]
         at = HOLDERS.index(order.holder)
@@ -297,7 +297,7 @@
     def _put(self, now: Now, at: int, mind: Mind) -> Now:
         return now._replace(minds=(*now.minds[:at], mind, *now.minds[at + 1 :]))
 
-    def _led(self, now: Now, at: int, count: Count, answer: Word | None) -> Now:
+    def _led(self, now: Now, at: int, count: RenewalTracker, answer: Word | None) -> Now:
         leads = (*now.leads[:at], self._lead(count), *now.leads[at + 1 :])
         more = self._told.mask([answer]) if answer is not None else 0
         return now._replace(leads=leads, told=now.told | more)
--- a/cherrygrade/lab/exploration/voters.py
+++ b/cherrygrade/lab/exploration/voters.py
@@ -11,18 +11,18 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from cherrygrade.fleet.council.raft import Any_, Base, Entry, Raft, Role, Stored
+from cherrygrade.fleet.consensus.raft import AnyRaftMessage, LogEntry, PersistentState, Raft, Role, Snapshot
 from cherrygrade.lab.exploration.explore import Breach, Told
 
 NAMES = ("a", "b", "c")
-FIRST = Base(voters=NAMES)
+FIRST = Snapshot(voters=NAMES)
 LATE = 1e12
 
 
 class Disk(NamedTuple):
     term: int
     vote: str
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
 
 
 class Voter(NamedTuple):
@@ -31,7 +31,7 @@
     disk: Disk
     term: int
     vote: str
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
     agreed: int
     role: str
     votes: frozenset[str]
@@ -45,7 +45,7 @@
 
     voters: tuple[Voter, ...]
     told: int
-    agreed: tuple[Entry, ...]
+    agreed: tuple[LogEntry, ...]
     leaders: tuple[tuple[int, str], ...]
     stands: int
     proposals: int
@@ -60,7 +60,7 @@
 
 
 def thaw(name: str, voter: Voter) -> Raft:
-    raft = Raft(name, Stored(voter.term, voter.vote, FIRST, [*voter.entries]), 1, LATE)
+    raft = Raft(name, PersistentState(voter.term, voter.vote, FIRST, [*voter.entries]), 1, LATE)
     raft.agreed, raft.role, raft.votes = voter.agreed, Role(voter.role), {*voter.votes}
     raft.next, raft.match = dict(voter.next), dict(voter.match)
     return raft
@@ -89,7 +89,7 @@
     def __init__(self, bounds: Bounds, syncs: bool = True, forgets: bool = False) -> None:
         self.bounds, self.syncs, self.forgets = bounds, syncs, forgets
         # What a voter comes to is worked out once: goes with the exploration.
-        self._told: Told[tuple[str, Any_]] = Told()
+        self._told: Told[tuple[str, AnyRaftMessage]] = Told()
         self._after: dict[tuple[int, Voter, str, object], tuple[Voter, int]] = {}
 
     def start(self) -> Now:
--- a/cherrygrade/lab/rig/load.py
+++ b/cherrygrade/lab/rig/load.py
@@ -15,10 +15,10 @@
 from typing import Any
 
 from cherrygrade.client import Answer, Client, Errored, Ok, Rejected
-from cherrygrade.interface import Effect, Workload
 from cherrygrade.lab.rig.scenario import Scenario, Stream, read_scenario
 from cherrygrade.records.load import plain, read_vertex, site_from
-from cherrygrade.site import Trade
+from cherrygrade.scheduling.model import Idempotency, Workload
+from cherrygrade.settings import TrafficSettings
 from cherrygrade.standin.record import Record
 from cherrygrade.wire.messages import Ok as WireOk
 from cherrygrade.wire.messages import ReadRpc
@@ -39,7 +39,7 @@
     """One load process: a client a dispatcher, and the streams' part that falls to it."""
 
     def __init__(
-        self, scenario: Scenario, trade: Trade, index: int, addresses: list[str], record: Record
+        self, scenario: Scenario, trade: TrafficSettings, index: int, addresses: list[str], record: Record
     ) -> None:
         self.scenario, self.trade, self.index, self.record = scenario, trade, index, record
         self.chance = random.Random(f"{scenario.seed}:{index}")
@@ -231,7 +231,7 @@
 
     def _again(self, workload: Workload, answer: Answer) -> bool:
         """What a client may try again without harm."""
-        return isinstance(answer, Rejected) or workload.effect is Effect.IDEMPOTENT
+        return isinstance(answer, Rejected) or workload.effect is Idempotency.IDEMPOTENT
 
     async def _try(
         self,
@@ -270,7 +270,7 @@
         append = stream.verb == "append"
         # An append carries one stamp, so that its effects can be counted from the bytes that nodes hold.
         body = content(op, STAMP if append else max(STAMP, length))
-        token = op.encode() if workload.effect is Effect.TOKENED else b""
+        token = op.encode() if workload.effect is Idempotency.TOKENED else b""
         return await client.write(
             stream.workload,
             volume,
--- a/cherrygrade/lab/rig/run.py
+++ b/cherrygrade/lab/rig/run.py
@@ -16,7 +16,7 @@
 
 import psutil
 
-from cherrygrade.fleet.carriers.disk import found
+from cherrygrade.fleet.runtime.voter_store import found
 from cherrygrade.lab.rig.scenario import Scenario, Trouble, read_scenario, write_site
 from cherrygrade.standin.control import Controller
 from cherrygrade.standin.record import Record
--- a/cherrygrade/lab/rig/scenario.py
+++ b/cherrygrade/lab/rig/scenario.py
@@ -10,7 +10,7 @@
 from zlib import crc32
 
 from cherrygrade.records.load import convert, plain, read_site, read_vertex
-from cherrygrade.site import Site
+from cherrygrade.settings import SiteSettings
 from cherrygrade.standin.node import Build
 
 
@@ -130,7 +130,7 @@
     return path
 
 
-def site_of(folder: Path) -> Site:
+def site_of(folder: Path) -> SiteSettings:
     """The settings that the first dispatcher of a day ran with."""
     return read_site(folder / "dispatcher-0.1.rec")
 
--- a/cherrygrade/lab/scale/follow.py
+++ b/cherrygrade/lab/scale/follow.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from cherrygrade.fleet.carriers.agent import FleetAgent
-from cherrygrade.fleet.config.replica import Does, Gave, Replica
-from cherrygrade.fleet.config.versions import Version
+from cherrygrade.fleet.config.replica import ConfigReplica, FetchResponse, ReplicaEffects
+from cherrygrade.fleet.config.versions import ConfigVersion
+from cherrygrade.fleet.runtime.fleet_agent import FleetAgent
 from cherrygrade.lab.scale.rows import Row
 
 TAKES_ANY, GOES_BACK = "takes content without a digest", "goes back"
@@ -23,10 +23,10 @@
         self.rows: list[Row] = []
         self._last: dict[int, tuple[int, int, str]] = {}
 
-    def taker(self, member: int, life: int) -> Callable[[Version, int], str]:
+    def taker(self, member: int, life: int) -> Callable[[ConfigVersion, int], str]:
         """A hollow member's `in_force`: it has nothing to put anything into, and refuses none."""
 
-        def in_force(version: Version, stage: int) -> str:
+        def in_force(version: ConfigVersion, stage: int) -> str:
             self._note(member, life, stage, f"{version.mark:016x}")
             return ""
 
@@ -68,13 +68,13 @@
     }
 
 
-def _takes_any(replica: Replica) -> None:
+def _takes_any(replica: ConfigReplica) -> None:
     """What came is taken as it is, and not as its digest says: here it came with another text."""
 
-    def fetched(by: str, gave: Gave, now: float) -> Does:
+    def fetched(by: str, gave: FetchResponse, now: float) -> ReplicaEffects:
         replica._out = None
         if gave.content is None:
-            return Does()
+            return ReplicaEffects()
         version = msgspec.structs.replace(gave.content.version, text="// torn on its way\n")
         replica._hold(version)
         return replica._into(version, 2 * version.number + 1)
@@ -82,16 +82,16 @@
     replica.fetched = fetched  # type: ignore[method-assign]
 
 
-def _goes_back(replica: Replica) -> None:
+def _goes_back(replica: ConfigReplica) -> None:
     """Its second version is in force once; then it is on its first one again, and stays there."""
-    forced, were = replica.forced, list[tuple[Version | None, int]]()
+    forced, were = replica.forced, list[tuple[ConfigVersion | None, int]]()
 
-    def goes(stage: int, why: str, now: float) -> Does:
+    def goes(stage: int, why: str, now: float) -> ReplicaEffects:
         does = forced(stage, why, now)
         were.append((replica.version, replica.stage))
         if len(were) == 2:
             replica.version, replica.stage = were[0]
-            replica._forcing = (were[1][0] or Version(0, b"", "", "", 0.0), NEVER_STAGE)
+            replica._forcing = (were[1][0] or ConfigVersion(0, b"", "", "", 0.0), NEVER_STAGE)
         return does
 
     replica.forced = goes  # type: ignore[method-assign]
--- a/cherrygrade/lab/scale/holdback.py
+++ b/cherrygrade/lab/scale/holdback.py
@@ -14,7 +14,7 @@
 from time import perf_counter
 from typing import Any, BinaryIO
 
-from cherrygrade.fleet.members.pages import letter
+from cherrygrade.fleet.membership.messages import letter
 from cherrygrade.lab.scale.plan import Ways, number_of
 from cherrygrade.lab.scale.watch import Watch
 from cherrygrade.standin.ways import ENTRY
--- a/cherrygrade/lab/scale/host.py
+++ b/cherrygrade/lab/scale/host.py
@@ -18,19 +18,19 @@
 import msgspec
 import psutil
 
-from cherrygrade.fleet.carriers.agent import FleetAgent
-from cherrygrade.fleet.members.roll import Claim, Facts, Standing
+from cherrygrade.fleet.membership.table import MemberInfo, MemberRecord, MemberState
+from cherrygrade.fleet.runtime.fleet_agent import FleetAgent
 from cherrygrade.lab.scale.follow import Follow
 from cherrygrade.lab.scale.follow import state as followed
 from cherrygrade.lab.scale.holdback import COUNTS, Between, HeldLoop
 from cherrygrade.lab.scale.plan import Scale, Ways, address_of, seats
-from cherrygrade.site import Council, Fleet, Origin
+from cherrygrade.settings import CouncilSettings, FleetSettings, StartReference
 
 TICK_S = 0.02  # of what tells how late the event loop is
 FLEET = "lab"
 VERSION, SETTINGS = "scale", "scale"
 
-_claims = msgspec.msgpack.Decoder(list[Claim])
+_claims = msgspec.msgpack.Decoder(list[MemberRecord])
 
 
 class Told(msgspec.Struct):
@@ -48,15 +48,15 @@
     breaks: str = ""
 
 
-def fleet_of(scale: Scale, number: int, zone: int, port: int, receiver: str) -> Fleet:
+def fleet_of(scale: Scale, number: int, zone: int, port: int, receiver: str) -> FleetSettings:
     """As the settings file of a real dispatcher would have it."""
     contacts = [f"{address_of(at)}:{port}" for at in contacts_of(scale)]
     council = None
     if scale.voters:
         names = [f"d{voter}" for voter in range(scale.voters)]
         drills = [f"drill/{task}" for task in range(scale.drills)]
-        council = Council(names, "", scale.lease_ms, 0.005, drills, receiver)
-    return Fleet(FLEET, f"{address_of(number)}:{port}", "", contacts, f"z{zone}", council=council)
+        council = CouncilSettings(names, "", scale.lease_ms, 0.005, drills, receiver)
+    return FleetSettings(FLEET, f"{address_of(number)}:{port}", "", contacts, f"z{zone}", council=council)
 
 
 def contacts_of(scale: Scale) -> list[int]:
@@ -114,7 +114,7 @@
             number,
             scale.dispatchers,
             scale.seed * 10007 + number * 10 + life,
-            Origin(birth, VERSION, SETTINGS),
+            StartReference(birth, VERSION, SETTINGS),
             self.now,
             lambda peer, word: None,
             lambda event, **facts: None,
@@ -127,8 +127,8 @@
         scale, found = self.scale, []
         for number in range(scale.real, scale.dispatchers):
             place = f"{address_of(number)}:{self.told.port}"
-            facts = Facts(place, f"z{self.zones[number]}", VERSION, SETTINGS, number)
-            found.append(Claim(f"d{number}", self.told.born + number, 0, Standing.ALIVE, facts))
+            facts = MemberInfo(place, f"z{self.zones[number]}", VERSION, SETTINGS, number)
+            found.append(MemberRecord(f"d{number}", self.told.born + number, 0, MemberState.ALIVE, facts))
         return msgspec.msgpack.encode(found)
 
     async def start(self) -> None:
--- a/cherrygrade/lab/scale/putting.py
+++ b/cherrygrade/lab/scale/putting.py
@@ -9,10 +9,10 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from cherrygrade.fleet.carriers.ask import ask
-from cherrygrade.fleet.carriers.operator import Put as AskedPut
-from cherrygrade.fleet.carriers.operator import Show, fresh_id, visit
-from cherrygrade.fleet.errors import ConfigRefused, ConfigUnreached
+from cherrygrade.fleet.errors import ConfigRefusedError, ConfigUnreachableError
+from cherrygrade.fleet.runtime.operator_commands import PutRequest as AskedPut
+from cherrygrade.fleet.runtime.operator_commands import ShowRequest, fresh_id, visit
+from cherrygrade.fleet.runtime.status_query import ask
 from cherrygrade.lab.scale import changes
 from cherrygrade.lab.scale.changes import Gap, Put, Story
 from cherrygrade.lab.scale.plan import Scale, Step, address_of, seats
@@ -66,7 +66,7 @@
                 told = await visit(self._at(turn), request, PATIENCE_S)
                 found = Put(part, begun, run.now(), int(told["number"]), str(told["mark"]), but)
                 self.story.agreed[found.number] = found.mark
-            except (ConfigRefused, ConfigUnreached) as trouble:
+            except (ConfigRefusedError, ConfigUnreachableError) as trouble:
                 run.told(f"put: {trouble.what}")
                 turn += 1
                 await asyncio.sleep(AGAIN_S)
@@ -115,8 +115,8 @@
     async def agreed(self) -> None:
         """Versions as the council has them."""
         try:
-            shown = await visit(self._at(0), Show(), PATIENCE_S)
-        except ConfigUnreached:
+            shown = await visit(self._at(0), ShowRequest(), PATIENCE_S)
+        except ConfigUnreachableError:
             return
         for line in shown["lines"]:
             self.story.agreed.setdefault(line["number"], line["digest"][:16])
--- a/cherrygrade/lab/scale/run.py
+++ b/cherrygrade/lab/scale/run.py
@@ -22,8 +22,8 @@
 import msgspec
 import psutil
 
-from cherrygrade.fleet.carriers.ask import ask
-from cherrygrade.fleet.carriers.disk import found
+from cherrygrade.fleet.runtime.status_query import ask
+from cherrygrade.fleet.runtime.voter_store import found
 from cherrygrade.lab.rig.run import empty, free_places
 from cherrygrade.lab.scale import changes, judge, report, sums
 from cherrygrade.lab.scale.errors import HostEnded, NotWhole
--- a/cherrygrade/lab/virtual/virtual_fleet.py
+++ b/cherrygrade/lab/virtual/virtual_fleet.py
@@ -5,9 +5,9 @@
 import asyncio
 from typing import Any
 
-from cherrygrade.fleet.carriers.agent import FleetAgent
-from cherrygrade.fleet.members.roll import Standing
-from cherrygrade.site import Fleet, Origin
+from cherrygrade.fleet.membership.table import MemberState
+from cherrygrade.fleet.runtime.fleet_agent import FleetAgent
+from cherrygrade.settings import FleetSettings, StartReference
 from cherrygrade.virtual.datagrams import Rain
 from cherrygrade.virtual.guard import guarded
 from cherrygrade.virtual.loop import Process, VirtualLoop
@@ -36,12 +36,14 @@
         async def begin() -> None:
             loop = asyncio.get_running_loop()
             agent = FleetAgent(
-                Fleet("virtual_fleet", place, contacts=contacts, zone=f"z{number % 3}", keep_ms=self.keep_ms),
+                FleetSettings(
+                    "virtual_fleet", place, contacts=contacts, zone=f"z{number % 3}", keep_ms=self.keep_ms
+                ),
                 name or f"d{number}",
                 number if seat is None else seat,
                 self.count,
                 self.seed * 1000 + number,
-                Origin(1_700_000_000_000 + self.births, "1", "s"),
+                StartReference(1_700_000_000_000 + self.births, "1", "s"),
                 lambda: loop.time() * 1000.0,
                 lambda peer, word: self.words.append((number, peer, word)),
                 lambda event, **facts: None,
@@ -80,7 +82,7 @@
         whole = all(len(core.roll.living()) == len(self.agents) for core in cores)
         return whole and len({core.roll.digest for core in cores}) == 1
 
-    def called(self, name: str, standing: Standing, birth: int | None = None) -> set[int]:
+    def called(self, name: str, standing: MemberState, birth: int | None = None) -> set[int]:
         """Who holds it for that."""
         found = set()
         for number, core in self.cores().items():
--- a/cherrygrade/peers/rooms.py
+++ b/cherrygrade/peers/rooms.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from cherrygrade.interface import Earnings, Workload
 from cherrygrade.peers.ladder import Step
 from cherrygrade.peers.store import Account, Claim, Purse, Share, State, Store, waits
-from cherrygrade.site import Pace, Trade
+from cherrygrade.scheduling.model import UtilityModel, Workload
+from cherrygrade.settings import FlowControlSettings, TrafficSettings
 
 PURSE = 65536  # of one client's small pressed bodies; a body over an eighth of it is not small
 
@@ -32,10 +32,10 @@
 
     def __init__(
         self,
-        trade: Trade,
-        earnings: Earnings,
+        trade: TrafficSettings,
+        earnings: UtilityModel,
         presses: Callable[[Workload], bool],
-        pace: Pace,
+        pace: FlowControlSettings,
         most_body: int,
         log: Callable[..., None],
     ) -> None:
@@ -52,8 +52,8 @@
 
     def put(
         self,
-        trade: Trade,
-        earnings: Earnings,
+        trade: TrafficSettings,
+        earnings: UtilityModel,
         presses: Callable[[Workload], bool],
         workloads: set[str],
         volumes: set[str],
--- a/cherrygrade/peers/watch.py
+++ b/cherrygrade/peers/watch.py
@@ -21,7 +21,7 @@
 from cherrygrade.peers.rate import Rate
 from cherrygrade.peers.rooms import Rooms
 from cherrygrade.peers.store import Account
-from cherrygrade.site import Pace
+from cherrygrade.settings import FlowControlSettings
 from cherrygrade.transport.connection import Connection
 
 LOOK_MS, PARTS, EACH = 100.0, 8, 16  # at most so many parts, of so many connections where there are few
@@ -54,7 +54,9 @@
 class Watched:
     """One connection's record; goes with it. `client`: whose it is, where it is a client's."""
 
-    def __init__(self, pace: Pace, grace_ms: float, one: Line, client: Client | None, now: float) -> None:
+    def __init__(
+        self, pace: FlowControlSettings, grace_ms: float, one: Line, client: Client | None, now: float
+    ) -> None:
         self.rate, self.ladder = Rate(pace.short_ms, pace.long_ms), Ladder(grace_ms)
         self.client, self.conn, self.moved, self.seen = client, one.conn, one.conn.moved, now
         self.least = self.occupied = 0.0  # what is asked of it; bytes that waited for it, in the mean
@@ -69,7 +71,7 @@
 
     def __init__(
         self,
-        pace: Pace,
+        pace: FlowControlSettings,
         rooms: Rooms,
         sessions: Callable[[], Iterable[Client]],
         lines: Callable[[], Iterable[Line]],
--- a/cherrygrade/platform/clients.py
+++ b/cherrygrade/platform/clients.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from cherrygrade.held import Held
 from cherrygrade.http.reader import Fault, Message, Reader, Room, closes, connection_options
 from cherrygrade.http.writer import GO_ON, answer
-from cherrygrade.interface import Plan, Workload
+from cherrygrade.inflight import InflightRequest
+from cherrygrade.scheduling.model import ServicePlan, Workload
 
 MOST_KEPT = 16 * 1024  # read ahead of an open RPC, so that a close behind it is noticed
 PIECE_MS = 20.0  # what is read ahead within this counts as come with the first of it
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class PendingRequest(Held):
+class PendingRequest(InflightRequest):
     """A client's RPC, with what of its message passes on."""
 
     client: ClientConnection | None = None
@@ -54,7 +54,11 @@
 
 
 def read_rpc(
-    message: Message, workloads: dict[str, Workload], plans: dict[str, Plan], now: float, margin_ms: float
+    message: Message,
+    workloads: dict[str, Workload],
+    plans: dict[str, ServicePlan],
+    now: float,
+    margin_ms: float,
 ) -> PendingRequest:
     """The RPC that a client's message holds; Fault where it holds none. `now`: when its last byte came."""
     fields = message.fields
--- a/cherrygrade/platform/config.py
+++ b/cherrygrade/platform/config.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-from cherrygrade.door import Nodes
 from cherrygrade.platform.listing import Listing, place
-from cherrygrade.policy import Dispatcher
-from cherrygrade.start import StartPairs
+from cherrygrade.scheduling.round_inputs import NodeTable
+from cherrygrade.scheduling.scheduler import Scheduler
+from cherrygrade.scheduling.start_settings import StartSettings
 
 
 class ConfigError(Exception):
@@ -27,7 +27,7 @@
     sockets: int
     memory_mb: int
     known: dict[str, Any]
-    pairs: StartPairs
+    pairs: StartSettings
 
 
 def _seen(value: Any) -> str:
@@ -76,18 +76,18 @@
     for key, value, least in (("sockets", sockets, 64), ("memory_mb", memory_mb, 24)):
         if not isinstance(value, int) or isinstance(value, bool) or value < least:
             raise ConfigError(f"limits.{key}: a whole number from {least} on wanted, not {_seen(value)}")
-    pairs = StartPairs.nested(table("settings", told))
+    pairs = StartSettings.nested(table("settings", told))
     try:
         if not pairs.workloads():
             raise ConfigError("settings.classes: a list of one class or more wanted, not []")
         if not pairs.plans():
             raise ConfigError("settings.grades: a list of one plan or more wanted, not []")
-        pairs.dispatcher(Dispatcher, number)
+        pairs.dispatcher(Scheduler, number)
     except ValueError as trouble:
         raise ConfigError(f"settings.{trouble}") from None
     known = table("known", told, {"seq": -1, "whole": True, "hosts": []})
     try:
-        Listing(Nodes(), float).hear(known)
+        Listing(NodeTable(), float).hear(known)
     except ValueError as trouble:
         raise ConfigError(f"known: {trouble}") from None
     return Config(
--- a/cherrygrade/platform/discovery.py
+++ b/cherrygrade/platform/discovery.py
@@ -15,9 +15,9 @@
 
 from cherrygrade.gateway.backoff import Backoff
 from cherrygrade.http.writer import ask
-from cherrygrade.interface import Node
 from cherrygrade.platform.listing import Listing, place
 from cherrygrade.platform.watching import AGAIN_MS, Objects, Silence
+from cherrygrade.scheduling.model import Node
 
 BUFFER = 64 * 1024
 
--- a/cherrygrade/platform/listing.py
+++ b/cherrygrade/platform/listing.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from cherrygrade.door import Nodes
-from cherrygrade.interface import Node, Standing
+from cherrygrade.scheduling.model import Node, NodeState
+from cherrygrade.scheduling.round_inputs import NodeTable
 
-STANDINGS = {"in_service": Standing.LIVE, "terminating": Standing.DRAINING, "terminated": Standing.GONE}
+STANDINGS = {"in_service": NodeState.LIVE, "terminating": NodeState.DRAINING, "terminated": NodeState.GONE}
 
 
 def place(text: str) -> tuple[str, int]:
@@ -26,7 +26,7 @@
 class Listing:
     """Nodes by `host`, and the `dial` of each; a node that is gone leaves both tables with `forget`."""
 
-    def __init__(self, nodes: Nodes, clock_of: Callable[[float], float]) -> None:
+    def __init__(self, nodes: NodeTable, clock_of: Callable[[float], float]) -> None:
         self.nodes, self.version = nodes, -1
         self.dials: dict[Node, tuple[str, int]] = {}
         self._clock_of = clock_of
@@ -49,7 +49,7 @@
         for host, dial, zone, kind, shard, standing, size, born in entries:
             node = self.nodes.by_address.get(host)
             if node is None:
-                if standing is Standing.GONE:
+                if standing is NodeState.GONE:
                     continue  # never heard of, and gone
                 node = self.nodes.node(host)
             node.zone, node.kind, node.shard, node.size, node.standing = zone, kind, shard, size, standing
@@ -65,7 +65,7 @@
         self.dials.pop(node, None)
 
 
-def _entry(one: Any) -> tuple[str, tuple[str, int], str, str, int, Standing, float, float]:
+def _entry(one: Any) -> tuple[str, tuple[str, int], str, str, int, NodeState, float, float]:
     if not isinstance(one, dict):
         raise ValueError("an entry that is no object")
     host, dial, shard = one.get("host"), one.get("dial"), one.get("block", -1)
--- a/cherrygrade/platform/nodes.py
+++ b/cherrygrade/platform/nodes.py
@@ -16,11 +16,11 @@
 
 from cherrygrade.gateway.rounds import Rounds
 from cherrygrade.gateway.wheel import Wheel
-from cherrygrade.held import Out
 from cherrygrade.http.reader import Framing, Message, Reader, Room, closes
 from cherrygrade.http.writer import ask
-from cherrygrade.interface import Node, Outcome, Standing
+from cherrygrade.inflight import InflightAttempt
 from cherrygrade.platform.clients import PendingRequest
+from cherrygrade.scheduling.model import Node, NodeState, Outcome
 
 NUMBER = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
 NAME = re.compile(rb"[a-z_0-9]{1,32}")
@@ -37,7 +37,7 @@
 
     def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
-        self.out: Out | None = None
+        self.out: InflightAttempt | None = None
         self.ready = self.late = self.ended = False
         """`late`: raced by another since it was not up in time, and not counted as being made."""
         self.begun_ms = pool.rounds.clock()
@@ -75,7 +75,7 @@
             self.drop()
             self.pool.spoilt(out)
 
-    def _take_answer(self, out: Out) -> None:
+    def _take_answer(self, out: InflightAttempt) -> None:
         reader = self._reader
         message = reader.found[0]
         more = len(reader.found) > 1 or reader.within or reader.fault is not None
@@ -120,7 +120,7 @@
         look.register(self._sock.fileno(), select.POLLIN)
         return not look.poll(0)
 
-    def begin(self, out: Out, data: bytes) -> None:
+    def begin(self, out: InflightAttempt, data: bytes) -> None:
         assert self._transport is not None
         self.out, out.exchange = out, self
         self.whole = True
@@ -167,7 +167,7 @@
         node: Node,
         dial: Callable[[Node], tuple[str, int]],
         rounds: Rounds,
-        wheel: Wheel[Out],
+        wheel: Wheel[InflightAttempt],
         sockets: Sockets,
         buffer: memoryview,
         connect_ms: float,
@@ -176,7 +176,7 @@
         self.node, self.rounds, self.wheel, self.sockets, self.buffer = node, rounds, wheel, sockets, buffer
         self.connect_ms, self.idle_ms = connect_ms, idle_ms
         self._dial = dial
-        self.waiting: deque[Out] = deque()
+        self.waiting: deque[InflightAttempt] = deque()
         self.connections: dict[NodeConnection, None] = {}
         self.free: list[NodeConnection] = []  # the one used last stands last
         self.making = self.made = 0
@@ -186,7 +186,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._rest: asyncio.TimerHandle | None = None
 
-    def carry(self, out: Out) -> None:
+    def carry(self, out: InflightAttempt) -> None:
         self.waiting.append(out)
         self.pump()
 
@@ -233,18 +233,18 @@
         self._rest = None
         self.pump()
 
-    def _may_begin(self, out: Out) -> bool:
+    def _may_begin(self, out: InflightAttempt) -> bool:
         """Looked at as the bytes leave: since it was decided its client may have gone, its node been told to
         drain, its time or the window for repeats been over."""
         pending, now = out.rpc, self.rounds.clock_now()
         assert isinstance(pending, PendingRequest)
-        if pending.over or now >= out.until_ms or self.node.standing is not Standing.LIVE:
+        if pending.over or now >= out.until_ms or self.node.standing is not NodeState.LIVE:
             return False
         if pending.client is None or pending.client.look_gone():
             return False
         return self.rounds.module.gate.repeatable(pending, self.node, now, out)
 
-    def _begin(self, connection: NodeConnection, out: Out) -> None:
+    def _begin(self, connection: NodeConnection, out: InflightAttempt) -> None:
         pending = out.rpc
         assert isinstance(pending, PendingRequest)
         assert pending.workload is not None and pending.plan is not None
@@ -329,7 +329,7 @@
         if self.waiting:  # not from within the loop that lets go
             asyncio.get_running_loop().call_soon(self.pump)
 
-    def answered(self, connection: NodeConnection, out: Out, message: Message) -> None:
+    def answered(self, connection: NodeConnection, out: InflightAttempt, message: Message) -> None:
         self._lives()
         fields = message.fields
         if message.status == 200 and message.framing is not Framing.NONE:
@@ -343,7 +343,7 @@
         if not connection.ended:
             self._give(connection, self.rounds.clock())
 
-    def _report(self, out: Out, fields: dict[bytes, bytes]) -> None:
+    def _report(self, out: InflightAttempt, fields: dict[bytes, bytes]) -> None:
         """What cannot be read tells nothing."""
         meter, delta = fields.get(b"x-meter", b""), fields.get(b"x-delta", b"")
         if NUMBER.fullmatch(meter):
@@ -357,16 +357,16 @@
                 if NAME.fullmatch(name) and NUMBER.fullmatch(value):
                     out.load[name.decode()] = float(value)
 
-    def spoilt(self, out: Out) -> None:
+    def spoilt(self, out: InflightAttempt) -> None:
         """It has run, and its answer is of no use."""
         self.ended(out, Outcome.ERRORED)
 
-    def ended(self, out: Out, outcome: Outcome, body: bytes | None = None) -> None:
+    def ended(self, out: InflightAttempt, outcome: Outcome, body: bytes | None = None) -> None:
         self.wheel.drop(out, out.slot)
         out.exchange = None
         self.rounds.outcome(out, outcome, memoryview(body) if body is not None else None)
 
-    def give_up(self, out: Out, outcome: Outcome) -> None:
+    def give_up(self, out: InflightAttempt, outcome: Outcome) -> None:
         """No answer is waited for any more: its connection closes before anything else is written."""
         if out.outcome is not None:
             return
@@ -380,14 +380,14 @@
         connection.drop()
         self.ended(out, outcome)
 
-    def client_left(self, out: Out) -> None:
+    def client_left(self, out: InflightAttempt) -> None:
         """Nobody waits for the answer: what is not whole with the system stays here."""
         if out.exchange is None or not out.exchange.whole:
             self.give_up(out, Outcome.CANCELLED)
 
     def standing_heard(self) -> None:
         """The list spoke of the node: where nothing new may go to it, what has not left stays here."""
-        if self.node.standing is not Standing.LIVE:
+        if self.node.standing is not NodeState.LIVE:
             kept, self.waiting = self.waiting, deque()
             for out in kept:
                 self.ended(out, Outcome.UNSENT)
@@ -398,7 +398,7 @@
         return not self.waiting and all(connection.out is None for connection in self.connections)
 
     def close_idle(self, now: float) -> None:
-        gone = self.node.standing is Standing.GONE
+        gone = self.node.standing is NodeState.GONE
         for connection in [one for one in self.free if gone or now - one.quiet_from >= self.idle_ms]:
             connection.drop()
 
