--- a/cherrygrade/platform/process.py
+++ b/cherrygrade/platform/process.py
@@ -11,13 +11,11 @@
 from collections.abc import Callable, Mapping
 
 from cherrygrade.compiled import dispatcher
-from cherrygrade.door import Nodes
 from cherrygrade.gateway.life import LEFT_BROKEN, LEFT_BY_FORCE, LEFT_CLEAN, Alarm, module_broke, serve
 from cherrygrade.gateway.rounds import Rounds
 from cherrygrade.gateway.wheel import Wheel
-from cherrygrade.held import Held, Out
 from cherrygrade.http.reader import Fault, Message, Room
-from cherrygrade.interface import Node, Outcome, Standing
+from cherrygrade.inflight import InflightAttempt, InflightRequest
 from cherrygrade.logs import plain_log
 from cherrygrade.peers.arrivals import Arrivals
 from cherrygrade.platform.clients import ClientConnection, PendingRequest, read_rpc
@@ -26,7 +24,9 @@
 from cherrygrade.platform.listing import Listing
 from cherrygrade.platform.nodes import ConnectionPool, Sockets
 from cherrygrade.platform.watching import BLIND_MS, READY_MS
-from cherrygrade.policy import Dispatcher
+from cherrygrade.scheduling.model import Node, NodeState, Outcome
+from cherrygrade.scheduling.round_inputs import NodeTable
+from cherrygrade.scheduling.scheduler import Scheduler
 from cherrygrade.transport.listening import listen
 
 ANSWER_MS, GRAIN_MS = 4.0, 1.0  # kept back from each client's time for the answer; how late a time-out may be
@@ -52,7 +52,7 @@
         self,
         config: Config,
         log: Callable[..., None],
-        make: Callable[..., Dispatcher],
+        make: Callable[..., Scheduler],
         env: Mapping[str, str] = os.environ,
     ) -> None:
         self.config, self.log, self.env = config, log, env
@@ -74,8 +74,8 @@
         self.lingering: dict[ClientConnection, None] = {}  # ended by us, by when; until its end
         self.open: dict[bytes, PendingRequest] = {}  # by call id; emptied by final answers and leavings
         self.pools: dict[Node, ConnectionPool] = {}
-        self.nodes = Nodes()
-        self.wheel: Wheel[Out] = Wheel(GRAIN_MS)
+        self.nodes = NodeTable()
+        self.wheel: Wheel[InflightAttempt] = Wheel(GRAIN_MS)
         self.done: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         spare = config.sockets - OWN_SOCKETS
         self.most_lingering = max(4, spare // 16)
@@ -264,7 +264,7 @@
         for pool in [*self.pools.values()]:
             pool.close_idle(now)
         for node in [*self.listing.dials]:
-            if node.standing is Standing.GONE:
+            if node.standing is NodeState.GONE:
                 self._forget(node)
         self._timers["sweep"] = asyncio.get_running_loop().call_later(SWEEP_S, self._sweep)
 
@@ -382,7 +382,7 @@
         for out in self.wheel.due(now):
             self.pools[out.node].give_up(out, Outcome.TIMED_OUT)
 
-    def carry(self, out: Out, limit_ms: float) -> None:
+    def carry(self, out: InflightAttempt, limit_ms: float) -> None:
         node = out.node
         pool = self.pools.get(node)
         if pool is None:
@@ -401,21 +401,21 @@
         pool.carry(out)
         self._alarm.set()
 
-    def withdraw(self, out: Out) -> None:
+    def withdraw(self, out: InflightAttempt) -> None:
         pool = self.pools.get(out.node)
         if pool is not None:
             pool.give_up(out, Outcome.CANCELLED)
 
-    def answer_ok(self, held: Held, out: Out) -> None:
+    def answer_ok(self, held: InflightRequest, out: InflightAttempt) -> None:
         assert isinstance(held, PendingRequest)
         self._final(held, 200, bytes(held.body or b""))
 
-    def answer_rejected(self, held: Held, come_back_ms: float) -> None:
+    def answer_rejected(self, held: InflightRequest, come_back_ms: float) -> None:
         assert isinstance(held, PendingRequest)
         fields = b"Retry-After: %.3f\r\n" % (come_back_ms / 1000.0) if come_back_ms > 0.0 else b""
         self._final(held, 503, fields=fields)
 
-    def answer_errored(self, held: Held) -> None:
+    def answer_errored(self, held: InflightRequest) -> None:
         assert isinstance(held, PendingRequest)
         self._final(held, 502)
 
--- a/cherrygrade/records/load.py
+++ b/cherrygrade/records/load.py
@@ -12,19 +12,19 @@
 
 from cherrygrade.records.grammar import Field, RecordSyntaxError, Tree, parse
 from cherrygrade.records.lattice import Vertex, unify
-from cherrygrade.site import (
-    Bearings,
-    Bounds,
-    Cuts,
-    Fleet,
-    Lines,
-    Measure,
-    Pace,
-    Place,
-    Site,
-    Trade,
-    Volume,
-    Ways,
+from cherrygrade.settings import (
+    DispatcherIdentity,
+    ExtentSettings,
+    FleetSettings,
+    FlowControlSettings,
+    GossipSettings,
+    LimitSettings,
+    NodeConnectionSettings,
+    SchedulingSettings,
+    SiteSettings,
+    TrafficSettings,
+    UnitSettings,
+    VolumeSettings,
 )
 
 T = TypeVar("T")
@@ -124,30 +124,30 @@
 
 
 class _SiteRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    place: Place
+    place: DispatcherIdentity
     workloads: dict[str, Any]
     plans: dict[str, Any]
-    volumes: dict[str, Volume]
-    measure: Measure
+    volumes: dict[str, VolumeSettings]
+    measure: UnitSettings
     earnings: Any
     cold: Any
     permits: Any
     key_rest_ms: float
-    bounds: Bounds
-    lines: Lines
-    extents: Cuts
-    peers: Pace
-    words: Ways
+    bounds: LimitSettings
+    lines: NodeConnectionSettings
+    extents: ExtentSettings
+    peers: FlowControlSettings
+    words: GossipSettings
     budget: Any = None
-    fleet: Fleet | None = None
+    fleet: FleetSettings | None = None
 
 
-def site_from(value: dict[str, Any], where: Callable[[str], str] = lambda key: "") -> Site:
+def site_from(value: dict[str, Any], where: Callable[[str], str] = lambda key: "") -> SiteSettings:
     """The parts of a site from a checked record; `where` tells a key's place for what is wrong."""
     record = convert({"workloads": {}, "plans": {}, "volumes": {}, **value}, _SiteRecord)
     given = {name: value[name] for name in ("earnings", "cold", "budget", "permits") if name in value}
     trade = convert(
-        {"workloads": record.workloads, "volumes": record.volumes, "measure": record.measure}, Trade
+        {"workloads": record.workloads, "volumes": record.volumes, "measure": record.measure}, TrafficSettings
     )
     cuts = record.extents
     given["permits"] = {
@@ -157,8 +157,8 @@
         "unit_length": record.measure.bytes_per_unit,
         "least_units": record.measure.least_units,
     }
-    bearings = convert({**given, "key_rest_ms": record.key_rest_ms}, Bearings)
-    site = Site(
+    bearings = convert({**given, "key_rest_ms": record.key_rest_ms}, SchedulingSettings)
+    site = SiteSettings(
         record.place,
         trade,
         bearings,
@@ -174,12 +174,12 @@
     return site
 
 
-def read_site(path: Path, extra: str = "") -> Site:
+def read_site(path: Path, extra: str = "") -> SiteSettings:
     """A dispatcher's settings. Raises RecordError with every error at once."""
     return site_of(read_vertex(path, "site.rec", extra))
 
 
-def site_of(vertex: Vertex) -> Site:
+def site_of(vertex: Vertex) -> SiteSettings:
     """Settings from texts that were laid over each other. Raises RecordError with every error at once."""
 
     def where(key: str) -> str:
--- a/cherrygrade/door.py
+++ b/cherrygrade/scheduling/round_inputs.py
@@ -7,25 +7,25 @@
 
 from collections.abc import Iterable
 
-from cherrygrade.interface import Node, Rpc, Send, Standing, Writer
-from cherrygrade.policy import Dispatcher
+from cherrygrade.scheduling.model import Attempt, DecisionSink, Node, NodeState, Request
+from cherrygrade.scheduling.scheduler import Scheduler
 
 
-class Inbox:
+class RoundInputs:
     """All that came in since the last round; emptied by the round."""
 
     def __init__(self) -> None:
         self.clear()
 
     def clear(self) -> None:
-        self.taken: list[Rpc] = []
-        self.answers: list[Send] = []
-        self.left: list[Rpc] = []
+        self.taken: list[Request] = []
+        self.answers: list[Attempt] = []
+        self.left: list[Request] = []
         self.heard: list[Node] = []
         self.list_answered: bool | None = None
         self.words: list[tuple[int, bytes]] = []
 
-    def decide(self, dispatcher: Dispatcher, now: float, writer: Writer) -> None:
+    def decide(self, dispatcher: Scheduler, now: float, writer: DecisionSink) -> None:
         """One round of the module with all that came in."""
         dispatcher.decide(
             now,
@@ -40,7 +40,7 @@
         self.clear()
 
 
-class Nodes:
+class NodeTable:
     """Node objects by address; one a machine, as long as the host lives or until it forgets a gone one."""
 
     def __init__(self) -> None:
@@ -67,7 +67,7 @@
             return heard
         for address in sorted(self._listed - addresses):
             node = self.by_address[address]
-            node.standing = Standing.GONE
+            node.standing = NodeState.GONE
             heard.append(node)
         self._listed = addresses
         return heard
--- a/cherrygrade/policy.py
+++ b/cherrygrade/scheduling/scheduler.py
@@ -1,5 +1,5 @@
-"""Every decision of a dispatcher. The host program calls `Dispatcher.decide` once a round with all that
-came in and a writer that takes the decisions; the types of both stand in `cherrygrade/interface.py`.
+"""Every decision of a dispatcher. The host program calls `Scheduler.decide` once a round with all that
+came in and a writer that takes the decisions; the types of both stand in `cherrygrade/scheduling/model.py`.
 
 The design is Cake's: a node's lane has a pressed and a batch queue; share picks, reserved slots keep room,
 a controller moves both by normalized p99 latency, and AIMD bounds what is out. Beside it stand:
@@ -21,9 +21,25 @@
 from struct import calcsize, iter_unpack, pack
 from zlib import crc32
 
-from cherrygrade.interface import ColdStart, Company, Earnings, Effect, Node, Outcome  # isort: split
-
-from cherrygrade.interface import Permits, Plan, ResendBudget, Rpc, Send, Standing, Workload, Writer
+from cherrygrade.scheduling.model import (  # isort: split
+    Idempotency,
+    Node,
+    Outcome,
+    PeerDirectory,
+    SlowStartSettings,
+    UtilityModel,
+)
+
+from cherrygrade.scheduling.model import (
+    Attempt,
+    DecisionSink,
+    NodeState,
+    Request,
+    RetryBudgetSettings,
+    ServicePlan,
+    SitePolicy,
+    Workload,
+)
 
 BEAT_MS, NEVER = 10.0, 1e15  # wakes are asked for on this grid, so that they never pile up
 FEW = 2  # open nodes that are compared for a new object; a large fleet is not ranked whole
@@ -42,10 +58,10 @@
     return workload.value * 2.0 > top and workload.soft_ms <= 2.0 * tight
 
 
-class Volume:
+class VolumeQuota:
     """What is due to a volume through this dispatcher. Dropped once idle (Dispatcher.list)."""
 
-    def __init__(self, plan: Plan, hosts: int, now: float, earnings: Earnings) -> None:
+    def __init__(self, plan: ServicePlan, hosts: int, now: float, earnings: UtilityModel) -> None:
         self.plan, self.hosts, self.seen = plan, hosts, now
         # Ours is all of the due, less what nodes tell of others' use; where they don't, an even part.
         self.part = 1.0 if earnings.tells_elsewhere else 1.0 / hosts
@@ -75,22 +91,22 @@
         return inside
 
 
-class Job:
+class QueuedRequest:
     """An RPC held here, from being taken until it is over and no send of it is out."""
 
-    def __init__(self, rpc: Rpc, volume: Volume, now: float, soft: float) -> None:
+    def __init__(self, rpc: Request, volume: VolumeQuota, now: float, soft: float) -> None:
         self.rpc, self.volume, self.taken, self.soft = rpc, volume, now, soft
         self.level, self.key, self.overdue = 1.0, 0.0, 0.0  # what its units earn; its place in a queue
-        self.queue: list[Job] | None = None
-        self.lane: Lane | None = None
-        self.near: dict[str, list[Job]] | None = None  # its lane's, while it waits there
+        self.queue: list[QueuedRequest] | None = None
+        self.lane: NodeQueue | None = None
+        self.near: dict[str, list[QueuedRequest]] | None = None  # its lane's, while it waits there
         self.pressed = self.lost = False
 
     @property
     def out(self) -> bool:
         return None in [send.outcome for send in self.rpc.sends]
 
-    def join(self, queue: list[Job] | None) -> None:
+    def join(self, queue: list[QueuedRequest] | None) -> None:
         """Leave the queue it stands in for this one, or for none."""
         if self.queue is not None:
             self.queue.remove(self)
@@ -108,21 +124,21 @@
             queue.append(self)
 
 
-class Lane:
+class NodeQueue:
     """One node as this dispatcher uses it: two queues, share, reserved slots, window and health."""
 
-    def __init__(self, node: Node, now: float, tight: float, begun: float, others: Lane | None) -> None:
+    def __init__(self, node: Node, now: float, tight: float, begun: float, others: NodeQueue | None) -> None:
         self.node, self.tight, self.others = node, tight, others or self
-        self.pressed: list[Job] = []
-        self.batch: list[Job] = []
-        self.near: dict[str, list[Job]] = {}  # what waits and may share a send; emptied as it goes
+        self.pressed: list[QueuedRequest] = []
+        self.batch: list[QueuedRequest] = []
+        self.near: dict[str, list[QueuedRequest]] = {}  # what waits and may share a send; emptied as it goes
         self.share, self.reserved, self.lead = 0.5, 0, 0.0
         self.window, self.filled, self.contended = START, False, False
         self.waits: list[float] = []  # waiting at the node over soft deadline; emptied each window step
         self.views: deque[tuple[float, float]] = deque(maxlen=512)  # latency over soft deadline
-        self.sends: dict[Send, Job] = {}  # out at the node; emptied by their outcomes
+        self.sends: dict[Attempt, QueuedRequest] = {}  # out at the node; emptied by their outcomes
         self.busy = self.batch_out = 0  # sends out that are not taken for lost; batch ones among them
-        self.last: Send | None = None  # the newest send, and whether it went beyond the window
+        self.last: Attempt | None = None  # the newest send, and whether it went beyond the window
         self.rode = False
         # A unit's work; waiting there; a unit's answer in the mean, and the least that was.
         self.unit_ms, self.queue_ms, self.answer_ms, self.quiet_ms = 0.0, 0.0, tight, tight
@@ -144,7 +160,7 @@
     def expected(self, units: float) -> float:
         return self.queue_ms + units * (self.unit_ms or self.others.unit_ms)
 
-    def sides(self) -> list[list[Job]]:
+    def sides(self) -> list[list[QueuedRequest]]:
         """The queues that may fill a slot, the one that share picks first."""
         free = self.slots() - self.busy
         if free <= 0 or not (self.pressed or self.batch):
@@ -162,18 +178,18 @@
             sides.remove(self.batch)
         return [side for side in sides if side]
 
-    def riders(self) -> list[Job]:
+    def riders(self) -> list[QueuedRequest]:
         """An RPC on the key sent last costs a node much less right behind it: one goes beyond the window."""
         key = self.last.rpc.key if self.last and not (self.last.outcome or self.rode or self.strikes) else ""
         return [job for job in [*self.pressed, *self.batch] if job.rpc.key == key] if key else []
 
-    def went(self, job: Job, send: Send) -> None:
+    def went(self, job: QueuedRequest, send: Attempt) -> None:
         self.last, self.sends[send] = send, job
         job.overdue = send.sent_ms + 1.5 * self.tight + self.expected(send.units or send.rpc.units)
         self.rode, job.lost = self.busy >= self.slots(), False
         self.busy, self.batch_out = self.busy + 1, self.batch_out + (not job.pressed)
 
-    def charge(self, job: Job) -> None:
+    def charge(self, job: QueuedRequest) -> None:
         share = self.share if job.pressed else self.share - 1.0
         self.lead += job.rpc.units / (max(share, 0.01) if job.pressed else min(share, -0.01))
         self.lead *= bool(self.pressed and self.batch)  # what nobody else waited for is owed to nobody
@@ -221,7 +237,7 @@
         if self.reserved >= int(self.window):  # a reserved slot that the window takes comes back as share
             self.reserved, self.share = int(self.window) - 1, 1.0
 
-    def free(self, job: Job) -> None:
+    def free(self, job: QueuedRequest) -> None:
         self.busy -= not job.lost
         self.batch_out -= not (job.lost or job.pressed)
         job.lost = True
@@ -242,7 +258,7 @@
         self.strikes, self.struck_at = self.strikes + 1, self.struck_at if self.strikes else now
         self.trial_at = now + min(patience * (2.0 ** min(self.strikes - 1, 6) - 1.0), 4000.0)
 
-    def answered(self, send: Send, now: float, patience: float) -> None:
+    def answered(self, send: Attempt, now: float, patience: float) -> None:
         job, silent = self.sends.pop(send), now - self.last_answer
         self.free(job)
         work = send.units or send.rpc.units
@@ -274,13 +290,12 @@
             self.waits.append(min(1.0, wait / soft))
             self.views.extend([(now, (send.sent_ms + send.took_ms - job.taken) / soft)] * job.pressed)
 
-
     def hear(self, now: float, wait: float, unit: float) -> None:
         """The keeper's word on the waiting here and a unit's work, pooled from all dispatchers."""
         self.queue_ms, self.told_at, self.unit_ms = wait, now, unit or self.unit_ms
 
 
-class Keeper:
+class LoadAggregator:
     """What all dispatchers together have out at one node. Dropped once nothing was heard for long."""
 
     def __init__(self, now: float, busy: float) -> None:
@@ -320,24 +335,32 @@
         return self.told_at == now
 
 
-class Gate:
+class Admission:
     """The seven rules. Every send passes `opens`, and every final rejection `may_reject`."""
 
-    def __init__(self, number: int, company: Company, part: float, cold: ColdStart,
-                 budget: ResendBudget | None, permits: Permits, key_rest_ms: float) -> None:
+    def __init__(
+        self,
+        number: int,
+        company: PeerDirectory,
+        part: float,
+        cold: SlowStartSettings,
+        budget: RetryBudgetSettings | None,
+        permits: SitePolicy,
+        key_rest_ms: float,
+    ) -> None:
         self.number, self.company, self.part, self.cold = number, company, part, cold
         self.budget, self.permits, self.key_rest_ms, self.begun = budget, permits, key_rest_ms, NEVER
         self.taken: deque[float] = deque()  # both drop what left the budget's span
         self.further: deque[float] = deque()
-        self.turns: dict[str, deque[Job]] = {}  # ordered RPCs by key; a key goes when none is left
+        self.turns: dict[str, deque[QueuedRequest]] = {}  # ordered RPCs by key; a key goes when none is left
         self.rests: dict[str, float] = {}  # dropped once over
 
-    def take(self, job: Job, now: float) -> None:
+    def take(self, job: QueuedRequest, now: float) -> None:
         self.taken.extend([now] * bool(self.budget))
         if job.rpc.workload.in_order and job.rpc.key:
             self.turns.setdefault(job.rpc.key, deque()).append(job)
 
-    def leave(self, job: Job) -> Sequence[Job]:
+    def leave(self, job: QueuedRequest) -> Sequence[QueuedRequest]:
         """The RPC is over and nothing of it is out: the next of its key, told here, may go."""
         turn = self.turns.get(job.rpc.key) or deque()
         if job in turn:
@@ -346,7 +369,7 @@
                 del self.turns[job.rpc.key]
         return [*turn][:1]
 
-    def outcome(self, send: Send, now: float) -> None:
+    def outcome(self, send: Attempt, now: float) -> None:
         if send.rpc.workload.in_order and send.outcome.may_still_run and send.rpc.key:
             self.rests[send.rpc.key] = now + self.key_rest_ms
 
@@ -357,7 +380,7 @@
                 times.popleft()
         self.rests = {key: until for key, until in self.rests.items() if until > now}
 
-    def cold_room(self, lane: Lane, now: float) -> float:
+    def cold_room(self, lane: NodeQueue, now: float) -> float:
         """Units a just-started node bears from here: an even part; where that is under an RPC, one for
         those next in number to a mark of the node's. In any span all together keep to it, however many."""
         cold, age = self.cold, now - max(lane.node.born_ms or -1e12, lane.warm_from)
@@ -372,39 +395,48 @@
             room = min(room, part * ((mark % count + 1) * part < borne + 1e-6 and not self.company.yields))
         return room - sum(units for at, units in lane.cold if at >= now - cold.span_ms)
 
-    def may_reject(self, rpc: Rpc) -> bool:
+    def may_reject(self, rpc: Request) -> bool:
         ran = any(send.outcome is None or not send.outcome.never_ran for send in rpc.sends)
         effect, everywhere = rpc.workload.effect, rpc.workload.group == "all"
-        return not ran or effect is Effect.IDEMPOTENT or (effect is Effect.TOKENED and everywhere)
+        return not ran or effect is Idempotency.IDEMPOTENT or (effect is Idempotency.TOKENED and everywhere)
 
-    def repeatable(self, rpc: Rpc, node: Node, now: float, this: Send | None = None) -> bool:
+    def repeatable(self, rpc: Request, node: Node, now: float, this: Attempt | None = None) -> bool:
         """Whether a send may go, or `this` one may leave now, with what those before it may have done."""
         ran = [s for s in rpc.sends if s is not this and (s.outcome is None or not s.outcome.never_ran)]
-        if not ran or rpc.workload.effect is not Effect.TOKENED:
-            return not ran or rpc.workload.effect is Effect.IDEMPOTENT
+        if not ran or rpc.workload.effect is not Idempotency.TOKENED:
+            return not ran or rpc.workload.effect is Idempotency.IDEMPOTENT
         group, first = rpc.workload.group, ran[0].node
         same = {"all": True, "zone": first.zone == node.zone, "cell": first.shard == node.shard}
         return same.get(group, False) and now < ran[0].sent_ms + rpc.workload.token_ms
 
-    def opens(self, job: Job, lane: Lane, now: float) -> float:
+    def opens(self, job: QueuedRequest, lane: NodeQueue, now: float) -> float:
         """When the RPC may be sent to the node, as far as is known now; NEVER if time alone won't do."""
         rpc, node, volume = job.rpc, lane.node, job.volume
-        if (rpc.over or now >= rpc.give_up_ms or len(rpc.sends) >= self.permits.most_sends
-                or (job.out and not self.permits.copies) or not self.repeatable(rpc, node, now)
-                or node.standing is not Standing.LIVE or rpc.shard not in (-1, node.shard)):
+        if (
+            rpc.over
+            or now >= rpc.give_up_ms
+            or len(rpc.sends) >= self.permits.most_sends
+            or (job.out and not self.permits.copies)
+            or not self.repeatable(rpc, node, now)
+            or node.standing is not NodeState.LIVE
+            or rpc.shard not in (-1, node.shard)
+        ):
             return NEVER
         if rpc.workload.in_order and rpc.key:
             if self.turns[rpc.key][0] is not job or now < self.rests.get(rpc.key, now):
                 return self.rests.get(rpc.key, NEVER)
-        spent = rpc.sends and self.budget and (
-            len(self.further) + 1 > self.budget.spare + self.budget.share * len(self.taken))
+        spent = (
+            rpc.sends
+            and self.budget
+            and (len(self.further) + 1 > self.budget.spare + self.budget.share * len(self.taken))
+        )
         if volume.plan.limit_rate and not rpc.sends:  # it fills while nothing of the volume comes or goes
             volume.pass_time(now)
         short = self.company.yields or volume.store < rpc.units
         empty = not rpc.sends and volume.plan.limit_rate and short
         return now + BEAT_MS if spent or empty or self.cold_room(lane, now) < rpc.units else now
 
-    def sent(self, job: Job, lane: Lane, now: float) -> None:
+    def sent(self, job: QueuedRequest, lane: NodeQueue, now: float) -> None:
         self.further.extend([now] * bool(job.rpc.sends and self.budget))
         job.volume.store -= job.rpc.units * (not job.rpc.sends)
         if self.cold.units:
@@ -412,37 +444,57 @@
             lane.cold = [(at, u) for at, u in lane.cold if at >= span] + [(now, job.rpc.units)]
 
 
-class Dispatcher:
-    def __init__(self, *, seed: int, number: int, dispatchers: int, workloads: Sequence[Workload],
-                 earnings: Earnings, cold: ColdStart, budget: ResendBudget | None, permits: Permits,
-                 key_rest_ms: float, company: Company | None = None) -> None:
+class Scheduler:
+    def __init__(
+        self,
+        *,
+        seed: int,
+        number: int,
+        dispatchers: int,
+        workloads: Sequence[Workload],
+        earnings: UtilityModel,
+        cold: SlowStartSettings,
+        budget: RetryBudgetSettings | None,
+        permits: SitePolicy,
+        key_rest_ms: float,
+        company: PeerDirectory | None = None,
+    ) -> None:
         self.seed, self.count, self.earnings, self.permits = seed, 0, earnings, permits
-        self.company = company or Company(dispatchers)
-        self.gate = Gate(number, self.company, earnings.mean_units, cold, budget, permits, key_rest_ms)
+        self.company = company or PeerDirectory(dispatchers)
+        self.gate = Admission(number, self.company, earnings.mean_units, cold, budget, permits, key_rest_ms)
         self.top = max((workload.value for workload in workloads), default=1.0)
         self.tight = min((workload.soft_ms for workload in workloads), default=1000.0)
         self.tries: dict[str, float] = {}  # longest time given for a try; a workload each
         self.ended: list[dict[tuple[str, str], float]] = [{}, {}]  # given up of late, its soft deadline
-        self.volumes: dict[str, Volume] = {}
-        self.jobs: dict[Rpc, Job] = {}
-        self.lanes: dict[Node, Lane] = {}  # a machine each; dropped once gone with nothing left
-        self.shards: dict[int, list[Lane]] = {}  # made anew from the lanes with each list
+        self.volumes: dict[str, VolumeQuota] = {}
+        self.jobs: dict[Request, QueuedRequest] = {}
+        self.lanes: dict[Node, NodeQueue] = {}  # a machine each; dropped once gone with nothing left
+        self.shards: dict[int, list[NodeQueue]] = {}  # made anew from the lanes with each list
         # New objects that no node has credit for, and what no node in the list holds.
-        self.unplaced = Lane(Node("", standing=Standing.DRAINING), 0.0, self.tight, 0.0, None)
-        self.stirred: dict[Lane, None] = {}  # lanes that this round concerns; emptied by it
-        self.dues: list[tuple[float, int, Lane]] = []  # one live entry a lane, old ones pass
+        self.unplaced = NodeQueue(Node("", standing=NodeState.DRAINING), 0.0, self.tight, 0.0, None)
+        self.stirred: dict[NodeQueue, None] = {}  # lanes that this round concerns; emptied by it
+        self.dues: list[tuple[float, int, NodeQueue]] = []  # one live entry a lane, old ones pass
         self.wakes: set[float] = set()  # asked for and to come: at most a grid's marks ahead
         self.ask_spread = self.ask_wait = max(1000.0, 25.0 * dispatchers)  # all at once would jam discovery
         self.ask_at = 0.0 if permits.must_ask else NEVER
         self.tell_at, self.nonsense = NEVER, 0  # words that made no sense, since the host last asked
-        self.kept: dict[Lane, Keeper] = {}  # nodes whose load is pooled here; dropped once quiet
+        self.kept: dict[NodeQueue, LoadAggregator] = {}  # nodes whose load is pooled here; dropped once quiet
         self.said: dict[int | None, list[bytes]] = {}  # words of this round; emptied by it
-        self.places: dict[int, Lane] = {}  # lanes as peers name them; made anew with each list
+        self.places: dict[int, NodeQueue] = {}  # lanes as peers name them; made anew with each list
         self.before = self.now = self.turn_at = 0.0  # the round before this one, this, and when `ended` turns
 
-    def decide(self, now: float, writer: Writer, *, taken: Sequence[Rpc] = (), answers: Sequence[Send] = (),
-               left: Sequence[Rpc] = (), heard: Sequence[Node] = (), list_answered: bool | None = None,
-               words: Sequence[tuple[int, bytes]] = ()) -> None:
+    def decide(
+        self,
+        now: float,
+        writer: DecisionSink,
+        *,
+        taken: Sequence[Request] = (),
+        answers: Sequence[Attempt] = (),
+        left: Sequence[Request] = (),
+        heard: Sequence[Node] = (),
+        list_answered: bool | None = None,
+        words: Sequence[tuple[int, bytes]] = (),
+    ) -> None:
         self.gate.pass_time(now)
         self.list(now, heard, list_answered)
         self.before, self.now = self.now, now
@@ -466,12 +518,12 @@
             self.tend(next(iter(self.stirred)), now, writer)
         self.wake(now, writer)
 
-    def stir(self, lane: Lane, now: float) -> None:
+    def stir(self, lane: NodeQueue, now: float) -> None:
         """Whatever concerns a lane brings it here before it is touched: its steps are caught up."""
         self.stirred[lane] = None
         lane.catch_up(now)
 
-    def tend(self, lane: Lane, now: float, writer: Writer) -> None:
+    def tend(self, lane: NodeQueue, now: float, writer: DecisionSink) -> None:
         """All that may be due at a lane; each part lowers `due` to when it wants the next look."""
         before = lane.due
         lane.watch(now, 1.5 * self.tight)
@@ -496,11 +548,13 @@
             self.nonsense += not (told or report)
         self.nonsense += not whole
 
-    def keep(self, lane: Lane, kind: int, units: float, took: float, now: float) -> None:
-        self.kept.setdefault(lane, Keeper(now, 4.0 * self.earnings.mean_units)).note(kind, units, took, now)
+    def keep(self, lane: NodeQueue, kind: int, units: float, took: float, now: float) -> None:
+        self.kept.setdefault(lane, LoadAggregator(now, 4.0 * self.earnings.mean_units)).note(
+            kind, units, took, now
+        )
         self.tell_at = min(self.tell_at, (now // TELL_MS + 1.0) * TELL_MS)
 
-    def report(self, lane: Lane, kind: int, units: float, took: float, now: float) -> None:
+    def report(self, lane: NodeQueue, kind: int, units: float, took: float, now: float) -> None:
         """What goes to a node and comes back is told to the one dispatcher that keeps the node."""
         keeper = self.company.keeper(lane.place)
         if self.permits.peers and keeper == self.gate.number:
@@ -509,7 +563,7 @@
             word = pack(WORD, kind, lane.place, min(255, int(units * 10.0)), min(65535, int(took)))
             self.said.setdefault(keeper, []).append(word)
 
-    def tell(self, now: float, writer: Writer) -> None:
+    def tell(self, now: float, writer: DecisionSink) -> None:
         """Reports go with the round that made them, what keepers know on a grid, where it moved."""
         if now >= self.tell_at:
             for lane, keeper in self.kept.items():
@@ -524,7 +578,7 @@
             writer.tell(peer, b"".join(words[:MOST_WORDS]))
         self.said.clear()
 
-    def wake(self, now: float, writer: Writer) -> None:
+    def wake(self, now: float, writer: DecisionSink) -> None:
         """Ask for the list when due, and for the next wake."""
         self.tell(now, writer)
         if now >= self.ask_at:
@@ -540,12 +594,12 @@
 
     def list(self, now: float, heard: Sequence[Node], answered: bool | None) -> None:
         for node in heard:
-            self.lanes.setdefault(node, Lane(node, now, self.tight, self.gate.begun, self.unplaced))
+            self.lanes.setdefault(node, NodeQueue(node, now, self.tight, self.gate.begun, self.unplaced))
         if heard:  # what waits for a place or for a replacement looks again
             self.shards, self.places = {}, {}
             self.volumes = {name: vol for name, vol in self.volumes.items() if now - vol.seen < 60000.0}
             for lane in [*self.lanes.values(), self.unplaced]:
-                if lane.node.standing is Standing.GONE and not (lane.sends or lane.pressed or lane.batch):
+                if lane.node.standing is NodeState.GONE and not (lane.sends or lane.pressed or lane.batch):
                     del self.lanes[lane.node]
                     continue
                 if lane is not self.unplaced:
@@ -559,10 +613,10 @@
             again = min(self.ask_wait * 2.0, self.permits.ask_within_ms)
             self.ask_wait = self.ask_spread if answered else again
 
-    def take(self, rpc: Rpc, now: float, writer: Writer) -> None:
+    def take(self, rpc: Request, now: float, writer: DecisionSink) -> None:
         if rpc.workload is None or rpc.plan is None:
             return writer.reject(rpc, 0.0)
-        volume = self.volumes.setdefault(rpc.volume, Volume(rpc.plan, rpc.hosts, now, self.earnings))
+        volume = self.volumes.setdefault(rpc.volume, VolumeQuota(rpc.plan, rpc.hosts, now, self.earnings))
         volume.pass_time(now)
         left = rpc.give_up_ms - now
         longest = self.tries[rpc.workload.name] = max(self.tries.get(rpc.workload.name, 0.0), left)
@@ -572,26 +626,26 @@
         was = max(ended.get((rpc.volume, rpc.key), -NEVER) for ended in self.ended)
         first = not (rpc.repeat if self.permits.marks_repeats else was > -NEVER)
         spent = min(longest - left, now - self.before if first else NEVER)
-        job = self.jobs[rpc] = Job(rpc, volume, now, max(was, now + rpc.workload.soft_ms - spent))
+        job = self.jobs[rpc] = QueuedRequest(rpc, volume, now, max(was, now + rpc.workload.soft_ms - spent))
         self.gate.take(job, now)
         self.place(job, now)
 
-    def place(self, job: Job, now: float) -> None:
+    def place(self, job: QueuedRequest, now: float) -> None:
         """Reads go to the node that holds the data, new objects where an answer comes soonest."""
         self.count += 1
-        lanes: list[Lane] = []
+        lanes: list[NodeQueue] = []
         ran = [send.node.shard for send in job.rpc.sends if not (send.outcome and send.outcome.never_ran)]
         shard = job.rpc.shard if job.rpc.shard >= 0 or not ran else ran[0]  # only there a repeat is dropped
         if shard >= 0:
             homes = self.shards.get(shard) or [self.unplaced]
-            job.lane = ([lane for lane in homes if lane.node.standing is Standing.LIVE] or homes)[0]
+            job.lane = ([lane for lane in homes if lane.node.standing is NodeState.LIVE] or homes)[0]
         else:
             job.lane, lanes = self.unplaced, list(self.lanes.values())
         soonest, few = NEVER, FEW
         turn = crc32(f"{self.seed}:{self.count}".encode()) % len(lanes) if lanes else 0
         for lane in lanes[turn:] + lanes[:turn] if lanes else ():
             credit = lane.slots() - lane.busy - len(lane.pressed)
-            if lane.node.standing is not Standing.LIVE or lane.strikes or lane.errors > 0.3 or credit <= 0:
+            if lane.node.standing is not NodeState.LIVE or lane.strikes or lane.errors > 0.3 or credit <= 0:
                 continue
             few -= 1
             if few < 0 and soonest < NEVER:
@@ -603,7 +657,7 @@
             self.rank(job, now)
         job.join(job.lane.pressed if job.pressed else job.lane.batch)
 
-    def rank(self, job: Job, now: float) -> None:
+    def rank(self, job: QueuedRequest, now: float) -> None:
         """Find what the RPC's units still earn, and so its side and its place there."""
         rpc, volume, lane, workload, plan = job.rpc, job.volume, job.lane, job.rpc.workload, job.volume.plan
         if not volume.reserve(rpc.units, workload.value / self.top):
@@ -613,14 +667,14 @@
         value = workload.value * (1.0 if in_time else workload.late_part) * plan.price * job.level
         job.key = -value  # equals keep the order they came in
 
-    def fill(self, lane: Lane, now: float, writer: Writer) -> None:
+    def fill(self, lane: NodeQueue, now: float, writer: DecisionSink) -> None:
         shut = lane.trial_at if lane.strikes else 0.0
-        while now >= shut and lane.node.standing is Standing.LIVE and self.fill_one(lane, now, writer):
+        while now >= shut and lane.node.standing is NodeState.LIVE and self.fill_one(lane, now, writer):
             pass
         if lane.pressed or lane.batch:  # the controller and the window go on while something waits
             lane.due = min(lane.due, lane.next_step, shut if shut > now else NEVER)
 
-    def fill_one(self, lane: Lane, now: float, writer: Writer) -> bool:
+    def fill_one(self, lane: NodeQueue, now: float, writer: DecisionSink) -> bool:
         spare = self.unplaced
         if not (lane.pressed or lane.batch or spare.pressed or spare.batch):
             lane.filled = lane.filled or lane.busy >= lane.slots()
@@ -628,8 +682,12 @@
         if not lane.strikes and lane.errors <= 0.3 and lane.busy < lane.slots():
             for side, own in ((spare.pressed, lane.pressed), (spare.batch, lane.batch)):
                 job = side[0] if side else None
-                if (job and job.rpc.shard < 0 and (not own or job.taken < own[0].taken)
-                        and self.gate.cold_room(lane, now) >= job.rpc.units):
+                if (
+                    job
+                    and job.rpc.shard < 0
+                    and (not own or job.taken < own[0].taken)
+                    and self.gate.cold_room(lane, now) >= job.rpc.units
+                ):
                     job.lane, lane.due = lane, now  # looked at again at once
                     job.join(own)
         for side in [lane.riders(), *lane.sides()]:
@@ -646,19 +704,24 @@
                 return True
         return False
 
-    def go(self, job: Job, lane: Lane, now: float, writer: Writer) -> Send:
+    def go(self, job: QueuedRequest, lane: NodeQueue, now: float, writer: DecisionSink) -> Attempt:
         lane.charge(job)
         job.join(None)
         self.gate.sent(job, lane, now)
         self.report(lane, SENT, job.rpc.units, 0.0, now)
         return writer.send(job.rpc, lane.node, job.rpc.give_up_ms - now)
 
-    def take_along(self, job: Job, send: Send, lane: Lane, now: float, writer: Writer) -> None:
+    def take_along(
+        self, job: QueuedRequest, send: Attempt, lane: NodeQueue, now: float, writer: DecisionSink
+    ) -> None:
         """What waits here anyway and adjoins shares the send and its slot, while nobody turns late by it.
         Reads may overlap, writes only touch; each passes the gate and is charged as if it went alone."""
         rpc, permits = job.rpc, self.permits
-        waiting = [held for held in lane.near[rpc.key]
-                   if held.rpc.volume == rpc.volume and held.rpc.writes == rpc.writes]
+        waiting = [
+            held
+            for held in lane.near[rpc.key]
+            if held.rpc.volume == rpc.volume and held.rpc.writes == rpc.writes
+        ]
         waiting.sort(key=lambda held: (not held.pressed, held.key))
         low, high = rpc.start, rpc.start + rpc.length
         soft = job.soft if now + lane.expected(rpc.units) <= job.soft else NEVER
@@ -672,8 +735,12 @@
                 own = held.soft if now + lane.expected(held.rpc.units) <= held.soft else NEVER
                 near = last == low or first == high if rpc.writes else first <= high and low <= last
                 full = wide > permits.join_length or len(send.mates or ()) >= permits.join_most
-                if (not near or full or now + lane.expected(units) > min(soft, own)
-                        or self.gate.opens(held, lane, now) > now):
+                if (
+                    not near
+                    or full
+                    or now + lane.expected(units) > min(soft, own)
+                    or self.gate.opens(held, lane, now) > now
+                ):
                     far.append(held)
                     continue
                 mate = self.go(held, lane, now, writer)
@@ -683,7 +750,7 @@
                 low, high = min(low, first), max(high, last)
             waiting = far
 
-    def settle(self, send: Send, now: float, writer: Writer) -> None:
+    def settle(self, send: Attempt, now: float, writer: DecisionSink) -> None:
         lane, rpc = self.lanes[send.node], send.rpc
         self.stir(lane, now)
         job = lane.sends[send]
@@ -702,7 +769,7 @@
             else:
                 self.give_up(job, now, writer)
 
-    def give_up(self, job: Job, now: float, writer: Writer) -> None:
+    def give_up(self, job: QueuedRequest, now: float, writer: DecisionSink) -> None:
         """Answer at once, with a come-back time where one is heeded."""
         self.ended[0][job.rpc.volume, job.rpc.key] = job.soft
         if self.gate.may_reject(job.rpc):
@@ -711,21 +778,21 @@
             writer.error(job.rpc)
         self.finish(job, now)
 
-    def finish(self, job: Job, now: float) -> None:
+    def finish(self, job: QueuedRequest, now: float) -> None:
         job.join(None)
         if not job.out:
             for heir in self.gate.leave(job):
                 self.stir(heir.lane, now)
             self.jobs.pop(job.rpc, None)
 
-    def sweep(self, lane: Lane, now: float, writer: Writer) -> None:
+    def sweep(self, lane: NodeQueue, now: float, writer: DecisionSink) -> None:
         """Give up at once what can earn no more than little; batch of due units may still earn late."""
         for job in [*lane.pressed, *lane.batch]:
             rpc, needs = job.rpc, lane.expected(job.rpc.units)
             late, over = job.soft - needs, rpc.give_up_ms - max(needs, BEAT_MS)
             if now > late and job.pressed:  # else the controller sees survivors only
                 lane.views.append((now, (rpc.give_up_ms - job.taken) / rpc.workload.soft_ms))
-            lost = lane.node.standing is not Standing.LIVE and (lane is not self.unplaced or rpc.shard >= 0)
+            lost = lane.node.standing is not NodeState.LIVE and (lane is not self.unplaced or rpc.shard >= 0)
             vain = lost or lane.strikes or job.pressed or job.level <= self.earnings.beyond
             if now > over or (now > late and vain):
                 self.give_up(job, now, writer)
--- a/cherrygrade/start.py
+++ b/cherrygrade/scheduling/start_settings.py
@@ -10,10 +10,22 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from cherrygrade.interface import ColdStart, Earnings, Effect, Permits, Plan, ResendBudget, Workload
-from cherrygrade.policy import Dispatcher
-
-EFFECTS = {"retryable": Effect.IDEMPOTENT, "dedup": Effect.TOKENED, "fragile": Effect.NON_IDEMPOTENT}
+from cherrygrade.scheduling.model import (
+    Idempotency,
+    RetryBudgetSettings,
+    ServicePlan,
+    SitePolicy,
+    SlowStartSettings,
+    UtilityModel,
+    Workload,
+)
+from cherrygrade.scheduling.scheduler import Scheduler
+
+EFFECTS = {
+    "retryable": Idempotency.IDEMPOTENT,
+    "dedup": Idempotency.TOKENED,
+    "fragile": Idempotency.NON_IDEMPOTENT,
+}
 
 
 def flag(text: str) -> bool:
@@ -39,14 +51,14 @@
     return str(int(value)) if isinstance(value, bool) else str(value)
 
 
-class StartPairs:
+class StartSettings:
     """The pairs of a start-up message; what is absent takes its default, the unknown is passed over."""
 
     def __init__(self, parts: list[str]) -> None:
         self._pairs = dict(part.split("=", 1) for part in parts if "=" in part)
 
     @classmethod
-    def nested(cls, settings: dict[str, Any]) -> StartPairs:
+    def nested(cls, settings: dict[str, Any]) -> StartSettings:
         return cls([*_flat(settings)])
 
     def same(self) -> dict[str, str]:
@@ -85,7 +97,7 @@
                 deadline_ms=self.ms(at + "hardLimitS"),
                 value=self.number(at + "importance", 1.0),
                 late_part=self.number(at + "lateWorth"),
-                effect=EFFECTS.get(self.text(at + "effect"), Effect.NON_IDEMPOTENT),
+                effect=EFFECTS.get(self.text(at + "effect"), Idempotency.NON_IDEMPOTENT),
                 group=self.text(at + "group", "all"),
                 token_ms=self.ms(at + "windowS"),
                 in_order=self.flag(at + "oneAtATime"),
@@ -94,11 +106,11 @@
             )
         return found
 
-    def plans(self) -> dict[str, Plan]:
+    def plans(self) -> dict[str, ServicePlan]:
         found = {}
         for i in range(int(self.number("grades.count"))):
             at = f"grades.{i}."
-            found[self.text(at + "name")] = Plan(
+            found[self.text(at + "name")] = ServicePlan(
                 name=self.text(at + "name"),
                 weight=self.number(at + "proportion", 1.0),
                 price=self.number(at + "price", 1.0),
@@ -110,8 +122,8 @@
             )
         return found
 
-    def cold_start(self) -> ColdStart:
-        return ColdStart(
+    def cold_start(self) -> SlowStartSettings:
+        return SlowStartSettings(
             units=self.number("extra.youngLimit"),
             share=self.number("guarantees.coldShare", 1.0),
             multiple=self.number("guarantees.fallMultiple", 1.0),
@@ -119,15 +131,15 @@
             warm_ms=self.ms("guarantees.warmWithinS"),
         )
 
-    def resend_budget(self) -> ResendBudget | None:
+    def resend_budget(self) -> RetryBudgetSettings | None:
         span_ms = self.ms("guarantees.resendSpanS")
         if not span_ms:
             return None
         spare, share = self.number("guarantees.spareAttempts"), self.number("guarantees.extraShare")
-        return ResendBudget(spare=spare, share=share, span_ms=span_ms)
+        return RetryBudgetSettings(spare=spare, share=share, span_ms=span_ms)
 
-    def earnings(self) -> Earnings:
-        return Earnings(
+    def earnings(self) -> UtilityModel:
+        return UtilityModel(
             in_share=self.number("extra.shareWorth", 1.0),
             beyond=self.number("extra.beyondShare", 1.0),
             mean_units=self.number("extra.meanUnits", 1.0),
@@ -136,8 +148,8 @@
             tells_elsewhere=self.flag("extra.saysOthers"),
         )
 
-    def permits(self) -> Permits:
-        return Permits(
+    def permits(self) -> SitePolicy:
+        return SitePolicy(
             most_sends=int(self.number("limits.maxAttempts", 1)),
             copies=self.flag("limits.secondCopies"),
             cancel=self.flag("limits.mayCancel"),
@@ -149,7 +161,7 @@
             ask_within_ms=self.ms("guarantees.askWithinS"),
         )
 
-    def dispatcher(self, make: Callable[..., Dispatcher], seed: int) -> Dispatcher:
+    def dispatcher(self, make: Callable[..., Scheduler], seed: int) -> Scheduler:
         """The module as these pairs want it."""
         return make(
             seed=seed,
--- a/cherrygrade/site.py
+++ b/cherrygrade/settings.py
@@ -4,11 +4,18 @@
 
 from dataclasses import dataclass, field
 
-from cherrygrade.interface import ColdStart, Earnings, Permits, Plan, ResendBudget, Workload
+from cherrygrade.scheduling.model import (
+    RetryBudgetSettings,
+    ServicePlan,
+    SitePolicy,
+    SlowStartSettings,
+    UtilityModel,
+    Workload,
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class DispatcherIdentity:
     """Who this dispatcher is: addresses are host:port, number counts from 0 among `dispatchers`."""
 
     name: str
@@ -20,15 +27,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Volume:
+class VolumeSettings:
     """A volume's plan, and through how many dispatchers it comes."""
 
-    plan: Plan
+    plan: ServicePlan
     hosts: int
 
 
 @dataclass(frozen=True, slots=True)
-class Measure:
+class UnitSettings:
     """Units of an RPC from the bytes that it moves."""
 
     bytes_per_unit: float
@@ -39,27 +46,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trade:
+class TrafficSettings:
     """What is traded here: workloads, plans and volumes by name, and how units are counted."""
 
     workloads: dict[str, Workload]
-    volumes: dict[str, Volume]
-    measure: Measure
+    volumes: dict[str, VolumeSettings]
+    measure: UnitSettings
 
 
 @dataclass(frozen=True, slots=True)
-class Bearings:
+class SchedulingSettings:
     """What the module is told besides workloads."""
 
-    earnings: Earnings = field(default_factory=Earnings)
-    cold: ColdStart = field(default_factory=ColdStart)
-    budget: ResendBudget | None = None
-    permits: Permits = field(default_factory=Permits)
+    earnings: UtilityModel = field(default_factory=UtilityModel)
+    cold: SlowStartSettings = field(default_factory=SlowStartSettings)
+    budget: RetryBudgetSettings | None = None
+    permits: SitePolicy = field(default_factory=SitePolicy)
     key_rest_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class LimitSettings:
     """How much a dispatcher takes on. Times in ms, bodies in bytes.
 
     `answer_ms` is kept back from each client's time for the answer's way.
@@ -76,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lines:
+class NodeConnectionSettings:
     """Connections to each storage node. Source: the address of this host that they, and the one to the
     register, go out from; the system's choice where it is empty."""
 
@@ -88,7 +95,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cuts:
+class ExtentSettings:
     """How ranges are cut and joined. Bytes; pieces of one RPC out at once, in all and for one shard; the part
     of an RPC's soft deadline that it may wait for company."""
 
@@ -102,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class FlowControlSettings:
     """What is asked of peers that are waited for, and the room for bodies.
 
     Bytes a second: the floor in plenty of room, the top when it is full. Spans that rates are taken over, and
@@ -126,14 +133,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ways:
+class GossipSettings:
     """Where dispatchers hear each other's words, by number; none: they share nothing."""
 
     places: list[str] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
-class Council:
+class CouncilSettings:
     """Voters by the names of dispatchers; folder: of a voter's store; drift: by how much two clocks' pace may
     differ at most; drills: tasks that are held for nothing but to see that leases work, and ordered at a
     receiver, where one is named."""
@@ -147,7 +154,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
+class FleetSettings:
     """A fleet of dispatchers that know each other. Place: host:port that others reach this one at, by
     datagram and stream; bind: where it listens, where that is another. Contacts: places of a few others.
     Ms: between two probes; how long the dead are remembered. Council: where one is named, its voters.
@@ -160,12 +167,12 @@
     zone: str = ""
     period_ms: float = 400.0
     keep_ms: float = 600000.0
-    council: Council | None = None
+    council: CouncilSettings | None = None
     config_file: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Origin:
+class StartReference:
     """This life of a dispatcher: Unix ms of its start; the program's version; a mark of the settings that
     are to be the same all over the fleet."""
 
@@ -175,16 +182,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Site:
-    place: Place
-    trade: Trade
-    bearings: Bearings
-    bounds: Bounds
-    lines: Lines
-    cuts: Cuts
-    pace: Pace
-    words: Ways = field(default_factory=Ways)
-    fleet: Fleet | None = None
+class SiteSettings:
+    place: DispatcherIdentity
+    trade: TrafficSettings
+    bearings: SchedulingSettings
+    bounds: LimitSettings
+    lines: NodeConnectionSettings
+    cuts: ExtentSettings
+    pace: FlowControlSettings
+    words: GossipSettings = field(default_factory=GossipSettings)
+    fleet: FleetSettings | None = None
 
     def faults(self) -> list[tuple[str, str]]:
         """Keys, and what is wrong with them beside others: limits without a depth, and settings of two
--- a/cherrygrade/standin/receiver.py
+++ b/cherrygrade/standin/receiver.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from cherrygrade.fleet.council.orders import Orders
+from cherrygrade.fleet.consensus.fencing import FencingGuard
 
 
 class Receiver:
@@ -24,7 +24,7 @@
                 _, task, number, *_, done = json.loads(line)
                 if done:
                     seen[task] = max(number, seen.get(task, 0))
-        self.orders, self.numbered = Orders(seen), numbered
+        self.orders, self.numbered = FencingGuard(seen), numbered
         self._record = record.open("a")
         self._server: asyncio.Server | None = None
 
--- a/cherrygrade/wirehost/codec.py
+++ b/cherrygrade/wirehost/codec.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cherrygrade.interface import Outcome, Standing
+from cherrygrade.scheduling.model import NodeState, Outcome
 
 OUTCOMES = {
     "200": Outcome.OK,
@@ -14,7 +14,7 @@
     "499": Outcome.CANCELLED,
     "410": Outcome.UNSENT,
 }
-STANDINGS = {"live": Standing.LIVE, "quiescing": Standing.DRAINING, "dead": Standing.GONE}
+STANDINGS = {"live": NodeState.LIVE, "quiescing": NodeState.DRAINING, "dead": NodeState.GONE}
 LOADS = {
     "outstanding": "in_hand",
     "backlog": "waiting",
--- a/cherrygrade/wirehost/host.py
+++ b/cherrygrade/wirehost/host.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 from typing import TextIO
 
-from cherrygrade.door import Inbox, Nodes
-from cherrygrade.interface import Node, Rpc, Send
-from cherrygrade.policy import Dispatcher
-from cherrygrade.start import StartPairs, flag
+from cherrygrade.scheduling.model import Attempt, Node, Request
+from cherrygrade.scheduling.round_inputs import NodeTable, RoundInputs
+from cherrygrade.scheduling.scheduler import Scheduler
+from cherrygrade.scheduling.start_settings import StartSettings, flag
 from cherrygrade.wirehost.codec import (
     OUTCOMES,
     STANDINGS,
@@ -41,21 +41,21 @@
     def _write(self, *parts: str) -> None:
         self._lines.append("\t".join((parts[0], self.who, *parts[1:])))
 
-    def send(self, rpc: Rpc, node: Node, limit_ms: float) -> Send:
-        send = Send(rpc=rpc, node=node, number=len(rpc.sends), sent_ms=self.now)
+    def send(self, rpc: Request, node: Node, limit_ms: float) -> Attempt:
+        send = Attempt(rpc=rpc, node=node, number=len(rpc.sends), sent_ms=self.now)
         rpc.sends.append(send)
         self._write("ROUTE", rpc.id, seconds(limit_ms), node.address)
         return send
 
-    def cancel(self, send: Send) -> None:
+    def cancel(self, send: Attempt) -> None:
         self._write("RECALL", send.rpc.id, str(send.number))
 
-    def reject(self, rpc: Rpc, come_back_ms: float) -> None:
+    def reject(self, rpc: Request, come_back_ms: float) -> None:
         rpc.over = True
         self.ended.add(rpc.id)
         self._write("DENY", rpc.id, seconds(come_back_ms))
 
-    def error(self, rpc: Rpc) -> None:
+    def error(self, rpc: Request) -> None:
         rpc.over = True
         self.ended.add(rpc.id)
         self._write("ABORT", rpc.id)
@@ -85,11 +85,11 @@
 @dataclass
 class Instance:
     writer: InstanceWriter
-    dispatcher: Dispatcher
-    pairs: StartPairs
-    rpcs: dict[str, Rpc] = field(default_factory=dict)
-    nodes: Nodes = field(default_factory=Nodes)
-    inbox: Inbox = field(default_factory=Inbox)
+    dispatcher: Scheduler
+    pairs: StartSettings
+    rpcs: dict[str, Request] = field(default_factory=dict)
+    nodes: NodeTable = field(default_factory=NodeTable)
+    inbox: RoundInputs = field(default_factory=RoundInputs)
     touched: set[str] = field(default_factory=set)
     stirred: bool = False
     """Something came in for it in the open batch."""
@@ -198,8 +198,8 @@
 
     def _born(self, parts: list[str]) -> None:
         who = parts[1]
-        pairs = StartPairs(parts[3:])
-        dispatcher = pairs.dispatcher(Dispatcher, int(number(parts[2])))
+        pairs = StartSettings(parts[3:])
+        dispatcher = pairs.dispatcher(Scheduler, int(number(parts[2])))
         writer = InstanceWriter(who, self._lines)
         self._instances[who] = Instance(writer=writer, dispatcher=dispatcher, pairs=pairs)
         self._stir(self._instances[who])
@@ -207,7 +207,7 @@
     def _incoming(self, parts: list[str]) -> None:
         who, xid, repeat, workload, give_up, update, owner, policy, hosts, extent, shard, units = parts[1:13]
         instance = self._instances[who]
-        rpc = instance.rpcs[xid] = Rpc(
+        rpc = instance.rpcs[xid] = Request(
             workload=instance.workloads.get(workload),
             plan=instance.plans.get(policy),
             volume=owner,
--- a/tests/test_council_processes.py
+++ b/tests/test_council_processes.py
@@ -14,7 +14,7 @@
 from house import House, run
 from test_fleet_processes import ROOT, Company
 
-from cherrygrade.fleet.carriers.disk import found
+from cherrygrade.fleet.runtime.voter_store import found
 from cherrygrade.standin.receiver import judge
 
 pytestmark = pytest.mark.alone
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -16,7 +16,7 @@
 from places import release, reserve
 
 from cherrygrade.client import Client, Ok
-from cherrygrade.fleet.carriers.ask import ask
+from cherrygrade.fleet.runtime.status_query import ask
 
 pytestmark = pytest.mark.alone
 
