--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -311,8 +311,8 @@
         self.words = self.bytes = 0
 
     def send(self, rpc: Request, node: Node, limit_ms: float) -> Attempt:
-        send = Attempt(rpc, node, len(rpc.sends), self.now)
-        rpc.sends.append(send)
+        send = Attempt(rpc, node, len(rpc.attempts), self.now)
+        rpc.attempts.append(send)
         self.out.append(send)
         return send
 
@@ -344,25 +344,25 @@
         earnings=UtilityModel(),
         cold=SlowStartSettings(),
         budget=None,
-        permits=SitePolicy(most_sends=4, come_back_ms=1000.0, peers=True),
+        permits=SitePolicy(max_attempts=4, max_retry_after_ms=1000.0, allows_gossip=True),
         key_rest_ms=0.0,
     )
     sink, clock = Sink(), time.process_time
     gc.collect()
     empty = memory_kib()
     sink.now = now = 1000.0
-    one.decide(now, sink, heard=nodes)
+    one.decide(now, sink, endpoint_changes=nodes)
     whole = []
     for _ in range(10):
         sink.now = now = now + 50.0
         began = clock()
-        one.decide(now, sink, heard=nodes)
+        one.decide(now, sink, endpoint_changes=nodes)
         whole.append((clock() - began) * 1e6)
     changes = []
     for turn in range(200):
         sink.now = now = now + 50.0
         began = clock()
-        one.decide(now, sink, heard=[nodes[turn % count]])
+        one.decide(now, sink, endpoint_changes=[nodes[turn % count]])
         changes.append((clock() - began) * 1e6)
     spent, made = 0.0, 4000 * rounds
     for turn in range(made):
@@ -375,12 +375,12 @@
         sink.wakes = [at for at in sink.wakes if at > now]
         for at in sorted({*due}):
             one.decide(at, sink)
-        one.decide(now, sink, taken=[rpc])
+        one.decide(now, sink, arrivals=[rpc])
         out, sink.out = sink.out, []
         sink.now = now = now + 1.0
         for send in out:
-            send.outcome, send.took_ms, send.rpc.over = Outcome.OK, 1.0, True
-        one.decide(now, sink, answers=out)
+            send.outcome, send.latency_ms, send.request.finished = Outcome.OK, 1.0, True
+        one.decide(now, sink, outcomes=out)
         spent += clock() - began
     gc.collect()
     found = {
--- a/cherrygrade/extents/carrier.py
+++ b/cherrygrade/extents/carrier.py
@@ -175,7 +175,7 @@
     def rejected(self, held: InflightRequest, come_back_ms: float) -> None:
         assert isinstance(held.piece, Piece)
         self._landed(held.piece)
-        if any(send.outcome is None or not send.outcome.never_ran for send in held.sends):
+        if any(send.outcome is None or not send.outcome.never_ran for send in held.attempts):
             self.parent.begun = True
         self.parent.rejected(held.piece, come_back_ms)
         self._on()
@@ -270,14 +270,14 @@
             return range_
         held = self._single(session, ask, body, first)
         wait = 0.0
-        if held.joins:
+        if held.coalescable:
             wait = self.holds.hold(
                 volume,
                 held.extent,
-                held.start,
-                held.start + held.length,
+                held.offset,
+                held.offset + held.length,
                 house.clock(),
-                workload.soft_ms,
+                workload.latency_objective_ms,
             )
         if wait <= 0.0:
             house.admit(held)
@@ -291,8 +291,8 @@
 
     def _together(self, key: tuple[str, int]) -> None:
         """A hold is over: all that came go to the module in one round."""
-        helds = [held for held in self.company.pop(key) if not held.over]
-        spans = sorted((held.start, held.start + held.length) for held in helds)
+        helds = [held for held in self.company.pop(key) if not held.finished]
+        spans = sorted((held.offset, held.offset + held.length) for held in helds)
         met = sum(later[0] <= earlier[1] for earlier, later in pairwise(spans))
         self.holds.met(*key, self.house.clock(), met + 1)
         self.held_vain += not met
@@ -314,7 +314,7 @@
             range_.session, ask, body, stretch, piece.shard, piece.version, range_.until, range_.workload
         )
         if held.plan is None:
-            held.plan, held.hosts = range_.volume.plan, range_.volume.hosts
+            held.plan, held.dispatchers = range_.volume.plan, range_.volume.hosts
         held.id = f"{held.id}/{stretch.at}.{piece.turn}"
         held.range, held.piece = range_, piece
         if not range_.writes and range_.whole is not None:
@@ -340,7 +340,7 @@
         held.extent, held.version = stretch.extent, max(0, version)
         work = held.workload = workload or held.workload
         assert work is not None
-        held.joins = self.cuts.merge and work.effect is Idempotency.IDEMPOTENT and not work.in_order
+        held.coalescable = self.cuts.merge and work.idempotency is Idempotency.IDEMPOTENT and not work.ordered
         if held.shard == NOWHERE and stretch.extent >= 0:
             self._stray(held)
         return held
@@ -358,7 +358,7 @@
 
     def _stray(self, held: InflightRequest) -> None:
         waiting = self.astray.setdefault((held.volume, held.extent), [])
-        waiting[:] = [other for other in waiting if not other.over]
+        waiting[:] = [other for other in waiting if not other.finished]
         waiting.append(held)
         if len(waiting) == 1:  # others wait for the same answer
             self._ask(held.volume, held.extent, 1)
@@ -373,7 +373,7 @@
         """Words get lost with connections: what still waits asks again."""
         self._again = None
         for key, helds in [*self.astray.items()]:
-            if all(held.over for held in helds):
+            if all(held.finished for held in helds):
                 del self.astray[key]
             else:
                 self._ask(*key, 1)
@@ -390,7 +390,7 @@
         for extent in learned:
             shard, version = self.map.home(word.volume, extent)
             for held in self.astray.pop((word.volume, extent), []):
-                if not held.over:
+                if not held.finished:
                     held.shard, held.version, found = shard, version, True
         for range_ in self.unmapped.pop(word.volume, []):
             if self.house.keeps(range_):
@@ -405,7 +405,7 @@
             return Errored(ask.id, f"beyond the volume's end at {size}")
         if not length:
             return Ok(ask.id, -1)
-        if workload.in_order:
+        if workload.ordered:
             stretches = list(self.map.stretches(ask.volume, ask.offset, length, length))
             if stretches[0].extent != stretches[-1].extent:
                 return Errored(ask.id, "a range that keeps an order must lie within one extent")
--- a/cherrygrade/fleet/config/live_changes.py
+++ b/cherrygrade/fleet/config/live_changes.py
@@ -7,10 +7,11 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, fields, is_dataclass
+from dataclasses import dataclass, is_dataclass
 from typing import Any
 
 from cherrygrade.fleet.config.versions import QuotaDivisors, moves
+from cherrygrade.records.frozen_names import record_keys
 from cherrygrade.settings import SiteSettings
 
 LIVE = {
@@ -104,9 +105,9 @@
 
 
 def _put(found: dict[str, Any], at: str, value: Any) -> None:
-    for field in fields(value):
-        part = getattr(value, field.name)
+    for key, name in record_keys(type(value)):
+        part = getattr(value, name)
         if is_dataclass(part):
-            _put(found, f"{at}.{field.name}", part)
+            _put(found, f"{at}.{key}", part)
         else:
-            found[f"{at}.{field.name}"] = part
+            found[f"{at}.{key}"] = part
--- a/cherrygrade/fleet/runtime/fleet_agent.py
+++ b/cherrygrade/fleet/runtime/fleet_agent.py
@@ -41,10 +41,10 @@
 
 MET = {
     Outcome.OK: "answered",
-    Outcome.FULL: "answered",
-    Outcome.ERRORED: "errored",
+    Outcome.REJECTED: "answered",
+    Outcome.FAILED: "errored",
     Outcome.RESET: "errored",
-    Outcome.UNCONNECTED: "silent",
+    Outcome.CONNECT_FAILED: "silent",
     Outcome.TIMED_OUT: "silent",
 }
 
--- a/cherrygrade/fleet/runtime/peer_directory.py
+++ b/cherrygrade/fleet/runtime/peer_directory.py
@@ -17,13 +17,13 @@
         self.core, self.number, self.has = core, number, True
 
     @property
-    def yields(self) -> bool:  # type: ignore[override]
+    def forfeits_quota(self) -> bool:  # type: ignore[override]
         return self.core.yields or not self.has
 
-    def keeper(self, node: int) -> int:
+    def aggregator(self, node: int) -> int:
         return self.core.keepers.keeper(node)
 
-    def tells(self, node: int, now: float) -> bool:
+    def publishes(self, node: int, now: float) -> bool:
         """One that is alone, or late with everything, leaves telling to others: sides.TABLE."""
         keepers = self.core.keepers
         return self.core.follows.keeps and keepers.keeper(node) == self.number and keepers.settled(node, now)
--- a/cherrygrade/gateway/inforce.py
+++ b/cherrygrade/gateway/inforce.py
@@ -56,8 +56,8 @@
     if not parts.counts or min(parts.counts) < 1:
         raise ValueError("place.dispatchers: parts dealt out over nobody")
     works: list[Workload] = list(site.trade.workloads.values())
-    top = max((work.value for work in works), default=1.0)
-    tight = min((work.soft_ms for work in works), default=1000.0)
+    top = max((work.priority_weight for work in works), default=1.0)
+    tight = min((work.latency_objective_ms for work in works), default=1000.0)
     trade = replace(site.trade, volumes=volumes)
     return Terms(trade, site.bearings, parts.counts, fewest, parts.has, float(top), float(tight))
 
@@ -65,11 +65,11 @@
 def put(module: Scheduler, company: FleetPeerDirectory, into: Terms, now: float) -> None:
     """`company`: the module's; it is told of counts and part here, with all else."""
     gate, bearings = module.gate, into.bearings
-    yielded = company.yields
-    grows = yielded or not {*company.counts} <= {*into.counts}
-    blank = grows or gate.cold.span_ms != bearings.cold.span_ms
+    yielded = company.forfeits_quota
+    grows = yielded or not {*company.dispatcher_counts} <= {*into.counts}
+    blank = grows or gate.cold.window_ms != bearings.cold.window_ms
     before = module.earnings, module.tight
-    company.counts, company.dispatchers, company.has = into.counts, into.counts[-1], into.has
+    company.dispatcher_counts, company.dispatchers, company.has = into.counts, into.counts[-1], into.has
     module.earnings, module.permits = bearings.earnings, bearings.permits
     module.top, module.tight = into.top, into.tight
     module.ask_spread = max(1000.0, 25.0 * into.counts[-1])
@@ -116,13 +116,13 @@
         return
     if not was.limit_rate:
         due.store = 0.0
-    elif plan.limit_rate > was.limit_rate and plan.limit_depth < was.limit_depth:
-        falls = (was.limit_depth - plan.limit_depth) / min(into.fewest[name], due.hosts)
-        due.store = max(due.store - falls, -was.limit_depth / due.hosts)
+    elif plan.limit_rate > was.limit_rate and plan.limit_burst < was.limit_burst:
+        falls = (was.limit_burst - plan.limit_burst) / min(into.fewest[name], due.hosts)
+        due.store = max(due.store - falls, -was.limit_burst / due.hosts)
     earnings = into.bearings.earnings
     due.plan, due.hosts = plan, hosts
-    due.store = min(due.store, plan.limit_depth / hosts)
-    due.part = 1.0 if earnings.tells_elsewhere else 1.0 / hosts
+    due.store = min(due.store, plan.limit_burst / hosts)
+    due.part = 1.0 if earnings.reports_use_elsewhere else 1.0 / hosts
     due.depth = plan.reserve_rate * due.part + earnings.largest_units
     due.pot = min(due.pot, due.depth)
     due.most = plan.usual_rate * SHARE_PART
--- a/cherrygrade/gateway/links.py
+++ b/cherrygrade/gateway/links.py
@@ -31,7 +31,7 @@
     WriteSend,
 )
 
-CODES = {0: Outcome.OK, 1: Outcome.ERRORED, 2: Outcome.FULL, 3: Outcome.UNSENT, 4: Outcome.UNSENT}
+CODES = {0: Outcome.OK, 1: Outcome.FAILED, 2: Outcome.REJECTED, 3: Outcome.NOT_SENT, 4: Outcome.NOT_SENT}
 STALE = (3, 4)
 
 
@@ -45,8 +45,8 @@
 
     def begin(self, line: NodeLine, stream: int) -> None:
         self.line, self.stream = line, stream
-        self.low = min(out.rpc.start for out in self.parts)
-        self.high = max(out.rpc.start + out.rpc.length for out in self.parts)
+        self.low = min(out.request.offset for out in self.parts)
+        self.high = max(out.request.offset + out.request.length for out in self.parts)
 
 
 class NodeLine:
@@ -73,7 +73,7 @@
         if flight is None or message.code or length != flight.high - flight.low:
             return None
         self.receiving = flight
-        held = flight.parts[0].rpc
+        held = flight.parts[0].request
         if len(flight.parts) == 1 and isinstance(held, InflightRequest) and held.place is not None:
             return held.place if held.length == length else None
         return bytearray(length)
@@ -101,30 +101,30 @@
             if answer.id > self.last:
                 self.conn.close("an answer to a send that was never made")
             return
-        code = CODES.get(answer.code, Outcome.ERRORED)
+        code = CODES.get(answer.code, Outcome.FAILED)
         alone = len(flight.parts) == 1
         for out in flight.parts:
-            held, outcome, mine = out.rpc, code, body
+            held, outcome, mine = out.request, code, body
             assert isinstance(held, InflightRequest)
-            first = held.start - flight.low
-            if outcome is Outcome.OK and not held.writes:
+            first = held.offset - flight.low
+            if outcome is Outcome.OK and not held.is_write:
                 if (0 if body is None else len(body)) != flight.high - flight.low:
-                    outcome = Outcome.ERRORED  # not the bytes that were asked for
+                    outcome = Outcome.FAILED  # not the bytes that were asked for
                 elif body is not None and not (alone and held.length == len(body)):
                     mine = memoryview(body)[first : first + held.length]
             if outcome is Outcome.OK and any(
-                at < held.start + held.length and held.start < at + length for at, length in answer.failed
+                at < held.offset + held.length and held.offset < at + length for at, length in answer.failed
             ):
-                outcome = Outcome.ERRORED  # its own bytes did not come; those of its mates did
+                outcome = Outcome.FAILED  # its own bytes did not come; those of its mates did
             elif answer.code in STALE:
                 if held.version < 0:
-                    outcome = Outcome.ERRORED
+                    outcome = Outcome.FAILED
                 else:
                     self.link.stale(held)
-            out.load = answer.load
-            if out.lead is None:
-                out.elsewhere = max(0.0, answer.elsewhere)
-                out.used = answer.used if answer.used >= 0.0 else None
+            out.load_report = answer.load
+            if out.carried_by is None:
+                out.units_elsewhere = max(0.0, answer.elsewhere)
+                out.plan_use = answer.used if answer.used >= 0.0 else None
             self.link.part_ended(out, outcome, mine)
         self.link.flight_over(self)
 
@@ -138,7 +138,7 @@
 
 
 def _start_of(out: InflightAttempt) -> int:
-    return out.rpc.start
+    return out.request.offset
 
 
 class Link:
@@ -206,22 +206,24 @@
         flight.begin(carried, carried.last)
         carried.flights[flight.stream] = flight
         self.pool.took(carried.line)
-        lead, others = flight.parts[0], [(out.rpc.id, out.number) for out in flight.parts[1:]]
-        held, now = lead.rpc, self.rounds.clock()
+        lead, others = flight.parts[0], [(out.request.id, out.number) for out in flight.parts[1:]]
+        held, now = lead.request, self.rounds.clock()
         assert isinstance(held, InflightRequest) and held.workload is not None
-        limit = max(out.rpc.give_up_ms for out in flight.parts) - now
-        length, units = flight.high - flight.low, lead.units or held.units
-        if held.writes:
+        limit = max(out.request.deadline_ms for out in flight.parts) - now
+        length, units = flight.high - flight.low, lead.coalesced_units or held.units
+        if held.is_write:
             ask = held.ask
             assert isinstance(ask, WriteRpc)
-            tokened = held.workload.effect is Idempotency.TOKENED
+            tokened = held.workload.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
             bodies = [
-                out.rpc.body
+                out.request.body
                 for out in sorted(flight.parts, key=_start_of)
-                if isinstance(out.rpc, InflightRequest)
+                if isinstance(out.request, InflightRequest)
             ]
             rooms = [
-                out.claim or out.rpc.room() for out in flight.parts if isinstance(out.rpc, InflightRequest)
+                out.claim or out.request.room()
+                for out in flight.parts
+                if isinstance(out.request, InflightRequest)
             ]
             holds = [claim for claim in rooms if claim is not None]
             for claim in holds:
@@ -236,9 +238,9 @@
                     units,
                     limit,
                     lead.number,
-                    held.hosts,
+                    held.dispatchers,
                     ask.token if tokened else b"",
-                    held.workload.token_ms if tokened else 0.0,
+                    held.workload.deduplication_window_ms if tokened else 0.0,
                     ask.append,
                     held.version,
                     others,
@@ -259,7 +261,7 @@
                     units,
                     limit,
                     lead.number,
-                    held.hosts,
+                    held.dispatchers,
                     held.version,
                     others,
                 )
@@ -318,7 +320,7 @@
                 self.part_ended(out, Outcome.RESET)
         if never and not any(line.ready for line in self.pool.lines):
             # Nothing of these left this process. They are told at once: the module knows what to do about it.
-            self._keep_back(Outcome.UNCONNECTED)
+            self._keep_back(Outcome.CONNECT_FAILED)
         self.pump()
 
     def _keep_back(self, outcome: Outcome) -> None:
@@ -331,12 +333,12 @@
     def part_ended(
         self, out: InflightAttempt, outcome: Outcome, body: bytearray | memoryview | None = None
     ) -> None:
-        self.wheel.drop(out, out.slot)
+        self.wheel.drop(out, out.timer_slot)
         self.rounds.outcome(out, outcome, body)
         flight: Flight | None = out.flight
         claim, out.claim = out.claim, None
         if flight is not None and flight.line is not None and flight.line.receiving is flight:
-            held = out.rpc  # nobody waits for its bytes any more, but they go on coming in
+            held = out.request  # nobody waits for its bytes any more, but they go on coming in
             if claim is None and isinstance(held, InflightRequest) and (claim := held.room()) is not None:
                 claim.pin()
             if claim is not None:
@@ -363,7 +365,7 @@
             flight.parts.remove(out)
             if not flight.parts:
                 self.waiting.remove(flight)
-            self.part_ended(out, Outcome.UNSENT)
+            self.part_ended(out, Outcome.NOT_SENT)
             return
         if flight.line.flights.get(flight.stream) is not flight:
             return
@@ -377,8 +379,8 @@
 
     def standing_heard(self) -> None:
         """The list spoke of the node: where nothing new may go to it, what has not left stays here."""
-        if self.node.standing is not NodeState.LIVE:
-            self._keep_back(Outcome.UNSENT)
+        if self.node.state is not NodeState.LIVE:
+            self._keep_back(Outcome.NOT_SENT)
 
     def close(self) -> None:
         for handle in (self._again, self._sweep):
@@ -386,6 +388,6 @@
                 handle.cancel()
         for task in [*self._tasks]:
             task.cancel()
-        self._keep_back(Outcome.UNSENT)
+        self._keep_back(Outcome.NOT_SENT)
         for carried in [*self.lines.values()]:
             self._let_go(carried, "dispatcher leaves")
--- a/cherrygrade/gateway/process.py
+++ b/cherrygrade/gateway/process.py
@@ -74,7 +74,7 @@
         none."""
         self.place, self.trade, self.bounds, self.lines_, self.log = place, trade, bounds, lines, log
         self.name, self.most_body, self.most_open = place.name, bounds.most_body, bounds.most_open
-        self.hello_ms, self.come_back_ms = bounds.hello_ms, bearings.permits.come_back_ms
+        self.hello_ms, self.come_back_ms = bounds.hello_ms, bearings.permits.max_retry_after_ms
         self.leaving, self._lingering = False, True
         self.held: dict[
             InflightRequest | RangeRequest, None
@@ -132,7 +132,7 @@
             place.register,
             place.name,
             Book(self.nodes),
-            bearings.permits.must_ask,
+            bearings.permits.polls_endpoints,
             self.rounds.clock,
             self._heard,
             self.ranges.heard,
@@ -306,15 +306,15 @@
             workload=self.trade.workloads.get(ask.workload),
             plan=volume.plan if volume else None,
             volume=ask.volume,
-            hosts=volume.hosts if volume else 1,
+            dispatchers=volume.hosts if volume else 1,
             key=key,
             shard=shard,
             units=self.trade.measure.units(length),
-            give_up_ms=until,
-            writes=isinstance(ask, WriteRpc),
-            repeat=ask.repeat,
+            deadline_ms=until,
+            is_write=isinstance(ask, WriteRpc),
+            is_retry=ask.repeat,
             id=f"{session.name}:{ask.id}",
-            start=start,
+            offset=start,
             length=length,
             session=session,
             ask=ask,
@@ -339,9 +339,9 @@
         session, work = held.session, held.workload
         assert session is not None
         # Room was taken before, or there is nothing to bring while it is not known where it lies.
-        whole = held.writes or (held.range is not None and (not held.range.streams or held.extent < 0))
+        whole = held.is_write or (held.range is not None and (not held.range.streams or held.extent < 0))
         if work is not None and held.length and not whole and not session.pays(held, work.name):
-            left = held.give_up_ms - self.rounds.clock()
+            left = held.deadline_ms - self.rounds.clock()
             held.claim = self.rooms.ask(session.account, work.name, held.volume, held.length, held, left)
         if not waits(held.claim):
             self.rounds.take(held)
@@ -364,7 +364,7 @@
 
     def turn_away(self, held: InflightRequest) -> None:
         """No room came in its time: it never was the module's."""
-        held.over = True
+        held.finished = True
         if held.range is not None:
             held.range.rejected(held, self.come_back_ms)
         elif held.ask is not None:
@@ -382,7 +382,7 @@
 
     def pin_sends(self, held: InflightRequest, claim: Claim) -> None:
         """The RPC is over, its sends are not: their bytes have to go, or to come in."""
-        for out in held.sends:
+        for out in held.attempts:
             if (
                 isinstance(out, InflightAttempt)
                 and out.outcome is None
@@ -407,7 +407,7 @@
 
     def look_again(self) -> None:
         """RPCs that waited for their place have one now: the module looks at them as after a list."""
-        self.rounds.inbox.heard += [*self.nodes.by_address.values()][:1]
+        self.rounds.inputs.endpoint_changes += [*self.nodes.by_address.values()][:1]
         self.rounds.stir()
 
     # The fleet's configuration.
@@ -466,10 +466,10 @@
         for one in held:  # its volume's plan is today's; its workload is that which it was taken with
             dealt = into.trade.volumes.get(one.volume)
             if dealt is not None and one.plan is not None:
-                one.plan, one.hosts = dealt.plan, dealt.hosts
+                one.plan, one.dispatchers = dealt.plan, dealt.hosts
         self._in_force, self._unsure = (site, version, stage), not sure
         self.trade, self.bounds = into.trade, site.bounds
-        self.come_back_ms = self.watch.come_back_ms = into.bearings.permits.come_back_ms
+        self.come_back_ms = self.watch.come_back_ms = into.bearings.permits.max_retry_after_ms
         self.agent.core.record = max(into.counts)
         self.rounds.stir()
 
@@ -487,9 +487,9 @@
             link = self.links.get(node)
             if link is not None:
                 link.standing_heard()
-        self.rounds.inbox.heard += nodes
+        self.rounds.inputs.endpoint_changes += nodes
         if answered is not None:
-            self.rounds.inbox.list_answered = answered
+            self.rounds.inputs.endpoint_list_received = answered
         self.rounds.stir()
 
     # What rounds carry out.
@@ -498,13 +498,13 @@
         if self._unsure and self._in_force is not None and self._sure():
             self._go_over(*self._in_force)
         if self.agent is not None:
-            for send in self.rounds.inbox.answers:
+            for send in self.rounds.inputs.outcomes:
                 self.agent.met(send)
         for out in self.wheel.due(now):
             self.links[out.node].give_up(out, Outcome.TIMED_OUT)
 
     def carry(self, out: InflightAttempt, limit_ms: float) -> None:
-        if out.lead is not None:
+        if out.carried_by is not None:
             return  # it goes with the one that carries it
         link = self.links.get(out.node)
         if link is None:
@@ -521,16 +521,16 @@
                 self.rooms.unpin,
             )
         outs = [out]
-        if out.mates:
-            outs += [mate for mate in out.mates if isinstance(mate, InflightAttempt)]
-            self.ranges.joined += len(out.mates)
+        if out.coalesced:
+            outs += [mate for mate in out.coalesced if isinstance(mate, InflightAttempt)]
+            self.ranges.joined += len(out.coalesced)
         for one in outs:
-            one.slot = self.wheel.put(one, one.rpc.give_up_ms)
+            one.timer_slot = self.wheel.put(one, one.request.deadline_ms)
         link.carry(outs)
         self._alarm.set()
 
     def withdraw(self, out: InflightAttempt) -> None:
-        self.wheel.drop(out, out.slot)
+        self.wheel.drop(out, out.timer_slot)
         self.links[out.node].give_up(out, Outcome.CANCELLED)
 
     def answer_ok(self, held: InflightRequest, out: InflightAttempt) -> None:
@@ -538,7 +538,7 @@
             held.range.ok(held)
             return
         assert held.ask is not None
-        self.final(held, Ok(held.ask.id, out.node.shard), None if held.writes else held.body)
+        self.final(held, Ok(held.ask.id, out.node.shard), None if held.is_write else held.body)
 
     def answer_rejected(self, held: InflightRequest, come_back_ms: float) -> None:
         if held.range is not None:
@@ -557,7 +557,7 @@
             held.range.errored(held)
             return
         assert held.ask is not None
-        last = held.sends[-1].outcome if held.sends else None
+        last = held.attempts[-1].outcome if held.attempts else None
         self.final(held, Errored(held.ask.id, f"last send: {last.value}" if last else ""))
 
     def final(
--- a/cherrygrade/gateway/roster.py
+++ b/cherrygrade/gateway/roster.py
@@ -41,9 +41,9 @@
             if entry.start > known:
                 # Its age is told as of the word, so its birth is taken once: later words come later still.
                 self._starts[entry.address] = entry.start
-                node.born_ms = now - entry.age_ms
+                node.started_ms = now - entry.age_ms
             node.zone, node.kind, node.shard, node.size = entry.zone, entry.kind, entry.shard, entry.size
-            node.standing = STANDINGS.get(entry.standing, NodeState.GONE)
+            node.state = STANDINGS.get(entry.standing, NodeState.GONE)
             named.append(node)
         self.epoch, self.version, self.gap = roster.epoch, roster.version, False
         return self.nodes.told(named, roster.full)
--- a/cherrygrade/gateway/rounds.py
+++ b/cherrygrade/gateway/rounds.py
@@ -44,7 +44,7 @@
         crashed: Callable[[Exception, str], None],
         log: Callable[[str], None],
     ) -> None:
-        self.inbox = RoundInputs()
+        self.inputs = RoundInputs()
         self.now = 0.0
         self.count = 0
         self.module, self._carrier, self._crashed, self._log = dispatcher, carrier, crashed, log
@@ -78,19 +78,19 @@
             self._carrier.answer_ok(held, out)
 
     def take(self, held: InflightRequest) -> None:
-        self.inbox.taken.append(held)
+        self.inputs.arrivals.append(held)
         self.stir()
 
     def leave(self, held: InflightRequest) -> None:
         """The client does not want the answer any more."""
-        if not held.over:
-            held.over = True
-            self.inbox.left.append(held)
+        if not held.finished:
+            held.finished = True
+            self.inputs.cancellations.append(held)
             self.stir()
 
     def hear(self, peer: int, payload: bytes) -> None:
         """A word of another dispatcher came."""
-        self.inbox.words.append((peer, payload))
+        self.inputs.gossip.append((peer, payload))
         self.stir()
 
     def outcome(
@@ -99,19 +99,19 @@
         """A send ended. The first word counts; the caller has let go of it everywhere else."""
         if out.outcome is not None:
             return
-        held, now = out.rpc, self.clock()
+        held, now = out.request, self.clock()
         assert isinstance(held, InflightRequest)
-        out.took_ms = now - out.sent_ms
-        if outcome is Outcome.OK and not held.over:
-            if now >= held.give_up_ms:  # it would come after the client's time is up
+        out.latency_ms = now - out.sent_ms
+        if outcome is Outcome.OK and not held.finished:
+            if now >= held.deadline_ms:  # it would come after the client's time is up
                 outcome = Outcome.TIMED_OUT
             else:
-                held.over = True
+                held.finished = True
                 if body is not None:
                     held.body = body
                 self._oks.append((held, out))
         out.outcome = outcome
-        self.inbox.answers.append(out)
+        self.inputs.outcomes.append(out)
         self.stir()
 
     def _round(self) -> None:
@@ -130,13 +130,14 @@
         self._carrier.before_round(self.now)
         oks, self._oks = self._oks, []
         try:
-            self.inbox.decide(self.module, self.now, self)
+            self.inputs.decide(self.module, self.now, self)
         except Exception as trouble:  # the module's fault: nothing it wrote in this round can be trusted
             self._ended = True
-            came = self.inbox
+            inputs = self.inputs
             told = (
-                f"round {self.count} at {self.now:.3f} ms: {len(came.taken)} taken, "
-                f"{len(came.answers)} answers, {len(came.left)} left, {len(came.heard)} heard"
+                f"round {self.count} at {self.now:.3f} ms: {len(inputs.arrivals)} taken, "
+                f"{len(inputs.outcomes)} answers, {len(inputs.cancellations)} left, "
+                f"{len(inputs.endpoint_changes)} heard"
             )
             for held, out in oks:
                 self._carrier.answer_ok(held, out)
@@ -151,8 +152,8 @@
     # The writer.
 
     def send(self, rpc: Request, node: Node, limit_ms: float) -> Attempt:
-        out = InflightAttempt(rpc=rpc, node=node, number=len(rpc.sends), sent_ms=self.now)
-        rpc.sends.append(out)
+        out = InflightAttempt(request=rpc, node=node, number=len(rpc.attempts), sent_ms=self.now)
+        rpc.attempts.append(out)
         self._todo.append((self._carrier.carry, (out, limit_ms)))
         return out
 
@@ -160,11 +161,11 @@
         self._todo.append((self._carrier.withdraw, (send,)))
 
     def reject(self, rpc: Request, come_back_ms: float) -> None:
-        rpc.over = True
+        rpc.finished = True
         self._todo.append((self._carrier.answer_rejected, (rpc, come_back_ms)))
 
     def error(self, rpc: Request) -> None:
-        rpc.over = True
+        rpc.finished = True
         self._todo.append((self._carrier.answer_errored, (rpc,)))
 
     def wake(self, after_ms: float) -> None:
--- a/cherrygrade/inflight.py
+++ b/cherrygrade/inflight.py
@@ -131,11 +131,11 @@
 
     flight: Any = None
     """The frame; of the link that carries it."""
-    slot: int = 0
+    timer_slot: int = 0
     """Of the wheel of time-outs."""
     claim: Claim | None = None
     """Pinned where the RPC is over before it."""
-    until_ms: float = 0.0
+    expires_ms: float = 0.0
     """When its answer is waited for no longer."""
     exchange: Any = None
     """The connection that carries it alone."""
--- a/cherrygrade/lab/audits/audit.py
+++ b/cherrygrade/lab/audits/audit.py
@@ -270,7 +270,7 @@
 
 
 def _twice(ev: Evidence, verdict: Verdict) -> None:
-    copies = ev.site.bearings.permits.copies
+    copies = ev.site.bearings.permits.allows_hedging
     for origin, sends in ev.by_origin.items():
         asked = ev.asked.get(origin)
         if asked is None:
@@ -285,23 +285,27 @@
                     f"{origin}: two sends out, node {earlier.node} until {earlier.end:.1f} "
                     f"({earlier.how}), node {later.node} from {later.at:.1f}"
                 )
-        if work.effect is Idempotency.IDEMPOTENT:
+        if work.idempotency is Idempotency.IDEMPOTENT:
             continue
-        if work.effect is Idempotency.NON_IDEMPOTENT and len(ran) > 1:
+        if work.idempotency is Idempotency.NON_IDEMPOTENT and len(ran) > 1:
             verdict.convict(
                 f"{origin} ({asked.workload}): sent {len(ran)} times though it may have run "
                 f"({', '.join(f'node {s.node} at {s.at:.1f} {s.how}' for s in ran)})"
             )
-        if work.effect is Idempotency.TOKENED and ran:
+        if work.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and ran:
             for seen in sends:
-                if seen.at > ran[0].at + work.token_ms + SLACK_MS:
+                if seen.at > ran[0].at + work.deduplication_window_ms + SLACK_MS:
                     verdict.convict(
                         f"{origin}: sent again {seen.at - ran[0].at:.0f} ms after it may have run"
                     )
-                if work.group == "cell" and seen.at > ran[0].at and seen.node != ran[0].node:
+                if work.deduplication_scope == "cell" and seen.at > ran[0].at and seen.node != ran[0].node:
                     verdict.convict(f"{origin}: sent again outside its group, node {seen.node}")
         rejected = [answer for answer in asked.answers if answer[1] == "rejected"]
-        if rejected and ran and (work.effect is Idempotency.NON_IDEMPOTENT or work.group != "all"):
+        if (
+            rejected
+            and ran
+            and (work.idempotency is Idempotency.NON_IDEMPOTENT or work.deduplication_scope != "all")
+        ):
             verdict.convict(
                 f"{origin} ({asked.workload}): rejected though it may have run at node {ran[0].node}"
             )
@@ -312,7 +316,7 @@
                 counts[op] += sum(data.count(content(op, STAMP)) for _, _, data in held)
     for op, count in counts.items():
         verdict.judged += 1
-        if count > 1 and ev.workload(ev.ops[op][1]).effect is not Idempotency.IDEMPOTENT:
+        if count > 1 and ev.workload(ev.ops[op][1]).idempotency is not Idempotency.IDEMPOTENT:
             verdict.convict(
                 f"operation {op} ({ev.ops[op][1]}) stands {count} times in the bytes of {ev.ops[op][4]}"
             )
@@ -363,7 +367,7 @@
     turns: dict[tuple[str, str], list[Seen]] = defaultdict(list)
     for seen in ev.seen:
         asked = ev.asked.get(seen.origin)
-        if asked is not None and seen.key and ev.workload(asked.workload).in_order:
+        if asked is not None and seen.key and ev.workload(asked.workload).ordered:
             turns[(seen.dispatcher, seen.key)].append(seen)
     for (dispatcher, key), sends in turns.items():
         sends.sort(key=lambda seen: seen.at)
@@ -408,12 +412,12 @@
         took = sorted(taken[host_of(dispatcher)])
         for index, at in enumerate(times):
             verdict.judged += 1
-            made = index + 1 - bisect_right(times, at - budget.span_ms + SLACK_MS)
-            held = bisect_right(took, at) - bisect_right(took, at - budget.span_ms - SLACK_MS)
-            if made > budget.spare + budget.share * held:
+            made = index + 1 - bisect_right(times, at - budget.window_ms + SLACK_MS)
+            held = bisect_right(took, at) - bisect_right(took, at - budget.window_ms - SLACK_MS)
+            if made > budget.min_retries + budget.retry_ratio * held:
                 verdict.convict(
-                    f"{dispatcher}: {made} further sends in the {budget.span_ms:.0f} ms before {at:.1f}, "
-                    f"with {held} RPCs taken: {budget.spare + budget.share * held:.1f} allowed"
+                    f"{dispatcher}: {made} further sends in the {budget.window_ms:.0f} ms before {at:.1f}, "
+                    f"with {held} RPCs taken: {budget.min_retries + budget.retry_ratio * held:.1f} allowed"
                 )
 
 
@@ -426,16 +430,16 @@
         plan = ev.site.trade.volumes[volume].plan
         if not plan.limit_rate:
             continue
-        store, last = plan.limit_depth, 0.0
-        spare = plan.limit_slack + plan.limit_rate * SLACK_MS / 1000.0
+        store, last = plan.limit_burst, 0.0
+        spare = plan.limit_tolerance + plan.limit_rate * SLACK_MS / 1000.0
         for at, units in sorted(times):
             verdict.judged += 1
-            store = min(plan.limit_depth, store + plan.limit_rate * (at - last) / 1000.0) - units
+            store = min(plan.limit_burst, store + plan.limit_rate * (at - last) / 1000.0) - units
             last = at
             if store < -spare:
                 verdict.convict(
                     f"volume {volume} at {at:.1f}: {-store:.1f} units past its limit "
-                    f"({plan.limit_rate} a second, {plan.limit_depth} deep)"
+                    f"({plan.limit_rate} a second, {plan.limit_burst} deep)"
                 )
 
 
--- a/cherrygrade/lab/rig/load.py
+++ b/cherrygrade/lab/rig/load.py
@@ -231,7 +231,7 @@
 
     def _again(self, workload: Workload, answer: Answer) -> bool:
         """What a client may try again without harm."""
-        return isinstance(answer, Rejected) or workload.effect is Idempotency.IDEMPOTENT
+        return isinstance(answer, Rejected) or workload.idempotency is Idempotency.IDEMPOTENT
 
     async def _try(
         self,
@@ -270,7 +270,7 @@
         append = stream.verb == "append"
         # An append carries one stamp, so that its effects can be counted from the bytes that nodes hold.
         body = content(op, STAMP if append else max(STAMP, length))
-        token = op.encode() if workload.effect is Idempotency.TOKENED else b""
+        token = op.encode() if workload.idempotency is Idempotency.IDEMPOTENT_WITH_KEY else b""
         return await client.write(
             stream.workload,
             volume,
--- a/cherrygrade/lab/rig/report.py
+++ b/cherrygrade/lab/rig/report.py
@@ -41,16 +41,16 @@
         work = evidence.workload(facts[1])
         volume = evidence.site.trade.volumes[facts[2]]
         one = found.setdefault(facts[1], Service(facts[1]))
-        worth = work.value * volume.plan.price
+        worth = work.priority_weight * volume.plan.price
         kind, took = evidence.done.get(op, ("errored", 0.0))
         one.operations += 1
         one.due += worth
         got = 0.0
         if kind == "ok":
             times[facts[1]].record_value(max(1, int(took * 1000.0)))
-            one.in_time += took <= work.soft_ms
-            one.late += took > work.soft_ms
-            got = worth if took <= work.soft_ms else worth * work.late_part
+            one.in_time += took <= work.latency_objective_ms
+            one.late += took > work.latency_objective_ms
+            got = worth if took <= work.latency_objective_ms else worth * work.late_utility
         else:
             one.rejected += kind == "rejected"
             one.errored += kind == "errored"
--- a/cherrygrade/peers/rooms.py
+++ b/cherrygrade/peers/rooms.py
@@ -41,7 +41,9 @@
     ) -> None:
         # The largest body finds room at any time, alone if need be.
         room, batch = max(pace.room, most_body), max(pace.batch_room, most_body)
-        self.store = Store(room, batch, pace.most_peer, pace.most_slow, earnings.in_share, earnings.beyond)
+        self.store = Store(
+            room, batch, pace.most_peer, pace.most_slow, earnings.within_quota, earnings.beyond_quota
+        )
         self.bounded, self._wait_part = pace.watch, pace.wait_part
         self._works: dict[str, tuple[bool, float, float]] = {}
         self._shares: dict[str, tuple[Share, float]] = {}
@@ -62,14 +64,14 @@
         `volumes` are of RPCs that are held, and stay known where these settings name them no more."""
         works = {name: work for name, work in self._works.items() if name in workloads}
         for name, work in trade.workloads.items():
-            works[name] = (presses(work), work.value, work.soft_ms * self._wait_part)
+            works[name] = (presses(work), work.priority_weight, work.latency_objective_ms * self._wait_part)
         shares = {name: share for name, share in self._shares.items() if name in volumes}
         for name, volume in trade.volumes.items():
             share = self._shares[name][0] if name in self._shares else Share(volume.plan.weight)
             shares[name] = (share, volume.plan.price)
         for name, volume in trade.volumes.items():
             self.store.reweigh(shares[name][0], volume.plan.weight)
-        self.store.in_share, self.store.beyond = earnings.in_share, earnings.beyond
+        self.store.in_share, self.store.beyond = earnings.within_quota, earnings.beyond_quota
         self._works, self._shares = works, shares
 
     def ask(
--- a/cherrygrade/platform/clients.py
+++ b/cherrygrade/platform/clients.py
@@ -77,7 +77,7 @@
     if plan is None:
         raise Fault(400, "X-Storage-Class: unknown")
     writes = message.method == b"PUT"
-    if writes is not workload.writes:
+    if writes is not workload.is_write:
         raise Fault(405, f"{workload.name} is not asked for by this method")
     if message.body and not writes:
         raise Fault(400, "a read has no body")
@@ -93,13 +93,13 @@
         workload=workload,
         plan=plan,
         volume=target[1].decode(),
-        hosts=max(1, int(hosts)),
+        dispatchers=max(1, int(hosts)),
         key=target[2].decode(),
         shard=int(shard),
         units=float(units),
-        give_up_ms=now + left - margin_ms,
-        writes=writes,
-        repeat=fields.get(b"x-again") == b"1",
+        deadline_ms=now + left - margin_ms,
+        is_write=writes,
+        is_retry=fields.get(b"x-again") == b"1",
         id=call.decode(),
         body=memoryview(message.body) if writes else None,
         call=call,
--- a/cherrygrade/platform/listing.py
+++ b/cherrygrade/platform/listing.py
@@ -52,8 +52,8 @@
                 if standing is NodeState.GONE:
                     continue  # never heard of, and gone
                 node = self.nodes.node(host)
-            node.zone, node.kind, node.shard, node.size, node.standing = zone, kind, shard, size, standing
-            node.born_ms = self._clock_of(born) if born else 0.0
+            node.zone, node.kind, node.shard, node.size, node.state = zone, kind, shard, size, standing
+            node.started_ms = self._clock_of(born) if born else 0.0
             self.dials[node] = dial
             named.append(node)
         self.version = version
--- a/cherrygrade/platform/nodes.py
+++ b/cherrygrade/platform/nodes.py
@@ -109,7 +109,7 @@
         out, self.out, ended, self.ended = self.out, None, self.ended, True
         self.pool.lost(self)
         if out is not None and not ended:
-            self.pool.ended(out, Outcome.RESET if self.whole else Outcome.UNCONNECTED)
+            self.pool.ended(out, Outcome.RESET if self.whole else Outcome.CONNECT_FAILED)
 
     def clean(self) -> bool:
         """Nothing came on it since its last answer, not even its end: guards against bytes of before that
@@ -206,7 +206,7 @@
                 if self._may_begin(out):
                     self._begin(connection, out)
                     break
-                self.ended(out, Outcome.UNSENT)
+                self.ended(out, Outcome.NOT_SENT)
             else:
                 self.free.append(connection)
                 self.sockets.idle[connection] = None
@@ -236,20 +236,20 @@
     def _may_begin(self, out: InflightAttempt) -> bool:
         """Looked at as the bytes leave: since it was decided its client may have gone, its node been told to
         drain, its time or the window for repeats been over."""
-        pending, now = out.rpc, self.rounds.clock_now()
+        pending, now = out.request, self.rounds.clock_now()
         assert isinstance(pending, PendingRequest)
-        if pending.over or now >= out.until_ms or self.node.standing is not NodeState.LIVE:
+        if pending.finished or now >= out.expires_ms or self.node.state is not NodeState.LIVE:
             return False
         if pending.client is None or pending.client.look_gone():
             return False
         return self.rounds.module.gate.repeatable(pending, self.node, now, out)
 
     def _begin(self, connection: NodeConnection, out: InflightAttempt) -> None:
-        pending = out.rpc
+        pending = out.request
         assert isinstance(pending, PendingRequest)
         assert pending.workload is not None and pending.plan is not None
         host, port = self._dial(self.node)
-        left = math.floor(out.until_ms - self.rounds.clock_now())
+        left = math.floor(out.expires_ms - self.rounds.clock_now())
         fields = (
             (b"X-Call-Id", pending.call),
             (b"X-Call-Class", pending.workload.name.encode("latin-1")),
@@ -257,7 +257,7 @@
             (b"X-Budget-Ms", b"%d" % max(1, left)),
             *pending.fields,
         )
-        body = bytes(pending.body) if pending.writes and pending.body else b""
+        body = bytes(pending.body) if pending.is_write and pending.body else b""
         connection.begin(out, ask(pending.method, pending.target, f"{host}:{port}".encode(), fields, body))
 
     async def _connect(self, connection: NodeConnection) -> None:
@@ -281,7 +281,7 @@
             # this one's trouble.
             alive = any(one.ready for one in self.connections)
             while len(self.waiting) > (self.making if alive else 0):
-                self.ended(self.waiting.popleft(), Outcome.UNCONNECTED)
+                self.ended(self.waiting.popleft(), Outcome.CONNECT_FAILED)
                 if alive:
                     break
         finally:
@@ -297,7 +297,7 @@
         if self.alive_ms < connection.begun_ms:
             self.late += 1
             if self.late > 1 and len(self.waiting) > self.making:
-                self.ended(self.waiting.popleft(), Outcome.UNCONNECTED)
+                self.ended(self.waiting.popleft(), Outcome.CONNECT_FAILED)
         self.pump()
 
     def _lives(self) -> None:
@@ -335,9 +335,9 @@
         if message.status == 200 and message.framing is not Framing.NONE:
             outcome = Outcome.OK
         elif message.status in (503, 504) and fields.get(b"x-rejected") == b"1":
-            outcome = Outcome.FULL
+            outcome = Outcome.REJECTED
         else:
-            outcome = Outcome.ERRORED
+            outcome = Outcome.FAILED
         self._report(out, fields)
         self.ended(out, outcome, message.body)
         if not connection.ended:
@@ -347,22 +347,22 @@
         """What cannot be read tells nothing."""
         meter, delta = fields.get(b"x-meter", b""), fields.get(b"x-delta", b"")
         if NUMBER.fullmatch(meter):
-            out.used = float(meter) / 100.0
+            out.plan_use = float(meter) / 100.0
         if NUMBER.fullmatch(delta):
-            out.elsewhere = float(delta)
+            out.units_elsewhere = float(delta)
         told = fields.get(b"x-load-report", b"")
         if told.startswith(b"TEXT ") and len(told) < 500:
             for part in told[5:].split(b","):
                 name, _, value = part.strip().partition(b"=")
                 if NAME.fullmatch(name) and NUMBER.fullmatch(value):
-                    out.load[name.decode()] = float(value)
+                    out.load_report[name.decode()] = float(value)
 
     def spoilt(self, out: InflightAttempt) -> None:
         """It has run, and its answer is of no use."""
-        self.ended(out, Outcome.ERRORED)
+        self.ended(out, Outcome.FAILED)
 
     def ended(self, out: InflightAttempt, outcome: Outcome, body: bytes | None = None) -> None:
-        self.wheel.drop(out, out.slot)
+        self.wheel.drop(out, out.timer_slot)
         out.exchange = None
         self.rounds.outcome(out, outcome, memoryview(body) if body is not None else None)
 
@@ -374,7 +374,7 @@
         if connection is None:
             if out in self.waiting:
                 self.waiting.remove(out)
-            self.ended(out, Outcome.UNSENT)
+            self.ended(out, Outcome.NOT_SENT)
             return
         connection.out = None
         connection.drop()
@@ -387,10 +387,10 @@
 
     def standing_heard(self) -> None:
         """The list spoke of the node: where nothing new may go to it, what has not left stays here."""
-        if self.node.standing is not NodeState.LIVE:
+        if self.node.state is not NodeState.LIVE:
             kept, self.waiting = self.waiting, deque()
             for out in kept:
-                self.ended(out, Outcome.UNSENT)
+                self.ended(out, Outcome.NOT_SENT)
 
     @property
     def quiet(self) -> bool:
@@ -398,7 +398,7 @@
         return not self.waiting and all(connection.out is None for connection in self.connections)
 
     def close_idle(self, now: float) -> None:
-        gone = self.node.standing is NodeState.GONE
+        gone = self.node.state is NodeState.GONE
         for connection in [one for one in self.free if gone or now - one.quiet_from >= self.idle_ms]:
             connection.drop()
 
@@ -409,6 +409,6 @@
             task.cancel()
         waiting, self.waiting = self.waiting, deque()
         for out in waiting:
-            self.ended(out, Outcome.UNSENT)
+            self.ended(out, Outcome.NOT_SENT)
         for connection in [*self.connections]:
             connection.drop()
--- a/cherrygrade/platform/process.py
+++ b/cherrygrade/platform/process.py
@@ -264,7 +264,7 @@
         for pool in [*self.pools.values()]:
             pool.close_idle(now)
         for node in [*self.listing.dials]:
-            if node.standing is NodeState.GONE:
+            if node.state is NodeState.GONE:
                 self._forget(node)
         self._timers["sweep"] = asyncio.get_running_loop().call_later(SWEEP_S, self._sweep)
 
@@ -322,7 +322,7 @@
         self.open.pop(pending.call, None)
         pending.client = pending.body = None
         self.rounds.leave(pending)
-        for out in pending.sends:
+        for out in pending.attempts:
             pool = self.pools.get(out.node)
             if out.outcome is None and pool is not None:
                 pool.client_left(out)  # type: ignore[arg-type]
@@ -355,7 +355,7 @@
         pending = read_rpc(message, self.workloads, self.plans, message.begun, ANSWER_MS)
         if pending.call in self.open:
             raise Fault(409, "X-Call-Id: open already")
-        pending.give_up_ms = min(pending.give_up_ms, self._ends_at - ANSWER_MS)
+        pending.deadline_ms = min(pending.deadline_ms, self._ends_at - ANSWER_MS)
         pending.client = client
         self.open[pending.call] = pending
         self.rounds.take(pending)
@@ -373,7 +373,7 @@
             pool = self.pools.get(node)
             if pool is not None:
                 pool.standing_heard()
-        self.rounds.inbox.heard += nodes
+        self.rounds.inputs.endpoint_changes += nodes
         self.rounds.stir()
 
     # What rounds carry out.
@@ -396,8 +396,8 @@
                 self.connect_ms,
                 self.idle_ms,
             )
-        out.until_ms = min(out.rpc.give_up_ms, out.sent_ms + limit_ms)
-        out.slot = self.wheel.put(out, out.until_ms)
+        out.expires_ms = min(out.request.deadline_ms, out.sent_ms + limit_ms)
+        out.timer_slot = self.wheel.put(out, out.expires_ms)
         pool.carry(out)
         self._alarm.set()
 
--- a/cherrygrade/records/load.py
+++ b/cherrygrade/records/load.py
@@ -10,8 +10,17 @@
 
 import msgspec
 
+from cherrygrade.records.frozen_names import with_field_names
 from cherrygrade.records.grammar import Field, RecordSyntaxError, Tree, parse
 from cherrygrade.records.lattice import Vertex, unify
+from cherrygrade.scheduling.model import (
+    RetryBudgetSettings,
+    ServicePlan,
+    SitePolicy,
+    SlowStartSettings,
+    UtilityModel,
+    Workload,
+)
 from cherrygrade.settings import (
     DispatcherIdentity,
     ExtentSettings,
@@ -24,7 +33,6 @@
     SiteSettings,
     TrafficSettings,
     UnitSettings,
-    VolumeSettings,
 )
 
 T = TypeVar("T")
@@ -127,7 +135,7 @@
     place: DispatcherIdentity
     workloads: dict[str, Any]
     plans: dict[str, Any]
-    volumes: dict[str, VolumeSettings]
+    volumes: dict[str, Any]
     measure: UnitSettings
     earnings: Any
     cold: Any
@@ -142,22 +150,43 @@
     fleet: FleetSettings | None = None
 
 
+SCHEDULING_SECTIONS: dict[str, type] = {
+    "earnings": UtilityModel,
+    "cold": SlowStartSettings,
+    "budget": RetryBudgetSettings,
+    "permits": SitePolicy,
+}
+"""Sections of a record that set up the scheduler, and their types."""
+
+
+def _traffic(record: _SiteRecord) -> dict[str, Any]:
+    """The sections on traffic, under the names of the program's types."""
+    return {
+        "workloads": {name: with_field_names(Workload, one) for name, one in record.workloads.items()},
+        "volumes": {
+            name: {**one, "plan": with_field_names(ServicePlan, one["plan"])}
+            for name, one in record.volumes.items()
+        },
+        "measure": record.measure,
+    }
+
+
 def site_from(value: dict[str, Any], where: Callable[[str], str] = lambda key: "") -> SiteSettings:
     """The parts of a site from a checked record; `where` tells a key's place for what is wrong."""
     record = convert({"workloads": {}, "plans": {}, "volumes": {}, **value}, _SiteRecord)
-    given = {name: value[name] for name in ("earnings", "cold", "budget", "permits") if name in value}
-    trade = convert(
-        {"workloads": record.workloads, "volumes": record.volumes, "measure": record.measure}, TrafficSettings
-    )
+    trade = convert(_traffic(record), TrafficSettings)
     cuts = record.extents
-    given["permits"] = {
-        **value["permits"],
-        "join_length": cuts.most_join if cuts.merge else 0,
-        "join_most": cuts.most_mates,
-        "unit_length": record.measure.bytes_per_unit,
-        "least_units": record.measure.least_units,
+    scheduling: dict[str, Any] = {"key_rest_ms": record.key_rest_ms}
+    for name, kind in SCHEDULING_SECTIONS.items():
+        if name in value:
+            scheduling[name] = with_field_names(kind, value[name])
+    scheduling["permits"] |= {
+        "max_coalesced_bytes": cuts.most_join if cuts.merge else 0,
+        "max_coalesced_requests": cuts.most_mates,
+        "bytes_per_unit": record.measure.bytes_per_unit,
+        "min_units": record.measure.least_units,
     }
-    bearings = convert({**given, "key_rest_ms": record.key_rest_ms}, SchedulingSettings)
+    bearings = convert(scheduling, SchedulingSettings)
     site = SiteSettings(
         record.place,
         trade,
--- a/cherrygrade/scheduling/model.py
+++ b/cherrygrade/scheduling/model.py
@@ -15,7 +15,7 @@
     """What a second run of an RPC would do."""
 
     IDEMPOTENT = "idempotent"
-    TOKENED = "tokened"
+    IDEMPOTENT_WITH_KEY = "tokened"
     NON_IDEMPOTENT = "non-idempotent"
 
 
@@ -23,17 +23,17 @@
     """How one send ended."""
 
     OK = "ok"
-    ERRORED = "errored"
-    FULL = "turned away"
+    FAILED = "errored"
+    REJECTED = "turned away"
     TIMED_OUT = "timed out"
-    UNCONNECTED = "unconnected"
+    CONNECT_FAILED = "unconnected"
     RESET = "reset"
     CANCELLED = "cancelled"
-    UNSENT = "unsent"
+    NOT_SENT = "unsent"
 
     @property
     def never_ran(self) -> bool:
-        return self in (Outcome.FULL, Outcome.UNCONNECTED, Outcome.UNSENT)
+        return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
     @property
     def may_still_run(self) -> bool:
@@ -51,16 +51,16 @@
 @dataclass(frozen=True, slots=True)
 class Workload:
     name: str
-    soft_ms: float
+    latency_objective_ms: float
     deadline_ms: float
-    value: float
-    late_part: float = 0.0
-    effect: Idempotency = Idempotency.IDEMPOTENT
-    group: str = "all"
-    token_ms: float = 0.0
-    in_order: bool = False
+    priority_weight: float
+    late_utility: float = 0.0
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    deduplication_scope: str = "all"
+    deduplication_window_ms: float = 0.0
+    ordered: bool = False
     streamed: bool = False
-    writes: bool = False
+    is_write: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,65 +73,65 @@
     usual_rate: float = 0.0
     reserve_rate: float = 0.0
     limit_rate: float = 0.0
-    limit_depth: float = 0.0
-    limit_slack: float = 0.0
+    limit_burst: float = 0.0
+    limit_tolerance: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStartSettings:
     """What a node that has just come up bears, from all dispatchers together."""
 
-    units: float = 0.0
-    share: float = 1.0
-    multiple: float = 1.0
-    span_ms: float = 0.0
-    warm_ms: float = 0.0
+    base_units: float = 0.0
+    cold_capacity: float = 1.0
+    overload_multiple: float = 1.0
+    window_ms: float = 0.0
+    warm_up_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetSettings:
     """Sends beyond an RPC's first that one dispatcher may make in any span."""
 
-    spare: float
-    share: float
-    span_ms: float
+    min_retries: float
+    retry_ratio: float
+    window_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class UtilityModel:
     """What units earn outside their volume's reserve, and how its use is told."""
 
-    in_share: float = 1.0
-    beyond: float = 1.0
+    within_quota: float = 1.0
+    beyond_quota: float = 1.0
     mean_units: float = 1.0
     largest_units: float = 1.0
-    meter_ms: float = 0.0
-    tells_elsewhere: bool = False
+    meter_period_ms: float = 0.0
+    reports_use_elsewhere: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class SitePolicy:
     """What the site lets a dispatcher do."""
 
-    most_sends: int = 1
-    copies: bool = False
-    cancel: bool = False
-    probe: bool = False
-    come_back_ms: float = 0.0
+    max_attempts: int = 1
+    allows_hedging: bool = False
+    allows_cancel: bool = False
+    allows_health_checks: bool = False
+    max_retry_after_ms: float = 0.0
     """The longest come-back time a client heeds; 0 where none may be given."""
-    peers: bool = False
+    allows_gossip: bool = False
     """Dispatchers may send each other short messages."""
-    marks_repeats: bool = False
+    clients_mark_retries: bool = False
     """Clients mark their repeats; else a short time left stands for the mark."""
-    must_ask: bool = False
-    ask_within_ms: float = 0.0
-    join_length: int = 0
+    polls_endpoints: bool = False
+    max_poll_interval_ms: float = 0.0
+    max_coalesced_bytes: int = 0
     """Most bytes of a send that several RPCs share; 0: none is shared."""
-    join_most: int = 64
+    max_coalesced_requests: int = 64
     """Most RPCs that a send carries beside its own."""
-    unit_length: float = 0.0
+    bytes_per_unit: float = 0.0
     """Bytes of a unit, and the least units of a send: the work of a shared one."""
-    least_units: float = 1.0
+    min_units: float = 1.0
 
 
 @dataclass(slots=True, eq=False)
@@ -142,9 +142,9 @@
     zone: str = ""
     kind: str = ""
     shard: int = -1
-    standing: NodeState = NodeState.LIVE
+    state: NodeState = NodeState.LIVE
     size: float = 1.0
-    born_ms: float = 0.0
+    started_ms: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
@@ -154,19 +154,19 @@
     workload: Workload | None
     plan: ServicePlan | None
     volume: str
-    hosts: int
+    dispatchers: int
     key: str
     shard: int
     units: float
-    give_up_ms: float
-    writes: bool = False
-    repeat: bool = False
+    deadline_ms: float
+    is_write: bool = False
+    is_retry: bool = False
     id: str = ""
-    sends: list[Attempt] = field(default_factory=list)
-    over: bool = False
-    start: int = 0
+    attempts: list[Attempt] = field(default_factory=list)
+    finished: bool = False
+    offset: int = 0
     length: int = 0
-    joins: bool = False
+    coalescable: bool = False
     """May share a send with neighbours of its volume and key: bytes from start, length of them."""
 
 
@@ -174,22 +174,22 @@
 class Attempt:
     """One send of an RPC; the host fills in the outcome once it is known."""
 
-    rpc: Request
+    request: Request
     node: Node
     number: int
     sent_ms: float
     outcome: Outcome | None = None
-    took_ms: float = 0.0
-    used: float | None = None
+    latency_ms: float = 0.0
+    plan_use: float | None = None
     """Use of the volume everywhere in a finished period, as a part of its plan's usual rate."""
-    elsewhere: float = 0.0
+    units_elsewhere: float = 0.0
     """Units this node did for the volume through other dispatchers since its last answer here."""
-    load: dict[str, float] = field(default_factory=dict)
-    units: float = 0.0
+    load_report: dict[str, float] = field(default_factory=dict)
+    coalesced_units: float = 0.0
     """Work of a send that carries others too; 0: its RPC's own."""
-    mates: list[Attempt] | None = None
+    coalesced: list[Attempt] | None = None
     """Those that it carries."""
-    lead: Attempt | None = None
+    carried_by: Attempt | None = None
     """The one that carries it: one send on the wire, told apart by RPC in all else."""
 
 
@@ -197,21 +197,21 @@
     """The other dispatchers, as the module needs them: who pools what is known of a node. This one counts
     them as they were numbered; a host whose dispatchers know each other gives another."""
 
-    yields = False
+    forfeits_quota = False
     """This dispatcher's parts of cold nodes and of limits are another's, or nobody's as yet."""
 
     def __init__(self, dispatchers: int) -> None:
         self.dispatchers = dispatchers
-        self.counts: tuple[int, ...] = (dispatchers,)
+        self.dispatcher_counts: tuple[int, ...] = (dispatchers,)
         """Dispatchers that parts are dealt out over: two numbers while parts move from one to the other, and
         then each uses the smaller of its two parts."""
 
-    def keeper(self, node: int) -> int:
+    def aggregator(self, node: int) -> int:
         """Number of the dispatcher that keeps the node, told by the mark that words name it by; -1:
         nobody."""
         return node % self.dispatchers
 
-    def tells(self, node: int, now: float) -> bool:
+    def publishes(self, node: int, now: float) -> bool:
         """This dispatcher keeps the node, and has for long enough to know what is out there."""
         return True
 
--- a/cherrygrade/scheduling/round_inputs.py
+++ b/cherrygrade/scheduling/round_inputs.py
@@ -18,24 +18,24 @@
         self.clear()
 
     def clear(self) -> None:
-        self.taken: list[Request] = []
-        self.answers: list[Attempt] = []
-        self.left: list[Request] = []
-        self.heard: list[Node] = []
-        self.list_answered: bool | None = None
-        self.words: list[tuple[int, bytes]] = []
+        self.arrivals: list[Request] = []
+        self.outcomes: list[Attempt] = []
+        self.cancellations: list[Request] = []
+        self.endpoint_changes: list[Node] = []
+        self.endpoint_list_received: bool | None = None
+        self.gossip: list[tuple[int, bytes]] = []
 
     def decide(self, dispatcher: Scheduler, now: float, writer: DecisionSink) -> None:
         """One round of the module with all that came in."""
         dispatcher.decide(
             now,
             writer,
-            taken=self.taken,
-            answers=self.answers,
-            left=self.left,
-            heard=self.heard,
-            list_answered=self.list_answered,
-            words=self.words,
+            arrivals=self.arrivals,
+            outcomes=self.outcomes,
+            cancellations=self.cancellations,
+            endpoint_changes=self.endpoint_changes,
+            endpoint_list_received=self.endpoint_list_received,
+            gossip=self.gossip,
         )
         self.clear()
 
@@ -67,7 +67,7 @@
             return heard
         for address in sorted(self._listed - addresses):
             node = self.by_address[address]
-            node.standing = NodeState.GONE
+            node.state = NodeState.GONE
             heard.append(node)
         self._listed = addresses
         return heard
--- a/cherrygrade/scheduling/scheduler.py
+++ b/cherrygrade/scheduling/scheduler.py
@@ -55,7 +55,7 @@
 
 def presses(workload: Workload, top: float, tight: float) -> bool:
     """Work of high value and a near soft deadline, against the highest and the nearest of the site."""
-    return workload.value * 2.0 > top and workload.soft_ms <= 2.0 * tight
+    return workload.priority_weight * 2.0 > top and workload.latency_objective_ms <= 2.0 * tight
 
 
 class VolumeQuota:
@@ -64,7 +64,7 @@
     def __init__(self, plan: ServicePlan, hosts: int, now: float, earnings: UtilityModel) -> None:
         self.plan, self.hosts, self.seen = plan, hosts, now
         # Ours is all of the due, less what nodes tell of others' use; where they don't, an even part.
-        self.part = 1.0 if earnings.tells_elsewhere else 1.0 / hosts
+        self.part = 1.0 if earnings.reports_use_elsewhere else 1.0 / hosts
         self.pot = self.depth = plan.reserve_rate * self.part + earnings.largest_units
         self.open = self.most = plan.usual_rate * SHARE_PART  # units inside the share, of a second
         self.store = 0.0  # of the plan's limit; empty at the start, as a dispatcher before this one had it
@@ -73,7 +73,7 @@
         plan, gap, self.seen = self.plan, (now - self.seen) / 1000.0, now
         self.open = min(self.most, self.open + self.most * gap)
         self.pot = min(self.depth, self.pot + plan.reserve_rate * self.part * gap)
-        self.store = min(plan.limit_depth / self.hosts, self.store + plan.limit_rate / self.hosts * gap)
+        self.store = min(plan.limit_burst / self.hosts, self.store + plan.limit_rate / self.hosts * gap)
 
     def shares(self, units: float) -> bool:
         """Take units from the share; one that it does not hold whole is beyond it and leaves it empty."""
@@ -104,7 +104,7 @@
 
     @property
     def out(self) -> bool:
-        return None in [send.outcome for send in self.rpc.sends]
+        return None in [send.outcome for send in self.rpc.attempts]
 
     def join(self, queue: list[QueuedRequest] | None) -> None:
         """Leave the queue it stands in for this one, or for none."""
@@ -114,7 +114,7 @@
             self.near[self.rpc.key].remove(self)
             if not self.near[self.rpc.key]:
                 del self.near[self.rpc.key]
-        self.near = self.lane.near if queue is not None and self.rpc.joins else None
+        self.near = self.lane.near if queue is not None and self.rpc.coalescable else None
         if self.near is not None:
             self.near.setdefault(self.rpc.key, []).append(self)
         self.queue = queue
@@ -148,7 +148,7 @@
         self.place = crc32(node.address.encode()) & 0xFFFF
         self.last_answer, self.errors, self.warm_from, self.struck_at = now, 0.0, -1e12, 0.0
         # Units sent in the span. A dispatcher before this one may have spent it, unless the node is younger.
-        self.cold = [(now, NEVER)] if node.born_ms <= begun else []
+        self.cold = [(now, NEVER)] if node.started_ms <= begun else []
 
     def known(self, now: float) -> bool:
         """The keeper's word stands for what is seen here."""
@@ -180,12 +180,18 @@
 
     def riders(self) -> list[QueuedRequest]:
         """An RPC on the key sent last costs a node much less right behind it: one goes beyond the window."""
-        key = self.last.rpc.key if self.last and not (self.last.outcome or self.rode or self.strikes) else ""
+        key = (
+            self.last.request.key
+            if self.last and not (self.last.outcome or self.rode or self.strikes)
+            else ""
+        )
         return [job for job in [*self.pressed, *self.batch] if job.rpc.key == key] if key else []
 
     def went(self, job: QueuedRequest, send: Attempt) -> None:
         self.last, self.sends[send] = send, job
-        job.overdue = send.sent_ms + 1.5 * self.tight + self.expected(send.units or send.rpc.units)
+        job.overdue = (
+            send.sent_ms + 1.5 * self.tight + self.expected(send.coalesced_units or send.request.units)
+        )
         self.rode, job.lost = self.busy >= self.slots(), False
         self.busy, self.batch_out = self.busy + 1, self.batch_out + (not job.pressed)
 
@@ -203,7 +209,7 @@
             self.next_step += owed * INTERVAL_MS
         for send, job in self.sends.items() if not self.known(now) else ():  # what stays out tells of waiting
             if not (send.outcome or job.lost or self.last_answer > send.sent_ms - RARE_MS):  # not our gap
-                work = (send.units or send.rpc.units) * self.unit_ms
+                work = (send.coalesced_units or send.request.units) * self.unit_ms
                 self.queue_ms = max(self.queue_ms, now - send.sent_ms - work)
         if now >= self.next_window:
             self.resize()
@@ -212,7 +218,7 @@
     def step(self, now: float) -> None:
         """The controller: share by the linear target, capped; then reserved slots (Algorithm 1)."""
         seen = sorted(view for at, view in self.views if at >= now - VIEW_MS)
-        seen += [(now - job.taken) / job.rpc.workload.soft_ms for job in self.pressed[:1]]
+        seen += [(now - job.taken) / job.rpc.workload.latency_objective_ms for job in self.pressed[:1]]
         contended, self.contended = self.contended or bool(self.batch), False
         if not seen or not contended:  # share decides nothing on a node where batch did not wait
             return
@@ -261,14 +267,19 @@
     def answered(self, send: Attempt, now: float, patience: float) -> None:
         job, silent = self.sends.pop(send), now - self.last_answer
         self.free(job)
-        work = send.units or send.rpc.units
-        outcome, rate = send.outcome, send.took_ms / max(work, 1e-6)
-        if send.lead:  # the one that carried it tells of the node
-            seen = (now, (send.sent_ms + send.took_ms - job.taken) / send.rpc.workload.soft_ms)
+        work = send.coalesced_units or send.request.units
+        outcome, rate = send.outcome, send.latency_ms / max(work, 1e-6)
+        if send.carried_by:  # the one that carried it tells of the node
+            seen = (
+                now,
+                (send.sent_ms + send.latency_ms - job.taken) / send.request.workload.latency_objective_ms,
+            )
             return self.views.extend([seen] * (job.pressed and outcome is Outcome.OK))
-        if outcome is Outcome.UNCONNECTED:  # a reset may be the connection's trouble only: it strikes nobody
+        if (
+            outcome is Outcome.CONNECT_FAILED
+        ):  # a reset may be the connection's trouble only: it strikes nobody
             self.trouble(now, patience)
-        if outcome in (Outcome.OK, Outcome.ERRORED, Outcome.FULL):
+        if outcome in (Outcome.OK, Outcome.FAILED, Outcome.REJECTED):
             # Struck twice, nothing of before came back: it was down, and may be cold before the list tells.
             self.warm_from = now if self.strikes > 1 and send.sent_ms > self.struck_at else self.warm_from
             self.strikes, self.last_answer = 0, now
@@ -282,13 +293,16 @@
                 drift = 0.7 if 2 * rate < unit else (0.98 if rate <= unit else 1.002) ** steps
                 lane.unit_ms = lane.unit_ms if lane.known(now) else unit * drift
         if outcome is Outcome.OK or (outcome is Outcome.TIMED_OUT and self.last_answer < send.sent_ms):
-            wait, soft = max(0.0, send.took_ms - work * self.unit_ms), send.rpc.workload.soft_ms
+            wait, soft = (
+                max(0.0, send.latency_ms - work * self.unit_ms),
+                send.request.workload.latency_objective_ms,
+            )
             # What was seen long ago counts for little.
             fresh = 0.2 if silent < RARE_MS else 1.0 - 0.8 ** (1.0 + silent / INTERVAL_MS)
             fresh = 0.0 if self.known(now) else fresh
             self.queue_ms += fresh * (min(wait, 4.0 * self.queue_ms + 50.0 + silent) - self.queue_ms)
             self.waits.append(min(1.0, wait / soft))
-            self.views.extend([(now, (send.sent_ms + send.took_ms - job.taken) / soft)] * job.pressed)
+            self.views.extend([(now, (send.sent_ms + send.latency_ms - job.taken) / soft)] * job.pressed)
 
     def hear(self, now: float, wait: float, unit: float) -> None:
         """The keeper's word on the waiting here and a unit's work, pooled from all dispatchers."""
@@ -357,7 +371,7 @@
 
     def take(self, job: QueuedRequest, now: float) -> None:
         self.taken.extend([now] * bool(self.budget))
-        if job.rpc.workload.in_order and job.rpc.key:
+        if job.rpc.workload.ordered and job.rpc.key:
             self.turns.setdefault(job.rpc.key, deque()).append(job)
 
     def leave(self, job: QueuedRequest) -> Sequence[QueuedRequest]:
@@ -370,77 +384,91 @@
         return [*turn][:1]
 
     def outcome(self, send: Attempt, now: float) -> None:
-        if send.rpc.workload.in_order and send.outcome.may_still_run and send.rpc.key:
-            self.rests[send.rpc.key] = now + self.key_rest_ms
+        if send.request.workload.ordered and send.outcome.may_still_run and send.request.key:
+            self.rests[send.request.key] = now + self.key_rest_ms
 
     def pass_time(self, now: float) -> None:
         self.begun = min(self.begun, now)
         for times in (self.taken, self.further):
-            while times and times[0] <= now - self.budget.span_ms:
+            while times and times[0] <= now - self.budget.window_ms:
                 times.popleft()
         self.rests = {key: until for key, until in self.rests.items() if until > now}
 
     def cold_room(self, lane: NodeQueue, now: float) -> float:
         """Units a just-started node bears from here: an even part; where that is under an RPC, one for
         those next in number to a mark of the node's. In any span all together keep to it, however many."""
-        cold, age = self.cold, now - max(lane.node.born_ms or -1e12, lane.warm_from)
-        if not cold.units or age >= cold.warm_ms:
+        cold, age = self.cold, now - max(lane.node.started_ms or -1e12, lane.warm_from)
+        if not cold.base_units or age >= cold.warm_up_ms:
             return NEVER
         # One unit at a time, as slowly as this dispatcher's answers come in the mean, any node can do.
-        borne = max(cold.units, cold.multiple * cold.share * cold.span_ms / lane.others.quiet_ms)
-        borne *= 1.0 + (1.0 / max(cold.share, 0.01) - 1.0) * max(0.0, age - cold.span_ms / 2.0) / cold.warm_ms
+        borne = max(
+            cold.base_units,
+            cold.overload_multiple * cold.cold_capacity * cold.window_ms / lane.others.quiet_ms,
+        )
+        borne *= (
+            1.0
+            + (1.0 / max(cold.cold_capacity, 0.01) - 1.0)
+            * max(0.0, age - cold.window_ms / 2.0)
+            / cold.warm_up_ms
+        )
         room, mark = NEVER, self.number + crc32(lane.node.address.encode())
-        for count in self.company.counts:  # while parts move, the smaller of two
+        for count in self.company.dispatcher_counts:  # while parts move, the smaller of two
             part = max(borne / count, self.part)
-            room = min(room, part * ((mark % count + 1) * part < borne + 1e-6 and not self.company.yields))
-        return room - sum(units for at, units in lane.cold if at >= now - cold.span_ms)
+            room = min(
+                room, part * ((mark % count + 1) * part < borne + 1e-6 and not self.company.forfeits_quota)
+            )
+        return room - sum(units for at, units in lane.cold if at >= now - cold.window_ms)
 
     def may_reject(self, rpc: Request) -> bool:
-        ran = any(send.outcome is None or not send.outcome.never_ran for send in rpc.sends)
-        effect, everywhere = rpc.workload.effect, rpc.workload.group == "all"
-        return not ran or effect is Idempotency.IDEMPOTENT or (effect is Idempotency.TOKENED and everywhere)
+        ran = any(send.outcome is None or not send.outcome.never_ran for send in rpc.attempts)
+        effect, everywhere = rpc.workload.idempotency, rpc.workload.deduplication_scope == "all"
+        return (
+            not ran
+            or effect is Idempotency.IDEMPOTENT
+            or (effect is Idempotency.IDEMPOTENT_WITH_KEY and everywhere)
+        )
 
     def repeatable(self, rpc: Request, node: Node, now: float, this: Attempt | None = None) -> bool:
         """Whether a send may go, or `this` one may leave now, with what those before it may have done."""
-        ran = [s for s in rpc.sends if s is not this and (s.outcome is None or not s.outcome.never_ran)]
-        if not ran or rpc.workload.effect is not Idempotency.TOKENED:
-            return not ran or rpc.workload.effect is Idempotency.IDEMPOTENT
-        group, first = rpc.workload.group, ran[0].node
+        ran = [s for s in rpc.attempts if s is not this and (s.outcome is None or not s.outcome.never_ran)]
+        if not ran or rpc.workload.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
+            return not ran or rpc.workload.idempotency is Idempotency.IDEMPOTENT
+        group, first = rpc.workload.deduplication_scope, ran[0].node
         same = {"all": True, "zone": first.zone == node.zone, "cell": first.shard == node.shard}
-        return same.get(group, False) and now < ran[0].sent_ms + rpc.workload.token_ms
+        return same.get(group, False) and now < ran[0].sent_ms + rpc.workload.deduplication_window_ms
 
     def opens(self, job: QueuedRequest, lane: NodeQueue, now: float) -> float:
         """When the RPC may be sent to the node, as far as is known now; NEVER if time alone won't do."""
         rpc, node, volume = job.rpc, lane.node, job.volume
         if (
-            rpc.over
-            or now >= rpc.give_up_ms
-            or len(rpc.sends) >= self.permits.most_sends
-            or (job.out and not self.permits.copies)
+            rpc.finished
+            or now >= rpc.deadline_ms
+            or len(rpc.attempts) >= self.permits.max_attempts
+            or (job.out and not self.permits.allows_hedging)
             or not self.repeatable(rpc, node, now)
-            or node.standing is not NodeState.LIVE
+            or node.state is not NodeState.LIVE
             or rpc.shard not in (-1, node.shard)
         ):
             return NEVER
-        if rpc.workload.in_order and rpc.key:
+        if rpc.workload.ordered and rpc.key:
             if self.turns[rpc.key][0] is not job or now < self.rests.get(rpc.key, now):
                 return self.rests.get(rpc.key, NEVER)
         spent = (
-            rpc.sends
+            rpc.attempts
             and self.budget
-            and (len(self.further) + 1 > self.budget.spare + self.budget.share * len(self.taken))
+            and (len(self.further) + 1 > self.budget.min_retries + self.budget.retry_ratio * len(self.taken))
         )
-        if volume.plan.limit_rate and not rpc.sends:  # it fills while nothing of the volume comes or goes
+        if volume.plan.limit_rate and not rpc.attempts:  # it fills while nothing of the volume comes or goes
             volume.pass_time(now)
-        short = self.company.yields or volume.store < rpc.units
-        empty = not rpc.sends and volume.plan.limit_rate and short
+        short = self.company.forfeits_quota or volume.store < rpc.units
+        empty = not rpc.attempts and volume.plan.limit_rate and short
         return now + BEAT_MS if spent or empty or self.cold_room(lane, now) < rpc.units else now
 
     def sent(self, job: QueuedRequest, lane: NodeQueue, now: float) -> None:
-        self.further.extend([now] * bool(job.rpc.sends and self.budget))
-        job.volume.store -= job.rpc.units * (not job.rpc.sends)
-        if self.cold.units:
-            span = now - self.cold.span_ms
+        self.further.extend([now] * bool(job.rpc.attempts and self.budget))
+        job.volume.store -= job.rpc.units * (not job.rpc.attempts)
+        if self.cold.base_units:
+            span = now - self.cold.window_ms
             lane.cold = [(at, u) for at, u in lane.cold if at >= span] + [(now, job.rpc.units)]
 
 
@@ -462,8 +490,8 @@
         self.seed, self.count, self.earnings, self.permits = seed, 0, earnings, permits
         self.company = company or PeerDirectory(dispatchers)
         self.gate = Admission(number, self.company, earnings.mean_units, cold, budget, permits, key_rest_ms)
-        self.top = max((workload.value for workload in workloads), default=1.0)
-        self.tight = min((workload.soft_ms for workload in workloads), default=1000.0)
+        self.top = max((workload.priority_weight for workload in workloads), default=1.0)
+        self.tight = min((workload.latency_objective_ms for workload in workloads), default=1000.0)
         self.tries: dict[str, float] = {}  # longest time given for a try; a workload each
         self.ended: list[dict[tuple[str, str], float]] = [{}, {}]  # given up of late, its soft deadline
         self.volumes: dict[str, VolumeQuota] = {}
@@ -471,12 +499,12 @@
         self.lanes: dict[Node, NodeQueue] = {}  # a machine each; dropped once gone with nothing left
         self.shards: dict[int, list[NodeQueue]] = {}  # made anew from the lanes with each list
         # New objects that no node has credit for, and what no node in the list holds.
-        self.unplaced = NodeQueue(Node("", standing=NodeState.DRAINING), 0.0, self.tight, 0.0, None)
+        self.unplaced = NodeQueue(Node("", state=NodeState.DRAINING), 0.0, self.tight, 0.0, None)
         self.stirred: dict[NodeQueue, None] = {}  # lanes that this round concerns; emptied by it
         self.dues: list[tuple[float, int, NodeQueue]] = []  # one live entry a lane, old ones pass
         self.wakes: set[float] = set()  # asked for and to come: at most a grid's marks ahead
         self.ask_spread = self.ask_wait = max(1000.0, 25.0 * dispatchers)  # all at once would jam discovery
-        self.ask_at = 0.0 if permits.must_ask else NEVER
+        self.ask_at = 0.0 if permits.polls_endpoints else NEVER
         self.tell_at, self.nonsense = NEVER, 0  # words that made no sense, since the host last asked
         self.kept: dict[NodeQueue, LoadAggregator] = {}  # nodes whose load is pooled here; dropped once quiet
         self.said: dict[int | None, list[bytes]] = {}  # words of this round; emptied by it
@@ -488,25 +516,25 @@
         now: float,
         writer: DecisionSink,
         *,
-        taken: Sequence[Request] = (),
-        answers: Sequence[Attempt] = (),
-        left: Sequence[Request] = (),
-        heard: Sequence[Node] = (),
-        list_answered: bool | None = None,
-        words: Sequence[tuple[int, bytes]] = (),
+        arrivals: Sequence[Request] = (),
+        outcomes: Sequence[Attempt] = (),
+        cancellations: Sequence[Request] = (),
+        endpoint_changes: Sequence[Node] = (),
+        endpoint_list_received: bool | None = None,
+        gossip: Sequence[tuple[int, bytes]] = (),
     ) -> None:
         self.gate.pass_time(now)
-        self.list(now, heard, list_answered)
+        self.list(now, endpoint_changes, endpoint_list_received)
         self.before, self.now = self.now, now
         if now >= self.turn_at:
             self.ended, self.turn_at = [{}, self.ended[0]], now + max(self.tries.values(), default=1000.0)
-        for peer, word in words:
+        for peer, word in gossip:
             self.hear(peer, word, now)
-        for send in answers:
+        for send in outcomes:
             self.settle(send, now, writer)
-        for rpc in taken:
+        for rpc in arrivals:
             self.take(rpc, now, writer)
-        for rpc in left:  # behind: one may come and leave between two rounds
+        for rpc in cancellations:  # behind: one may come and leave between two rounds
             if rpc in self.jobs:
                 self.finish(self.jobs[rpc], now)
         while self.dues and self.dues[0][0] <= now + 0.01:  # a wake may come a rounding early
@@ -539,7 +567,7 @@
         """A peer's word. What is cut short, or not of or to the keeper, moves nothing and is counted."""
         whole = len(word) % calcsize(WORD) == 0
         for kind, place, units, value in iter_unpack(WORD, word) if whole else ():
-            lane, keeper = self.places.get(place), self.company.keeper(place)
+            lane, keeper = self.places.get(place), self.company.aggregator(place)
             told, report = kind == WAITING and keeper == peer, kind < WAITING and keeper == self.gate.number
             if lane and told:
                 lane.hear(now, float(value), 2.0 * units)
@@ -556,10 +584,10 @@
 
     def report(self, lane: NodeQueue, kind: int, units: float, took: float, now: float) -> None:
         """What goes to a node and comes back is told to the one dispatcher that keeps the node."""
-        keeper = self.company.keeper(lane.place)
-        if self.permits.peers and keeper == self.gate.number:
+        keeper = self.company.aggregator(lane.place)
+        if self.permits.allows_gossip and keeper == self.gate.number:
             self.keep(lane, kind, units, took, now)
-        elif self.permits.peers:
+        elif self.permits.allows_gossip:
             word = pack(WORD, kind, lane.place, min(255, int(units * 10.0)), min(65535, int(took)))
             self.said.setdefault(keeper, []).append(word)
 
@@ -567,7 +595,7 @@
         """Reports go with the round that made them, what keepers know on a grid, where it moved."""
         if now >= self.tell_at:
             for lane, keeper in self.kept.items():
-                if self.company.tells(lane.place, now) and keeper.step(now):
+                if self.company.publishes(lane.place, now) and keeper.step(now):
                     lane.hear(now, *keeper.told)
                     wait, unit = keeper.told
                     word = pack(WORD, WAITING, lane.place, min(255, int(unit / 2.0)), int(wait))
@@ -599,7 +627,7 @@
             self.shards, self.places = {}, {}
             self.volumes = {name: vol for name, vol in self.volumes.items() if now - vol.seen < 60000.0}
             for lane in [*self.lanes.values(), self.unplaced]:
-                if lane.node.standing is NodeState.GONE and not (lane.sends or lane.pressed or lane.batch):
+                if lane.node.state is NodeState.GONE and not (lane.sends or lane.pressed or lane.batch):
                     del self.lanes[lane.node]
                     continue
                 if lane is not self.unplaced:
@@ -607,26 +635,30 @@
                 self.shards.setdefault(lane.node.shard, []).append(lane)
                 if lane.pressed or lane.batch:
                     self.stir(lane, now)
-        if self.permits.must_ask and (answered is not None or not self.ask_at):
+        if self.permits.polls_endpoints and (answered is not None or not self.ask_at):
             chance = crc32(f"{self.seed}:{self.ask_wait}".encode()) / 2.0**32
             self.ask_at = NEVER if answered else now + self.ask_wait * chance
-            again = min(self.ask_wait * 2.0, self.permits.ask_within_ms)
+            again = min(self.ask_wait * 2.0, self.permits.max_poll_interval_ms)
             self.ask_wait = self.ask_spread if answered else again
 
     def take(self, rpc: Request, now: float, writer: DecisionSink) -> None:
         if rpc.workload is None or rpc.plan is None:
             return writer.reject(rpc, 0.0)
-        volume = self.volumes.setdefault(rpc.volume, VolumeQuota(rpc.plan, rpc.hosts, now, self.earnings))
+        volume = self.volumes.setdefault(
+            rpc.volume, VolumeQuota(rpc.plan, rpc.dispatchers, now, self.earnings)
+        )
         volume.pass_time(now)
-        left = rpc.give_up_ms - now
+        left = rpc.deadline_ms - now
         longest = self.tries[rpc.workload.name] = max(self.tries.get(rpc.workload.name, 0.0), left)
         # A repeat that is short of time is late since its first try. Else its client is in haste, and it lost
         # no more than this dispatcher stood still. Unmarked, a repeat follows what was given up, and keeps
         # its soft deadline where that is later: a client in haste comes again with little time left too.
         was = max(ended.get((rpc.volume, rpc.key), -NEVER) for ended in self.ended)
-        first = not (rpc.repeat if self.permits.marks_repeats else was > -NEVER)
+        first = not (rpc.is_retry if self.permits.clients_mark_retries else was > -NEVER)
         spent = min(longest - left, now - self.before if first else NEVER)
-        job = self.jobs[rpc] = QueuedRequest(rpc, volume, now, max(was, now + rpc.workload.soft_ms - spent))
+        job = self.jobs[rpc] = QueuedRequest(
+            rpc, volume, now, max(was, now + rpc.workload.latency_objective_ms - spent)
+        )
         self.gate.take(job, now)
         self.place(job, now)
 
@@ -634,18 +666,18 @@
         """Reads go to the node that holds the data, new objects where an answer comes soonest."""
         self.count += 1
         lanes: list[NodeQueue] = []
-        ran = [send.node.shard for send in job.rpc.sends if not (send.outcome and send.outcome.never_ran)]
+        ran = [send.node.shard for send in job.rpc.attempts if not (send.outcome and send.outcome.never_ran)]
         shard = job.rpc.shard if job.rpc.shard >= 0 or not ran else ran[0]  # only there a repeat is dropped
         if shard >= 0:
             homes = self.shards.get(shard) or [self.unplaced]
-            job.lane = ([lane for lane in homes if lane.node.standing is NodeState.LIVE] or homes)[0]
+            job.lane = ([lane for lane in homes if lane.node.state is NodeState.LIVE] or homes)[0]
         else:
             job.lane, lanes = self.unplaced, list(self.lanes.values())
         soonest, few = NEVER, FEW
         turn = crc32(f"{self.seed}:{self.count}".encode()) % len(lanes) if lanes else 0
         for lane in lanes[turn:] + lanes[:turn] if lanes else ():
             credit = lane.slots() - lane.busy - len(lane.pressed)
-            if lane.node.standing is not NodeState.LIVE or lane.strikes or lane.errors > 0.3 or credit <= 0:
+            if lane.node.state is not NodeState.LIVE or lane.strikes or lane.errors > 0.3 or credit <= 0:
                 continue
             few -= 1
             if few < 0 and soonest < NEVER:
@@ -653,23 +685,27 @@
             if lane.expected(job.rpc.units) < soonest and self.gate.cold_room(lane, now) >= NEVER:
                 soonest, job.lane = lane.expected(job.rpc.units), lane
         self.stir(job.lane, now)
-        if job.queue is None and not job.rpc.sends:
+        if job.queue is None and not job.rpc.attempts:
             self.rank(job, now)
         job.join(job.lane.pressed if job.pressed else job.lane.batch)
 
     def rank(self, job: QueuedRequest, now: float) -> None:
         """Find what the RPC's units still earn, and so its side and its place there."""
         rpc, volume, lane, workload, plan = job.rpc, job.volume, job.lane, job.rpc.workload, job.volume.plan
-        if not volume.reserve(rpc.units, workload.value / self.top):
-            job.level = self.earnings.in_share if volume.shares(rpc.units) else self.earnings.beyond
+        if not volume.reserve(rpc.units, workload.priority_weight / self.top):
+            job.level = self.earnings.within_quota if volume.shares(rpc.units) else self.earnings.beyond_quota
         in_time = now + lane.expected(rpc.units) <= job.soft
-        job.pressed = presses(workload, self.top, self.tight) and in_time and job.level > self.earnings.beyond
-        value = workload.value * (1.0 if in_time else workload.late_part) * plan.price * job.level
+        job.pressed = (
+            presses(workload, self.top, self.tight) and in_time and job.level > self.earnings.beyond_quota
+        )
+        value = (
+            workload.priority_weight * (1.0 if in_time else workload.late_utility) * plan.price * job.level
+        )
         job.key = -value  # equals keep the order they came in
 
     def fill(self, lane: NodeQueue, now: float, writer: DecisionSink) -> None:
         shut = lane.trial_at if lane.strikes else 0.0
-        while now >= shut and lane.node.standing is NodeState.LIVE and self.fill_one(lane, now, writer):
+        while now >= shut and lane.node.state is NodeState.LIVE and self.fill_one(lane, now, writer):
             pass
         if lane.pressed or lane.batch:  # the controller and the window go on while something waits
             lane.due = min(lane.due, lane.next_step, shut if shut > now else NEVER)
@@ -697,7 +733,7 @@
                     lane.due = min(lane.due, opens)
                     continue
                 send = self.go(job, lane, now, writer)
-                if job.rpc.joins and job.rpc.key in lane.near and not lane.strikes:
+                if job.rpc.coalescable and job.rpc.key in lane.near and not lane.strikes:
                     self.take_along(job, send, lane, now, writer)
                 lane.went(job, send)
                 lane.due = min(lane.due, job.overdue)
@@ -709,7 +745,7 @@
         job.join(None)
         self.gate.sent(job, lane, now)
         self.report(lane, SENT, job.rpc.units, 0.0, now)
-        return writer.send(job.rpc, lane.node, job.rpc.give_up_ms - now)
+        return writer.send(job.rpc, lane.node, job.rpc.deadline_ms - now)
 
     def take_along(
         self, job: QueuedRequest, send: Attempt, lane: NodeQueue, now: float, writer: DecisionSink
@@ -720,21 +756,24 @@
         waiting = [
             held
             for held in lane.near[rpc.key]
-            if held.rpc.volume == rpc.volume and held.rpc.writes == rpc.writes
+            if held.rpc.volume == rpc.volume and held.rpc.is_write == rpc.is_write
         ]
         waiting.sort(key=lambda held: (not held.pressed, held.key))
-        low, high = rpc.start, rpc.start + rpc.length
+        low, high = rpc.offset, rpc.offset + rpc.length
         soft = job.soft if now + lane.expected(rpc.units) <= job.soft else NEVER
         tried = len(waiting) + 1
         while waiting and len(waiting) < tried:  # each that joined may bring its neighbours within reach
             tried, far = len(waiting), []
             for held in waiting:
-                first, last = held.rpc.start, held.rpc.start + held.rpc.length
+                first, last = held.rpc.offset, held.rpc.offset + held.rpc.length
                 wide = max(high, last) - min(low, first)
-                units = max(permits.least_units, wide / permits.unit_length)
+                units = max(permits.min_units, wide / permits.bytes_per_unit)
                 own = held.soft if now + lane.expected(held.rpc.units) <= held.soft else NEVER
-                near = last == low or first == high if rpc.writes else first <= high and low <= last
-                full = wide > permits.join_length or len(send.mates or ()) >= permits.join_most
+                near = last == low or first == high if rpc.is_write else first <= high and low <= last
+                full = (
+                    wide > permits.max_coalesced_bytes
+                    or len(send.coalesced or ()) >= permits.max_coalesced_requests
+                )
                 if (
                     not near
                     or full
@@ -745,25 +784,27 @@
                     continue
                 mate = self.go(held, lane, now, writer)
                 lane.sends[mate], held.lost, held.overdue = held, True, NEVER  # it holds no slot of its own
-                mate.lead, send.units, soft = send, units, min(soft, own)
-                send.mates = [*(send.mates or ()), mate]
+                mate.carried_by, send.coalesced_units, soft = send, units, min(soft, own)
+                send.coalesced = [*(send.coalesced or ()), mate]
                 low, high = min(low, first), max(high, last)
             waiting = far
 
     def settle(self, send: Attempt, now: float, writer: DecisionSink) -> None:
-        lane, rpc = self.lanes[send.node], send.rpc
+        lane, rpc = self.lanes[send.node], send.request
         self.stir(lane, now)
         job = lane.sends[send]
-        ok = send.outcome is Outcome.OK and not send.lead
-        self.report(lane, ANSWERED if ok else ENDED, rpc.units, send.took_ms, now)
+        ok = send.outcome is Outcome.OK and not send.carried_by
+        self.report(lane, ANSWERED if ok else ENDED, rpc.units, send.latency_ms, now)
         lane.answered(send, now, self.tight)
         self.gate.outcome(send, now)
         job.volume.pass_time(now)
-        job.volume.charge(send.elsewhere)
-        if rpc.over:
+        job.volume.charge(send.units_elsewhere)
+        if rpc.finished:
             self.finish(job, now)
         elif rpc in self.jobs and not job.out and job.queue is None:
-            again = len(rpc.sends) < self.permits.most_sends and now < min(job.soft, rpc.give_up_ms - BEAT_MS)
+            again = len(rpc.attempts) < self.permits.max_attempts and now < min(
+                job.soft, rpc.deadline_ms - BEAT_MS
+            )
             if again and send.outcome is not Outcome.TIMED_OUT and self.gate.repeatable(rpc, send.node, now):
                 self.place(job, now)
             else:
@@ -773,7 +814,7 @@
         """Answer at once, with a come-back time where one is heeded."""
         self.ended[0][job.rpc.volume, job.rpc.key] = job.soft
         if self.gate.may_reject(job.rpc):
-            writer.reject(job.rpc, self.permits.come_back_ms)
+            writer.reject(job.rpc, self.permits.max_retry_after_ms)
         else:
             writer.error(job.rpc)
         self.finish(job, now)
@@ -789,11 +830,11 @@
         """Give up at once what can earn no more than little; batch of due units may still earn late."""
         for job in [*lane.pressed, *lane.batch]:
             rpc, needs = job.rpc, lane.expected(job.rpc.units)
-            late, over = job.soft - needs, rpc.give_up_ms - max(needs, BEAT_MS)
+            late, over = job.soft - needs, rpc.deadline_ms - max(needs, BEAT_MS)
             if now > late and job.pressed:  # else the controller sees survivors only
-                lane.views.append((now, (rpc.give_up_ms - job.taken) / rpc.workload.soft_ms))
-            lost = lane.node.standing is not NodeState.LIVE and (lane is not self.unplaced or rpc.shard >= 0)
-            vain = lost or lane.strikes or job.pressed or job.level <= self.earnings.beyond
+                lane.views.append((now, (rpc.deadline_ms - job.taken) / rpc.workload.latency_objective_ms))
+            lost = lane.node.state is not NodeState.LIVE and (lane is not self.unplaced or rpc.shard >= 0)
+            vain = lost or lane.strikes or job.pressed or job.level <= self.earnings.beyond_quota
             if now > over or (now > late and vain):
                 self.give_up(job, now, writer)
                 continue
--- a/cherrygrade/scheduling/start_settings.py
+++ b/cherrygrade/scheduling/start_settings.py
@@ -23,7 +23,7 @@
 
 EFFECTS = {
     "retryable": Idempotency.IDEMPOTENT,
-    "dedup": Idempotency.TOKENED,
+    "dedup": Idempotency.IDEMPOTENT_WITH_KEY,
     "fragile": Idempotency.NON_IDEMPOTENT,
 }
 
@@ -93,16 +93,16 @@
             at = f"classes.{i}."
             found[self.text(at + "name")] = Workload(
                 name=self.text(at + "name"),
-                soft_ms=self.ms(at + "objectiveS"),
+                latency_objective_ms=self.ms(at + "objectiveS"),
                 deadline_ms=self.ms(at + "hardLimitS"),
-                value=self.number(at + "importance", 1.0),
-                late_part=self.number(at + "lateWorth"),
-                effect=EFFECTS.get(self.text(at + "effect"), Idempotency.NON_IDEMPOTENT),
-                group=self.text(at + "group", "all"),
-                token_ms=self.ms(at + "windowS"),
-                in_order=self.flag(at + "oneAtATime"),
+                priority_weight=self.number(at + "importance", 1.0),
+                late_utility=self.number(at + "lateWorth"),
+                idempotency=EFFECTS.get(self.text(at + "effect"), Idempotency.NON_IDEMPOTENT),
+                deduplication_scope=self.text(at + "group", "all"),
+                deduplication_window_ms=self.ms(at + "windowS"),
+                ordered=self.flag(at + "oneAtATime"),
                 streamed=self.flag(at + "stream"),
-                writes=i < len(writes) and flag(writes[i]),
+                is_write=i < len(writes) and flag(writes[i]),
             )
         return found
 
@@ -117,18 +117,18 @@
                 usual_rate=self.number(at + "usualRate"),
                 reserve_rate=self.number(at + "floorRate"),
                 limit_rate=self.number(at + "cap"),
-                limit_depth=self.number(at + "capDepth"),
-                limit_slack=self.number(at + "tolerance"),
+                limit_burst=self.number(at + "capDepth"),
+                limit_tolerance=self.number(at + "tolerance"),
             )
         return found
 
     def cold_start(self) -> SlowStartSettings:
         return SlowStartSettings(
-            units=self.number("extra.youngLimit"),
-            share=self.number("guarantees.coldShare", 1.0),
-            multiple=self.number("guarantees.fallMultiple", 1.0),
-            span_ms=self.ms("guarantees.tipAfterS"),
-            warm_ms=self.ms("guarantees.warmWithinS"),
+            base_units=self.number("extra.youngLimit"),
+            cold_capacity=self.number("guarantees.coldShare", 1.0),
+            overload_multiple=self.number("guarantees.fallMultiple", 1.0),
+            window_ms=self.ms("guarantees.tipAfterS"),
+            warm_up_ms=self.ms("guarantees.warmWithinS"),
         )
 
     def resend_budget(self) -> RetryBudgetSettings | None:
@@ -136,29 +136,29 @@
         if not span_ms:
             return None
         spare, share = self.number("guarantees.spareAttempts"), self.number("guarantees.extraShare")
-        return RetryBudgetSettings(spare=spare, share=share, span_ms=span_ms)
+        return RetryBudgetSettings(min_retries=spare, retry_ratio=share, window_ms=span_ms)
 
     def earnings(self) -> UtilityModel:
         return UtilityModel(
-            in_share=self.number("extra.shareWorth", 1.0),
-            beyond=self.number("extra.beyondShare", 1.0),
+            within_quota=self.number("extra.shareWorth", 1.0),
+            beyond_quota=self.number("extra.beyondShare", 1.0),
             mean_units=self.number("extra.meanUnits", 1.0),
             largest_units=self.number("extra.largest", 1.0),
-            meter_ms=self.ms("extra.meterPeriodS"),
-            tells_elsewhere=self.flag("extra.saysOthers"),
+            meter_period_ms=self.ms("extra.meterPeriodS"),
+            reports_use_elsewhere=self.flag("extra.saysOthers"),
         )
 
     def permits(self) -> SitePolicy:
         return SitePolicy(
-            most_sends=int(self.number("limits.maxAttempts", 1)),
-            copies=self.flag("limits.secondCopies"),
-            cancel=self.flag("limits.mayCancel"),
-            probe=self.flag("limits.mayProbe"),
-            come_back_ms=self.ms("limits.maxRetryAfterS") if self.flag("limits.retryAfter") else 0.0,
-            peers=self.flag("limits.peerMessages"),
-            marks_repeats=self.flag("clients.marksRetry"),
-            must_ask=self.text("membershipMode") == "ask",
-            ask_within_ms=self.ms("guarantees.askWithinS"),
+            max_attempts=int(self.number("limits.maxAttempts", 1)),
+            allows_hedging=self.flag("limits.secondCopies"),
+            allows_cancel=self.flag("limits.mayCancel"),
+            allows_health_checks=self.flag("limits.mayProbe"),
+            max_retry_after_ms=self.ms("limits.maxRetryAfterS") if self.flag("limits.retryAfter") else 0.0,
+            allows_gossip=self.flag("limits.peerMessages"),
+            clients_mark_retries=self.flag("clients.marksRetry"),
+            polls_endpoints=self.text("membershipMode") == "ask",
+            max_poll_interval_ms=self.ms("guarantees.askWithinS"),
         )
 
     def dispatcher(self, make: Callable[..., Scheduler], seed: int) -> Scheduler:
--- a/cherrygrade/settings.py
+++ b/cherrygrade/settings.py
@@ -199,7 +199,7 @@
         place, permits, earnings = self.place, self.bearings.permits, self.bearings.earnings
         places, found = self.words.places, []
         for plan in {volume.plan.name: volume.plan for volume in self.trade.volumes.values()}.values():
-            if plan.limit_rate and not plan.limit_depth:
+            if plan.limit_rate and not plan.limit_burst:
                 found.append((f"plans.{plan.name}.limit_depth", "0, but limit_rate is set: nothing could go"))
         if self.fleet is not None and self.fleet.council is not None:
             council = self.fleet.council
@@ -210,16 +210,16 @@
         if self.fleet is not None and places:
             found.append(("words.places", "given beside fleet: words go by the fleet"))
             return found
-        if places and not permits.peers:
+        if places and not permits.allows_gossip:
             found.append(("words.places", "given, but permits.peers is false: dispatchers share nothing"))
-        if not permits.peers:
+        if not permits.allows_gossip:
             return found
         if place.dispatchers < 2:
             found.append(("permits.peers", "true, but place.dispatchers is 1: there is nobody to tell"))
         if self.fleet is None and (len(places) != place.dispatchers or len(set(places)) != place.dispatchers):
             needed = f"with permits.peers one for each of place.dispatchers ({place.dispatchers})"
             found.append(("words.places", f"{len(places)} places, {len(set(places))} different; {needed}"))
-        if earnings.tells_elsewhere:
+        if earnings.reports_use_elsewhere:
             why = "with permits.peers nodes tell nothing of others' use: each would deal out the whole due"
             found.append(("earnings.tells_elsewhere", f"true, but {why}"))
         return found
--- a/cherrygrade/wirehost/codec.py
+++ b/cherrygrade/wirehost/codec.py
@@ -6,13 +6,13 @@
 
 OUTCOMES = {
     "200": Outcome.OK,
-    "500": Outcome.ERRORED,
-    "503": Outcome.FULL,
+    "500": Outcome.FAILED,
+    "503": Outcome.REJECTED,
     "504": Outcome.TIMED_OUT,
-    "502": Outcome.UNCONNECTED,
+    "502": Outcome.CONNECT_FAILED,
     "598": Outcome.RESET,
     "499": Outcome.CANCELLED,
-    "410": Outcome.UNSENT,
+    "410": Outcome.NOT_SENT,
 }
 STANDINGS = {"live": NodeState.LIVE, "quiescing": NodeState.DRAINING, "dead": NodeState.GONE}
 LOADS = {
--- a/cherrygrade/wirehost/host.py
+++ b/cherrygrade/wirehost/host.py
@@ -42,21 +42,21 @@
         self._lines.append("\t".join((parts[0], self.who, *parts[1:])))
 
     def send(self, rpc: Request, node: Node, limit_ms: float) -> Attempt:
-        send = Attempt(rpc=rpc, node=node, number=len(rpc.sends), sent_ms=self.now)
-        rpc.sends.append(send)
+        send = Attempt(request=rpc, node=node, number=len(rpc.attempts), sent_ms=self.now)
+        rpc.attempts.append(send)
         self._write("ROUTE", rpc.id, seconds(limit_ms), node.address)
         return send
 
     def cancel(self, send: Attempt) -> None:
-        self._write("RECALL", send.rpc.id, str(send.number))
+        self._write("RECALL", send.request.id, str(send.number))
 
     def reject(self, rpc: Request, come_back_ms: float) -> None:
-        rpc.over = True
+        rpc.finished = True
         self.ended.add(rpc.id)
         self._write("DENY", rpc.id, seconds(come_back_ms))
 
     def error(self, rpc: Request) -> None:
-        rpc.over = True
+        rpc.finished = True
         self.ended.add(rpc.id)
         self._write("ABORT", rpc.id)
 
@@ -89,7 +89,7 @@
     pairs: StartSettings
     rpcs: dict[str, Request] = field(default_factory=dict)
     nodes: NodeTable = field(default_factory=NodeTable)
-    inbox: RoundInputs = field(default_factory=RoundInputs)
+    inputs: RoundInputs = field(default_factory=RoundInputs)
     touched: set[str] = field(default_factory=set)
     stirred: bool = False
     """Something came in for it in the open batch."""
@@ -102,12 +102,12 @@
         """Empty the id table of what can no longer be named."""
         for xid in self.touched | self.writer.ended:
             rpc = self.rpcs.get(xid)
-            if rpc is not None and rpc.over and all(send.outcome for send in rpc.sends):
+            if rpc is not None and rpc.finished and all(send.outcome for send in rpc.attempts):
                 del self.rpcs[xid]
         self.writer.ended.clear()
 
     def decide(self, now: float) -> None:
-        self.inbox.decide(self.dispatcher, now, self.writer)
+        self.inputs.decide(self.dispatcher, now, self.writer)
         self.forget()
         self.touched.clear()
         self.stirred = False
@@ -211,57 +211,57 @@
             workload=instance.workloads.get(workload),
             plan=instance.plans.get(policy),
             volume=owner,
-            hosts=max(1, int(number(hosts))),
+            dispatchers=max(1, int(number(hosts))),
             key="" if extent == "-" else extent,
             shard=-1 if shard == "-" else int(shard),
             units=number(units),
-            give_up_ms=ms(give_up),
-            writes=flag(update),
-            repeat=flag(repeat),
+            deadline_ms=ms(give_up),
+            is_write=flag(update),
+            is_retry=flag(repeat),
             id=xid,
         )
-        instance.inbox.taken.append(rpc)
+        instance.inputs.arrivals.append(rpc)
 
     def _completed(self, parts: list[str]) -> None:
         (_, who, xid, _, took, usage, others, terminal, number_, code, telemetry) = parts[:11]
         instance = self._instances[who]
         rpc = instance.rpcs[xid]
-        send = rpc.sends[int(number(number_))]
+        send = rpc.attempts[int(number(number_))]
         send.outcome = OUTCOMES[code]
-        send.took_ms = ms(took)
-        send.used = (number(usage) - 1.0) / 100.0 if number(usage) >= 1.0 else None
-        send.elsewhere = number(others)
-        send.load = load_report(telemetry)
-        rpc.over = rpc.over or flag(terminal)
-        instance.inbox.answers.append(send)
+        send.latency_ms = ms(took)
+        send.plan_use = (number(usage) - 1.0) / 100.0 if number(usage) >= 1.0 else None
+        send.units_elsewhere = number(others)
+        send.load_report = load_report(telemetry)
+        rpc.finished = rpc.finished or flag(terminal)
+        instance.inputs.outcomes.append(send)
         instance.touched.add(xid)
 
     def _left(self, parts: list[str]) -> None:
         instance = self._instances[parts[1]]
         rpc = instance.rpcs.get(parts[2])
-        if rpc is not None and not rpc.over:
-            rpc.over = True
-            instance.inbox.left.append(rpc)
+        if rpc is not None and not rpc.finished:
+            rpc.finished = True
+            instance.inputs.cancellations.append(rpc)
             instance.touched.add(rpc.id)
 
     def _announce(self, parts: list[str]) -> None:
         instance = self._instances[parts[1]]
         mode = parts[2]
         if mode == "X":
-            instance.inbox.list_answered = False
+            instance.inputs.endpoint_list_received = False
             return
         if mode not in ("D", "F", "C"):
             raise ValueError(f"unknown list mode {mode}")
         if mode != "C":
-            instance.inbox.list_answered = True
+            instance.inputs.endpoint_list_received = True
         named = []
         for address, zone, kind, shard, health, size, born in (entry[:7] for entry in self._lists[parts[3]]):
             node = instance.nodes.node(address)
             node.zone, node.kind, node.shard = zone, kind, int(number(shard))
-            node.standing, node.size, node.born_ms = STANDINGS[health], number(size), ms(born)
+            node.state, node.size, node.started_ms = STANDINGS[health], number(size), ms(born)
             named.append(node)
-        instance.inbox.heard += instance.nodes.told(named, whole=mode != "D")
+        instance.inputs.endpoint_changes += instance.nodes.told(named, whole=mode != "D")
 
     def _note(self, parts: list[str]) -> None:
         payload = b"" if parts[3] == "-" else base64.b64decode(parts[3])
-        self._instances[parts[1]].inbox.words.append((int(number(parts[2])), payload))
+        self._instances[parts[1]].inputs.gossip.append((int(number(parts[2])), payload))
--- a/tests/fakehost.py
+++ b/tests/fakehost.py
@@ -17,11 +17,27 @@
 )
 from cherrygrade.scheduling.scheduler import Scheduler
 
-READ = Workload("read", soft_ms=200.0, deadline_ms=2000.0, value=3.0)
-EXPORT = Workload("export", soft_ms=1500.0, deadline_ms=5000.0, value=1.0)
-ORDERED = Workload("ordered", soft_ms=900.0, deadline_ms=2000.0, value=3.0, in_order=True)
-ONCE = Workload("once", soft_ms=900.0, deadline_ms=2000.0, value=3.0, effect=Idempotency.NON_IDEMPOTENT)
-MARKED = Workload("marked", 900.0, 2000.0, 3.0, effect=Idempotency.TOKENED, group="zone", token_ms=500.0)
+READ = Workload("read", latency_objective_ms=200.0, deadline_ms=2000.0, priority_weight=3.0)
+EXPORT = Workload("export", latency_objective_ms=1500.0, deadline_ms=5000.0, priority_weight=1.0)
+ORDERED = Workload(
+    "ordered", latency_objective_ms=900.0, deadline_ms=2000.0, priority_weight=3.0, ordered=True
+)
+ONCE = Workload(
+    "once",
+    latency_objective_ms=900.0,
+    deadline_ms=2000.0,
+    priority_weight=3.0,
+    idempotency=Idempotency.NON_IDEMPOTENT,
+)
+MARKED = Workload(
+    "marked",
+    900.0,
+    2000.0,
+    3.0,
+    idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+    deduplication_scope="zone",
+    deduplication_window_ms=500.0,
+)
 PLAN = ServicePlan("plan", usual_rate=1000.0)
 
 
@@ -41,14 +57,18 @@
             number=more.get("number", 0),
             dispatchers=more.get("dispatchers", 1),
             workloads=[READ, EXPORT, ORDERED, ONCE, MARKED],
-            earnings=more.get("earnings", UtilityModel(in_share=0.5, beyond=0.1, largest_units=4.0)),
+            earnings=more.get(
+                "earnings", UtilityModel(within_quota=0.5, beyond_quota=0.1, largest_units=4.0)
+            ),
             cold=more.get("cold", SlowStartSettings()),
             budget=budget,
-            permits=more.get("permits", SitePolicy(most_sends=4, cancel=True, come_back_ms=500.0)),
+            permits=more.get(
+                "permits", SitePolicy(max_attempts=4, allows_cancel=True, max_retry_after_ms=500.0)
+            ),
             key_rest_ms=100.0,
             company=more.get("company"),
         )
-        self.round(heard=self.nodes)
+        self.round(endpoint_changes=self.nodes)
 
     def round(self, **came) -> None:
         self.dispatcher.decide(self.now, self, **came)
@@ -60,26 +80,26 @@
             self.round()
 
     def rpc(self, workload: Workload = READ, shard: int = 0, plan: ServicePlan = PLAN, **more) -> Request:
-        fields = {"volume": "v", "hosts": 1, "key": "", "units": 1.0} | more
+        fields = {"volume": "v", "dispatchers": 1, "key": "", "units": 1.0} | more
         give_up_ms = self.now + fields.pop("gives_up", workload.deadline_ms)
-        return Request(workload=workload, plan=plan, shard=shard, give_up_ms=give_up_ms, **fields)
+        return Request(workload=workload, plan=plan, shard=shard, deadline_ms=give_up_ms, **fields)
 
     def take(self, *rpcs: Request) -> None:
-        self.round(taken=rpcs)
+        self.round(arrivals=rpcs)
 
     def answer(self, send: Attempt, outcome: Outcome = Outcome.OK, **more) -> None:
-        send.outcome, send.took_ms = outcome, self.now - send.sent_ms
+        send.outcome, send.latency_ms = outcome, self.now - send.sent_ms
         for name, value in more.items():
             setattr(send, name, value)
-        send.rpc.over = send.rpc.over or outcome is Outcome.OK
-        self.round(answers=[send])
+        send.request.finished = send.request.finished or outcome is Outcome.OK
+        self.round(outcomes=[send])
 
     # The writer.
 
     def send(self, rpc: Request, node: Node, limit_ms: float) -> Attempt:
-        assert not rpc.over and limit_ms > 0.0
-        send = Attempt(rpc, node, len(rpc.sends), self.now)
-        rpc.sends.append(send)
+        assert not rpc.finished and limit_ms > 0.0
+        send = Attempt(rpc, node, len(rpc.attempts), self.now)
+        rpc.attempts.append(send)
         self.sent.append(send)
         return send
 
@@ -87,13 +107,13 @@
         self.answer(send, Outcome.CANCELLED)
 
     def reject(self, rpc: Request, come_back_ms: float) -> None:
-        assert not rpc.over
-        rpc.over = True
+        assert not rpc.finished
+        rpc.finished = True
         self.rejected.append(rpc)
 
     def error(self, rpc: Request) -> None:
-        assert not rpc.over
-        rpc.over = True
+        assert not rpc.finished
+        rpc.finished = True
         self.errored.append(rpc)
 
     def wake(self, after_ms: float) -> None:
--- a/tests/house.py
+++ b/tests/house.py
@@ -32,11 +32,19 @@
 from cherrygrade.standin.register import Register
 
 READ = Workload("read", 200.0, 1500.0, 3.0)
-WRITE = Workload("write", 300.0, 1500.0, 3.0, writes=True)
+WRITE = Workload("write", 300.0, 1500.0, 3.0, is_write=True)
 EXPORT = Workload("export", 1500.0, 5000.0, 1.0)
-ONCE = Workload("once", 900.0, 1500.0, 3.0, effect=Idempotency.NON_IDEMPOTENT, writes=True)
-MARKED = Workload("marked", 900.0, 1500.0, 3.0, effect=Idempotency.TOKENED, token_ms=5000.0, writes=True)
-ORDERED = Workload("ordered", 900.0, 1500.0, 3.0, in_order=True, writes=True)
+ONCE = Workload("once", 900.0, 1500.0, 3.0, idempotency=Idempotency.NON_IDEMPOTENT, is_write=True)
+MARKED = Workload(
+    "marked",
+    900.0,
+    1500.0,
+    3.0,
+    idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+    deduplication_window_ms=5000.0,
+    is_write=True,
+)
+ORDERED = Workload("ordered", 900.0, 1500.0, 3.0, ordered=True, is_write=True)
 PLAN = ServicePlan("plan", usual_rate=1000.0)
 TRADE = TrafficSettings(
     {w.name: w for w in (READ, WRITE, EXPORT, ONCE, MARKED, ORDERED)},
@@ -44,7 +52,12 @@
     UnitSettings(4096.0, 1.0),
 )
 PERMITS = SitePolicy(
-    most_sends=4, cancel=True, come_back_ms=500.0, join_length=65536, unit_length=4096.0, least_units=1.0
+    max_attempts=4,
+    allows_cancel=True,
+    max_retry_after_ms=500.0,
+    max_coalesced_bytes=65536,
+    bytes_per_unit=4096.0,
+    min_units=1.0,
 )
 
 
@@ -108,7 +121,7 @@
             ),
             more.get("trade", TRADE),
             SchedulingSettings(
-                UtilityModel(in_share=0.5, beyond=0.1, largest_units=4.0),
+                UtilityModel(within_quota=0.5, beyond_quota=0.1, largest_units=4.0),
                 more.get("cold", SlowStartSettings()),
                 budget,
                 more.get("permits", PERMITS),
--- a/tests/support/decision_storm.py
+++ b/tests/support/decision_storm.py
@@ -33,9 +33,9 @@
 ROUNDS_PER_DIGEST = 100
 WORKLOADS = [
     Workload("interactive", 200.0, 1500.0, 3.0, 0.2),
-    Workload("zone-token", 900.0, 1500.0, 2.0, 0.1, Idempotency.TOKENED, "zone", 600.0),
-    Workload("any-token", 700.0, 2500.0, 2.5, 0.0, Idempotency.TOKENED, "all", 800.0),
-    Workload("cell-token", 800.0, 2500.0, 1.5, 0.3, Idempotency.TOKENED, "cell", 500.0),
+    Workload("zone-token", 900.0, 1500.0, 2.0, 0.1, Idempotency.IDEMPOTENT_WITH_KEY, "zone", 600.0),
+    Workload("any-token", 700.0, 2500.0, 2.5, 0.0, Idempotency.IDEMPOTENT_WITH_KEY, "all", 800.0),
+    Workload("cell-token", 800.0, 2500.0, 1.5, 0.3, Idempotency.IDEMPOTENT_WITH_KEY, "cell", 500.0),
     Workload("export", 1500.0, 5000.0, 1.0, 0.25),
     Workload("ordered", 300.0, 1500.0, 3.0, 0.0, Idempotency.IDEMPOTENT, "all", 0.0, True),
     Workload("once", 400.0, 1500.0, 2.8, 0.1, Idempotency.NON_IDEMPOTENT),
@@ -69,10 +69,10 @@
 
 
 SCENARIOS = [
-    Scenario("plain", SitePolicy(4, come_back_ms=500.0), budget=RetryBudgetSettings(5.0, 0.2, 2000.0)),
+    Scenario("plain", SitePolicy(4, max_retry_after_ms=500.0), budget=RetryBudgetSettings(5.0, 0.2, 2000.0)),
     Scenario(
         "asked-list",
-        SitePolicy(3, must_ask=True, ask_within_ms=5000.0),
+        SitePolicy(3, polls_endpoints=True, max_poll_interval_ms=5000.0),
         UtilityModel(0.5, 0.1, 1.0, 4.0),
         SlowStartSettings(),
         dispatchers=100,
@@ -80,7 +80,7 @@
     ),
     Scenario(
         "peers",
-        SitePolicy(4, come_back_ms=1000.0, peers=True),
+        SitePolicy(4, max_retry_after_ms=1000.0, allows_gossip=True),
         UtilityModel(0.4, 0.2, 2.0, 8.0),
         dispatchers=4,
         nodes=9,
@@ -88,35 +88,43 @@
     ),
     Scenario(
         "marked-retries",
-        SitePolicy(4, come_back_ms=700.0, marks_repeats=True),
+        SitePolicy(4, max_retry_after_ms=700.0, clients_mark_retries=True),
         budget=RetryBudgetSettings(0.0, 0.1, 1000.0),
         dispatchers=2,
     ),
     Scenario(
         "shared-attempts",
-        SitePolicy(4, come_back_ms=500.0, join_length=65536, join_most=5, unit_length=4096.0),
+        SitePolicy(
+            4,
+            max_retry_after_ms=500.0,
+            max_coalesced_bytes=65536,
+            max_coalesced_requests=5,
+            bytes_per_unit=4096.0,
+        ),
         nodes=2,
         arrivals=(0, 1, 3, 6),
         answer_chance=0.3,
         shared=True,
     ),
-    Scenario("copies", SitePolicy(5, copies=True), dispatchers=1, number=0, answer_chance=0.1),
+    Scenario("copies", SitePolicy(5, allows_hedging=True), dispatchers=1, number=0, answer_chance=0.1),
     Scenario(
-        "many-nodes", SitePolicy(4, come_back_ms=500.0), nodes=40, arrivals=(3, 5, 9), answer_chance=0.2
+        "many-nodes", SitePolicy(4, max_retry_after_ms=500.0), nodes=40, arrivals=(3, 5, 9), answer_chance=0.2
     ),
     Scenario(
         "moving-counts",
-        SitePolicy(4, come_back_ms=500.0, peers=True),
+        SitePolicy(4, max_retry_after_ms=500.0, allows_gossip=True),
         UtilityModel(0.5, 0.1, 1.0, 8.0),
         SlowStartSettings(20.0, 0.5, 2.0, 800.0, 6000.0),
         RetryBudgetSettings(3.0, 0.3, 1500.0),
         dispatchers=5,
         moving_counts=True,
     ),
-    Scenario("overload", SitePolicy(4, come_back_ms=500.0), nodes=3, arrivals=(2, 4, 6), answer_chance=0.1),
+    Scenario(
+        "overload", SitePolicy(4, max_retry_after_ms=500.0), nodes=3, arrivals=(2, 4, 6), answer_chance=0.1
+    ),
     Scenario(
         "steady",
-        SitePolicy(4, come_back_ms=500.0),
+        SitePolicy(4, max_retry_after_ms=500.0),
         UtilityModel(0.9, 0.8, 1.0, 8.0),
         SlowStartSettings(),
         dispatchers=1,
@@ -141,21 +149,21 @@
         self.out: list[Attempt] = []
 
     def send(self, rpc: Request, node: Node, limit_ms: float) -> Attempt:
-        send = Attempt(rpc, node, len(rpc.sends), self.now)
-        rpc.sends.append(send)
+        send = Attempt(rpc, node, len(rpc.attempts), self.now)
+        rpc.attempts.append(send)
         self.out.append(send)
         self.lines.append(f"send {rpc.id} {send.number} {node.address} {exact(limit_ms)}")
         return send
 
     def cancel(self, send: Attempt) -> None:
-        self.lines.append(f"cancel {send.rpc.id} {send.number}")
+        self.lines.append(f"cancel {send.request.id} {send.number}")
 
     def reject(self, rpc: Request, come_back_ms: float) -> None:
-        rpc.over = True
+        rpc.finished = True
         self.lines.append(f"reject {rpc.id} {exact(come_back_ms)}")
 
     def error(self, rpc: Request) -> None:
-        rpc.over = True
+        rpc.finished = True
         self.lines.append(f"error {rpc.id}")
 
     def wake(self, after_ms: float) -> None:
@@ -194,7 +202,7 @@
                 f"zone-{index % 2}",
                 "disk",
                 index % 5,
-                born_ms=self.random.choice([0.0, now - 500.0]),
+                started_ms=self.random.choice([0.0, now - 500.0]),
             )
             for index in range(scenario.nodes)
         ]
@@ -217,7 +225,7 @@
     def play(self, rounds: int) -> list[str]:
         """One digest for each ROUNDS_PER_DIGEST rounds, over all decisions so far."""
         digest, found = hashlib.sha256(), list[str]()
-        self.dispatcher.decide(self.writer.now, self.writer, heard=self.nodes)
+        self.dispatcher.decide(self.writer.now, self.writer, endpoint_changes=self.nodes)
         for self.step in range(1, rounds + 1):
             self.round()
             digest.update("\n".join([*self.writer.lines, f"round {self.step}\n"]).encode())
@@ -233,20 +241,22 @@
             [0.5, 1.0, 3.0, 10.0, 2.0, 2.0, 40.0 if self.step % 50 else 700.0]
         )
         if self.scenario.moving_counts and self.random.random() < 0.05:
-            self.company.counts = self.random.choice([(5,), (5, 7), (5, 3)])
-            self.company.yields = self.random.random() < 0.1
+            self.company.dispatcher_counts = self.random.choice([(5,), (5, 7), (5, 3)])
+            self.company.forfeits_quota = self.random.random() < 0.1
         taken = [self.request(turn) for turn in range(self.random.choice(self.scenario.arrivals))]
         self.dispatcher.decide(
             self.writer.now,
             self.writer,
-            taken=taken,
-            answers=self.answers(),
-            left=self.leavings(),
-            heard=self.list_changes(),
-            list_answered=self.random.choice([None, True, False, False]) if self.step % 10 == 0 else None,
-            words=self.messages(),
+            arrivals=taken,
+            outcomes=self.answers(),
+            cancellations=self.leavings(),
+            endpoint_changes=self.list_changes(),
+            endpoint_list_received=self.random.choice([None, True, False, False])
+            if self.step % 10 == 0
+            else None,
+            gossip=self.messages(),
         )
-        self.open = [rpc for rpc in [*self.open, *taken] if not rpc.over]
+        self.open = [rpc for rpc in [*self.open, *taken] if not rpc.finished]
 
     def request(self, turn: int) -> Request:
         chance, now = self.random, self.writer.now
@@ -254,7 +264,7 @@
         key = chance.choice(["", "key-1", "key-2", "key-2", f"own-{self.step}-{turn}"])
         start = 4096 * chance.randrange(24)
         length = 4096 * chance.choice([1, 1, 2, 4])
-        joins = self.scenario.shared and key.startswith("key") and not work.in_order
+        joins = self.scenario.shared and key.startswith("key") and not work.ordered
         return Request(
             None if chance.random() < 0.002 else work,
             chance.choice(PLANS),
@@ -264,12 +274,12 @@
             chance.choice([-1, -1, 0, 1, 2, 3, 4, 7]) if not (joins or self.scenario.steady) else 0,
             chance.choice([1.0, 1.0, 2.0, 8.0]) if not joins else max(1.0, length / 4096.0),
             now + work.deadline_ms * chance.choice([1.0, 1.0, 0.6, 0.1]),
-            writes=chance.random() < 0.3,
-            repeat=chance.random() < 0.1,
+            is_write=chance.random() < 0.3,
+            is_retry=chance.random() < 0.1,
             id=f"{self.step}.{turn}",
-            start=start,
+            offset=start,
             length=length if joins else 0,
-            joins=joins,
+            coalescable=joins,
         )
 
     def answers(self) -> list[Attempt]:
@@ -278,25 +288,25 @@
         if self.scenario.steady:
             answer_chance = 0.06 if self.step < 150 else 0.8
         for send in [*self.writer.out]:
-            if send.lead is not None or not (
-                chance.random() < answer_chance or now >= send.rpc.give_up_ms + 50.0
+            if send.carried_by is not None or not (
+                chance.random() < answer_chance or now >= send.request.deadline_ms + 50.0
             ):
                 continue
             outcome = chance.choices([*Outcome], [30, 1, 1, 1, 1, 1, 0.2, 0.2])[0]
             if self.scenario.steady:
                 outcome = Outcome.OK
             elsewhere = chance.choice([0.0, 0.0, 2.0])
-            for one in [send, *(send.mates or ())]:
+            for one in [send, *(send.coalesced or ())]:
                 self.writer.out.remove(one)
-                one.outcome, one.took_ms, one.elsewhere = outcome, now - one.sent_ms, elsewhere
-                one.rpc.over = one.rpc.over or outcome is Outcome.OK
+                one.outcome, one.latency_ms, one.units_elsewhere = outcome, now - one.sent_ms, elsewhere
+                one.request.finished = one.request.finished or outcome is Outcome.OK
                 found.append(one)
         return found
 
     def leavings(self) -> list[Request]:
-        left = [rpc for rpc in self.open if not rpc.over and self.random.random() < 0.005]
+        left = [rpc for rpc in self.open if not rpc.finished and self.random.random() < 0.005]
         for rpc in left:
-            rpc.over = True
+            rpc.finished = True
         return left
 
     def list_changes(self) -> list[Node]:
@@ -305,16 +315,16 @@
             return []
         index = chance.randrange(len(self.nodes))
         node = self.nodes[index]
-        if node.standing is NodeState.GONE and chance.random() < 0.5:
+        if node.state is NodeState.GONE and chance.random() < 0.5:
             node = self.nodes[index] = Node(f"10.0.1.{self.step}:7", node.zone, "disk", node.shard)
-        node.standing = chance.choice([NodeState.LIVE, NodeState.LIVE, NodeState.DRAINING, NodeState.GONE])
-        if node.standing is NodeState.LIVE and chance.random() < 0.5:
-            node.born_ms = self.writer.now - chance.choice([0.0, 300.0, 3000.0])
+        node.state = chance.choice([NodeState.LIVE, NodeState.LIVE, NodeState.DRAINING, NodeState.GONE])
+        if node.state is NodeState.LIVE and chance.random() < 0.5:
+            node.started_ms = self.writer.now - chance.choice([0.0, 300.0, 3000.0])
         return [node]
 
     def messages(self) -> list[tuple[int, bytes]]:
         chance = self.random
-        if not self.scenario.permits.peers or chance.random() >= 0.3:
+        if not self.scenario.permits.allows_gossip or chance.random() >= 0.3:
             return []
         lane_marks = [*self.dispatcher.places]
         found = list[tuple[int, bytes]]()
--- a/tests/test_carrying.py
+++ b/tests/test_carrying.py
@@ -20,7 +20,7 @@
 
 
 def standings(book: Book) -> dict[str, NodeState]:
-    return {address: node.standing for address, node in book.nodes.by_address.items()}
+    return {address: node.state for address, node in book.nodes.by_address.items()}
 
 
 def test_a_missed_change_is_noticed_and_the_whole_list_mends_it():
@@ -52,9 +52,9 @@
     book = Book(NodeTable())
     book.hear(Roster(1, 1, -1, [entry("a", age=300.0)]), 1000.0)
     book.hear(Roster(1, 2, 1, [entry("a", age=5000.0)]), 1500.0)
-    assert book.nodes.by_address["a"].born_ms == 700.0
+    assert book.nodes.by_address["a"].started_ms == 700.0
     book.hear(Roster(1, 3, 2, [entry("a", start=2, age=50.0)]), 9000.0)
-    assert book.nodes.by_address["a"].born_ms == 8950.0
+    assert book.nodes.by_address["a"].started_ms == 8950.0
     book.hear(Roster(1, 4, 3, [entry("a", "gone", start=1)]), 9001.0)
     assert standings(book)["a"] is NodeState.LIVE  # a word of its life before
 
--- a/tests/test_cold_together.py
+++ b/tests/test_cold_together.py
@@ -32,16 +32,18 @@
 
     def __init__(self, number: int, fleet: int, cold: SlowStartSettings, units: float, mean: float) -> None:
         self.chance = random.Random(number)
-        self.gate = Admission(number, PeerDirectory(fleet), units, cold, None, SitePolicy(most_sends=4), 0.0)
+        self.gate = Admission(
+            number, PeerDirectory(fleet), units, cold, None, SitePolicy(max_attempts=4), 0.0
+        )
         self.gate.begun = BORN - 1e5
-        self.others = NodeQueue(Node("", standing=NodeState.DRAINING), 0.0, TIGHT, 0.0, None)
+        self.others = NodeQueue(Node("", state=NodeState.DRAINING), 0.0, TIGHT, 0.0, None)
         warm = NodeQueue(Node("warm"), 0.0, TIGHT, 0.0, self.others)
         now = BORN - 1e5
         for _ in range(self.chance.choice([300, 500] if fleet > 30 else [300, 3000, 20000])):
             job = self.job(1.0, now)
             send = Attempt(job.rpc, warm.node, 0, now)
             warm.went(job, send)
-            send.outcome, send.took_ms = Outcome.OK, self.chance.expovariate(1.0 / mean)
+            send.outcome, send.latency_ms = Outcome.OK, self.chance.expovariate(1.0 / mean)
             warm.answered(send, now, TIGHT)
         self.told_at = BORN + self.chance.uniform(0.0, 2000.0)  # lists come at their own time
         self.lane: NodeQueue | None = None
@@ -77,8 +79,10 @@
 def test_all_together_stay_within_the_budget_and_chance(fleet, bears, share, multiple, span, warm, mean):
     # Beyond a budget of N calls, of mean work, only 2 root N + 2 are chance, however many they are.
     units = 2.06
-    cold = SlowStartSettings(units=bears, share=share, multiple=multiple, span_ms=span, warm_ms=warm)
-    node = Node("s-5be2a07c", shard=0, born_ms=BORN)
+    cold = SlowStartSettings(
+        base_units=bears, cold_capacity=share, overload_multiple=multiple, window_ms=span, warm_up_ms=warm
+    )
+    node = Node("s-5be2a07c", shard=0, started_ms=BORN)
     seats = [Seat(number, fleet, cold, units, mean) for number in range(fleet)]
     sent: list[tuple[float, float]] = []
     for step in range(1, int(warm / 100.0) - 1):
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -26,14 +26,22 @@
 
 WORKLOADS = [
     Workload("a", 200, 1500, 3.0),
-    Workload("b", 900, 1500, 2.0, effect=Idempotency.TOKENED, token_ms=600, group="cell"),
+    Workload(
+        "b",
+        900,
+        1500,
+        2.0,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        deduplication_window_ms=600,
+        deduplication_scope="cell",
+    ),
     Workload("c", 900, 3000, 1.0),
-    Workload("d", 300, 1500, 3.0, in_order=True),
-    Workload("e", 300, 1500, 2.0, effect=Idempotency.NON_IDEMPOTENT),
+    Workload("d", 300, 1500, 3.0, ordered=True),
+    Workload("e", 300, 1500, 2.0, idempotency=Idempotency.NON_IDEMPOTENT),
 ]
 PLANS = [
     ServicePlan("p", 1, 1, 50, reserve_rate=20),
-    ServicePlan("q", 4, 1, 100, limit_rate=60, limit_depth=30),
+    ServicePlan("q", 4, 1, 100, limit_rate=60, limit_burst=30),
 ]
 
 
@@ -44,18 +52,18 @@
         self.now, self.log, self.out = 1e6, [], []
 
     def send(self, rpc, node, limit_ms):
-        send = Attempt(rpc, node, len(rpc.sends), self.now)
-        rpc.sends.append(send)
+        send = Attempt(rpc, node, len(rpc.attempts), self.now)
+        rpc.attempts.append(send)
         self.out.append(send)
         self.log.append(("send", rpc.id, node.address, limit_ms))
         return send
 
     def reject(self, rpc, come_back_ms):
-        rpc.over = True
+        rpc.finished = True
         self.log.append(("reject", rpc.id, come_back_ms))
 
     def error(self, rpc):
-        rpc.over = True
+        rpc.finished = True
         self.log.append(("error", rpc.id))
 
     def wake(self, after_ms):
@@ -68,7 +76,7 @@
 def rough_day(made, seed: int) -> list:
     chance, told = random.Random(seed), Told()
     nodes = [
-        Node(f"n{i}", zone="z", shard=i % 5, born_ms=chance.choice([0, told.now - 500])) for i in range(6)
+        Node(f"n{i}", zone="z", shard=i % 5, started_ms=chance.choice([0, told.now - 500])) for i in range(6)
     ]
     module = made(
         seed=seed,
@@ -78,10 +86,12 @@
         earnings=UtilityModel(0.5, 0.1, 2, 8, 0, True),
         cold=SlowStartSettings(8, 0.3, 3, 1000, 4000),
         budget=RetryBudgetSettings(5, 0.2, 2000) if seed % 2 else None,
-        permits=SitePolicy(most_sends=4, come_back_ms=500.0, must_ask=True, ask_within_ms=5000),
+        permits=SitePolicy(
+            max_attempts=4, max_retry_after_ms=500.0, polls_endpoints=True, max_poll_interval_ms=5000
+        ),
         key_rest_ms=100,
     )
-    module.decide(told.now, told, heard=nodes)
+    module.decide(told.now, told, endpoint_changes=nodes)
     for step in range(700):
         told.now += chance.choice([0.5, 1, 3, 10, 2])
         taken, answers, heard = [], [], []
@@ -101,19 +111,19 @@
                     id=f"{step}.{turn}",
                 )
             )
-        for send in [send for send in told.out if chance.random() < 0.1 or told.now >= send.rpc.give_up_ms]:
+        for send in [
+            send for send in told.out if chance.random() < 0.1 or told.now >= send.request.deadline_ms
+        ]:
             told.out.remove(send)
             send.outcome = chance.choices(list(Outcome), [20, 1, 1, 1, 1, 1, 0.2, 0.2])[0]
-            send.took_ms, send.elsewhere = told.now - send.sent_ms, chance.choice([0.0, 0.0, 2.0])
-            send.rpc.over = send.rpc.over or send.outcome is Outcome.OK
+            send.latency_ms, send.units_elsewhere = told.now - send.sent_ms, chance.choice([0.0, 0.0, 2.0])
+            send.request.finished = send.request.finished or send.outcome is Outcome.OK
             answers.append(send)
         if chance.random() < 0.02:
             node = chance.choice(nodes)
-            node.standing = chance.choice(
-                [NodeState.LIVE, NodeState.LIVE, NodeState.DRAINING, NodeState.GONE]
-            )
+            node.state = chance.choice([NodeState.LIVE, NodeState.LIVE, NodeState.DRAINING, NodeState.GONE])
             heard = [node]
-        module.decide(told.now, told, taken=taken, answers=answers, heard=heard)
+        module.decide(told.now, told, arrivals=taken, outcomes=answers, endpoint_changes=heard)
     return told.log
 
 
--- a/tests/test_config_in_force.py
+++ b/tests/test_config_in_force.py
@@ -93,7 +93,7 @@
             await asyncio.sleep(0.01)
         gateway.rounds.stir()
         await asyncio.sleep(0.01)
-        assert not gateway.company.yields
+        assert not gateway.company.forfeits_quota
 
 
 def told(gateway: Gateway) -> dict[str, Any]:
@@ -105,7 +105,11 @@
         "come_back_ms": (gateway.come_back_ms, gateway.watch.come_back_ms),
         "module": (module.earnings, module.permits, module.top, module.tight, module.ask_spread),
         "gate": (gate.cold, gate.budget, gate.permits, gate.part, gate.key_rest_ms),
-        "counts": (module.company.counts, module.company.dispatchers, module.company.yields),
+        "counts": (
+            module.company.dispatcher_counts,
+            module.company.dispatchers,
+            module.company.forfeits_quota,
+        ),
         "volumes": {name: (one.plan, one.hosts, one.most, one.depth) for name, one in module.volumes.items()},
         "lanes": [lane.tight for lane in [*module.lanes.values(), module.unplaced]],
         "rooms": (dict(rooms._works), {name: (one[0].weight, one[1]) for name, one in rooms._shares.items()}),
@@ -249,7 +253,7 @@
         assert await gateway.in_force(version(1, faster), 3) == ""
         assert "export" not in gateway.trade.workloads
         assert {one.workload.name for one in held} == {"export"}
-        assert {(one.plan.limit_rate, one.hosts) for one in held} == {
+        assert {(one.plan.limit_rate, one.dispatchers) for one in held} == {
             (300.0, 3)
         }  # its volume's plan is today's
         assert all(isinstance(answer, Ok) for answer in await asyncio.gather(*writes))
@@ -304,13 +308,13 @@
         # It votes in no council that anybody leads: nobody tells it.
         gateway = await one.open(1, own=OWN.replace('voters: ["d0"]', 'voters: ["d9"]'))
         client = house.client(gateway)
-        assert gateway.company.yields
+        assert gateway.company.forfeits_quota
         assert isinstance(await client.write("write", "w", "k", b"x", shard=0, deadline_ms=500), Ok)
         limited = await client.write("write", "v", "k", b"x", shard=0, deadline_ms=500)
         assert not isinstance(limited, Ok)
         gateway.agent.config.replica._sure = True  # witnesses told it
         assert isinstance(await client.write("write", "v", "k", b"x", shard=0, deadline_ms=900), Ok)
-        assert not gateway.company.yields
+        assert not gateway.company.forfeits_quota
 
     run(story)
 
@@ -353,16 +357,16 @@
         assert old == QuotaDivisors(3, (("v", 3), ("w", 2)))
         more, fewer = "place: dispatchers: 5", "place: dispatchers: 2"
         assert await gateway.in_force(version(1, more, old), 2) == ""
-        assert gateway.company.counts == (3, 5) and gateway.trade.volumes["v"].hosts == 5
-        assert gateway.agent.core.record == 5 and not gateway.company.yields
+        assert gateway.company.dispatcher_counts == (3, 5) and gateway.trade.volumes["v"].hosts == 5
+        assert gateway.agent.core.record == 5 and not gateway.company.forfeits_quota
         assert await gateway.in_force(version(1, more, old), 3) == ""
-        assert gateway.company.counts == (5,)
+        assert gateway.company.dispatcher_counts == (5,)
         grown = gateway.overlay.judge("", more)[1]
         assert await gateway.in_force(version(2, fewer, grown), 4) == ""
-        assert gateway.company.counts == (2, 5) and gateway.trade.volumes["v"].hosts == 5
-        assert gateway.company.yields and gateway.place.number == 2  # outside of the new count
+        assert gateway.company.dispatcher_counts == (2, 5) and gateway.trade.volumes["v"].hosts == 5
+        assert gateway.company.forfeits_quota and gateway.place.number == 2  # outside of the new count
         assert await gateway.in_force(version(2, fewer, grown), 5) == ""
-        assert gateway.company.counts == (2,) and gateway.company.yields
+        assert gateway.company.dispatcher_counts == (2,) and gateway.company.forfeits_quota
         assert gateway.agent.core.record == 2
         client = house.client(gateway)
         assert isinstance(await client.write("write", "w", "k", b"x", shard=0, deadline_ms=900), Ok)
@@ -402,7 +406,7 @@
         one.file.write_text("nonsense {")
         text = "earnings: in_share: 0.3"
         assert gateway.overlay.site("") == before
-        assert gateway.overlay.site(text).bearings.earnings.in_share == 0.3
+        assert gateway.overlay.site(text).bearings.earnings.within_quota == 0.3
         with pytest.raises(RecordError):
             read_site(one.file)
 
--- a/tests/test_config_live.py
+++ b/tests/test_config_live.py
@@ -7,6 +7,7 @@
 
 from cherrygrade.fleet.config.live_changes import LIVE, LiveChanges, _keys, changes, divisors
 from cherrygrade.fleet.config.versions import QuotaDivisors
+from cherrygrade.records.frozen_names import record_keys
 from cherrygrade.records.load import read_site
 from cherrygrade.settings import SiteSettings
 
@@ -99,8 +100,8 @@
 
     def all_of(made: type) -> set[str]:
         found: set[str] = set()
-        for field in fields(made):
-            found.add(field.name)
+        for key, _ in record_keys(made):
+            found.add(key)
         return found
 
     site = read_site(file)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -118,10 +118,10 @@
 def test_one_that_comes_and_leaves_between_two_rounds_holds_nobody_up():
     host = FakeHost()
     gone, next_one = host.rpc(ORDERED, key="k"), host.rpc(ORDERED, key="k")
-    gone.over = True
-    host.round(taken=[gone], left=[gone])
+    gone.finished = True
+    host.round(arrivals=[gone], cancellations=[gone])
     host.take(next_one)
-    assert [send.rpc for send in host.sent] == [next_one] and list(host.dispatcher.jobs) == [next_one]
+    assert [send.request for send in host.sent] == [next_one] and list(host.dispatcher.jobs) == [next_one]
 
 
 def test_what_waits_for_a_connection_goes_with_its_client(tmp_path):
@@ -222,7 +222,7 @@
         real, before = module.decide, []
 
         def decide(now, writer, **came):
-            if came["answers"] and not before:
+            if came["outcomes"] and not before:
                 before.append(len(node.came))
                 for client in clients:
                     client.close()
@@ -602,7 +602,7 @@
             await asyncio.sleep(0.001)
         if drains:
             square.discovery.tell(node.entry("terminating"))
-            await square.until(lambda: next(iter(platform.listing.dials)).standing is NodeState.DRAINING)
+            await square.until(lambda: next(iter(platform.listing.dials)).state is NodeState.DRAINING)
         assert not client.done()
         peer.transport.close() if end == "orderly" else reset(peer.transport.get_extra_info("socket").dup())
         if end == "reset":
@@ -695,7 +695,7 @@
         await asyncio.sleep(0.45)
         free.set()  # decided within the window, there to leave behind it
         assert (await first).status == 503  # its nodes drop repeats, so its client may ask again
-        assert len(node.came) == 1 and platform.rounds.module.told == [Outcome.RESET, Outcome.UNSENT]
+        assert len(node.came) == 1 and platform.rounds.module.told == [Outcome.RESET, Outcome.NOT_SENT]
 
     play(tmp_path, story)
 
@@ -708,7 +708,7 @@
         client = asyncio.create_task(caller.call(ask()))
         await square.until(lambda: any(pool.waiting for pool in platform.pools.values()))
         met = next(iter(platform.listing.dials))
-        met.standing = NodeState.DRAINING  # told, and nobody has looked through what waits yet
+        met.state = NodeState.DRAINING  # told, and nobody has looked through what waits yet
         free.set()
         assert (await client).status == 503 and not node.came
 
@@ -789,7 +789,7 @@
         assert not line.whole
         node.peers[0].write(answer(503, fields=b"X-Rejected: 1\r\n"))
         assert (await write).status == 200  # turned away unread, so it went again
-        assert platform.rounds.module.told == [Outcome.FULL, Outcome.OK] and node.made == 2
+        assert platform.rounds.module.told == [Outcome.REJECTED, Outcome.OK] and node.made == 2
 
     play(tmp_path, story)
 
--- a/tests/test_extents.py
+++ b/tests/test_extents.py
@@ -545,12 +545,12 @@
         assert len(company._sights) <= 16
 
 
-JOINS = SitePolicy(most_sends=4, come_back_ms=500.0, join_length=65536, unit_length=4096.0)
+JOINS = SitePolicy(max_attempts=4, max_retry_after_ms=500.0, max_coalesced_bytes=65536, bytes_per_unit=4096.0)
 
 
 def joining(host: FakeHost, start: int, **more):
     rpc = host.rpc(more.pop("workload", FAKE_READ), key="e1", units=1.0, **more)
-    rpc.start, rpc.length, rpc.joins = start, 4096, True
+    rpc.offset, rpc.length, rpc.coalescable = start, 4096, True
     return rpc
 
 
@@ -558,11 +558,13 @@
     host = FakeHost(permits=JOINS)
     host.take(*(joining(host, at * 4096) for at in range(6)))
     lane = host.dispatcher.lanes[host.nodes[0]]
-    assert len(host.sent) == 6 and lane.busy == 1 and host.sent[0].mates == host.sent[1:]
-    assert host.sent[0].units == 6.0 and all(send.lead is host.sent[0] for send in host.sent[1:])
+    assert len(host.sent) == 6 and lane.busy == 1 and host.sent[0].coalesced == host.sent[1:]
+    assert host.sent[0].coalesced_units == 6.0 and all(
+        send.carried_by is host.sent[0] for send in host.sent[1:]
+    )
     host.now += 12.0
     for send in [*host.sent]:
-        host.answer(send, (send.lead and Outcome.ERRORED) or Outcome.OK)
+        host.answer(send, (send.carried_by and Outcome.FAILED) or Outcome.OK)
     assert len(host.sent) > 6  # those whose part failed go again, as their own
     while left := [send for send in host.sent if send.outcome is None]:
         host.answer(left[0])
@@ -575,7 +577,7 @@
     lane = host.dispatcher.lanes[host.nodes[0]]
     lane.unit_ms, lane.window = 45.0, 1.0
     host.take(*(joining(host, at * 4096) for at in range(10)))
-    assert host.sent[0].mates and all(send.units * 45.0 <= 200.0 for send in host.sent)
+    assert host.sent[0].coalesced and all(send.coalesced_units * 45.0 <= 200.0 for send in host.sent)
 
 
 def test_a_node_in_trouble_gets_its_trial_alone():
@@ -587,9 +589,9 @@
 
 
 def test_sharing_changes_nothing_where_it_is_off():
-    host = FakeHost(permits=replace(PERMITS, join_length=0))
+    host = FakeHost(permits=replace(PERMITS, max_coalesced_bytes=0))
     host.take(*(joining(host, at * 4096) for at in range(6)))
-    assert not any(send.mates or send.lead for send in host.sent)
+    assert not any(send.coalesced or send.carried_by for send in host.sent)
 
 
 def test_an_unknown_place_is_no_nodes():
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -40,16 +40,18 @@
         host.pass_time(20.0)
     silent = [send for send in host.sent if send.node is host.nodes[0]]
     assert 3 <= len(silent) <= 12
-    assert sum(1 for send in host.sent if send.rpc.shard == -1) > 190
+    assert sum(1 for send in host.sent if send.request.shard == -1) > 190
 
 
 def test_a_node_back_from_the_dead_is_taken_for_cold_before_the_list_says_so():
-    cold = SlowStartSettings(units=4.0, share=0.25, multiple=2.0, span_ms=1000.0, warm_ms=10000.0)
+    cold = SlowStartSettings(
+        base_units=4.0, cold_capacity=0.25, overload_multiple=2.0, window_ms=1000.0, warm_up_ms=10000.0
+    )
     host = FakeHost(dispatchers=4, cold=cold)
     for _ in range(40):
         host.take(host.rpc(EXPORT))
         for send in [send for send in host.sent if send.outcome is None]:
-            host.answer(send, Outcome.UNCONNECTED)
+            host.answer(send, Outcome.CONNECT_FAILED)
         host.pass_time(100.0)
     before = len(host.sent)
     for _ in range(500):
@@ -61,11 +63,13 @@
 
 @pytest.mark.parametrize("dispatchers", [1, 3, 200, 1000])
 def test_all_dispatchers_together_keep_to_what_a_cold_node_bears(dispatchers):
-    cold = SlowStartSettings(units=12.0, share=0.25, multiple=2.0, span_ms=1000.0, warm_ms=10000.0)
+    cold = SlowStartSettings(
+        base_units=12.0, cold_capacity=0.25, overload_multiple=2.0, window_ms=1000.0, warm_up_ms=10000.0
+    )
     sent = []
     for number in range(dispatchers):
         host = FakeHost(dispatchers=dispatchers, number=number, cold=cold)
-        host.nodes[0].born_ms = host.now - 1.0
+        host.nodes[0].started_ms = host.now - 1.0
         for _ in range(20):
             host.take(host.rpc())
             answer_all(host)
@@ -77,12 +81,14 @@
 
 def test_a_node_that_started_in_this_dispatchers_life_gets_its_part_at_once():
     # Nobody before this one can have sent to it; for a span it got nothing, from any of two hundred.
-    cold = SlowStartSettings(units=12.0, share=0.25, multiple=3.0, span_ms=3000.0, warm_ms=13000.0)
+    cold = SlowStartSettings(
+        base_units=12.0, cold_capacity=0.25, overload_multiple=3.0, window_ms=3000.0, warm_up_ms=13000.0
+    )
     host = FakeHost(cold=cold)
     host.pass_time(500.0)
-    younger = Node("10.0.0.8:1", zone="z", shard=8, born_ms=host.now - 100.0)
-    older = Node("10.0.0.9:1", zone="z", shard=9, born_ms=host.now - 600.0)
-    host.round(heard=[younger, older])
+    younger = Node("10.0.0.8:1", zone="z", shard=8, started_ms=host.now - 100.0)
+    older = Node("10.0.0.9:1", zone="z", shard=9, started_ms=host.now - 600.0)
+    host.round(endpoint_changes=[younger, older])
     host.take(host.rpc(shard=8), host.rpc(shard=9))
     assert [send.node for send in host.sent] == [younger]
 
@@ -99,22 +105,22 @@
     host.answer(host.sent[0])
     assert export in [job.rpc for job in lane.batch]
     host.pass_time(390.0)
-    assert export.over and not export.sends
+    assert export.finished and not export.attempts
 
 
 def test_a_pressed_rpc_that_cannot_be_in_time_any_more_is_rejected_at_once():
     host = FakeHost()
     host.take(*[host.rpc() for _ in range(10)])
-    host.pass_time(READ.soft_ms + 30.0)
+    host.pass_time(READ.latency_objective_ms + 30.0)
     assert len(host.rejected) == 8
 
 
 def test_what_others_got_at_a_node_is_charged_to_the_volume_here():
-    host = FakeHost(earnings=UtilityModel(in_share=0.5, beyond=0.1, tells_elsewhere=True))
+    host = FakeHost(earnings=UtilityModel(within_quota=0.5, beyond_quota=0.1, reports_use_elsewhere=True))
     host.take(host.rpc(volume="a"), host.rpc(volume="b"))
-    host.answer(host.sent[0], elsewhere=500.0)
+    host.answer(host.sent[0], units_elsewhere=500.0)
     host.take(*[host.rpc(volume=name) for name in "aaaba"])
-    assert host.sent[2].rpc.volume == "b"
+    assert host.sent[2].request.volume == "b"
 
 
 def test_what_is_beyond_a_volumes_due_waits_behind_another_volumes_dues():
@@ -125,7 +131,7 @@
     host.take(quiet)
     host.answer(host.sent[0])
     host.answer(host.sent[1])
-    assert quiet in [send.rpc for send in host.sent]
+    assert quiet in [send.request for send in host.sent]
 
 
 def test_the_window_does_not_grow_unused_and_shrinks_when_answers_wait_at_the_node():
@@ -159,20 +165,22 @@
         answer_all(host)
     export = host.rpc(EXPORT)
     host.take(export)
-    assert lane.window == 1.0 and not export.sends
+    assert lane.window == 1.0 and not export.attempts
     host.pass_time(1500.0)
-    assert export.sends
+    assert export.attempts
 
 
 def test_the_next_rpc_on_a_key_rides_on_the_first_beyond_the_window():
     host = FakeHost()
     run = [host.rpc(key="k") for _ in range(4)]
     host.take(host.rpc(key="other"), *run)
-    assert [send.rpc for send in host.sent[1:]] == run[:2]
+    assert [send.request for send in host.sent[1:]] == run[:2]
 
 
 def test_resets_alone_do_not_shut_a_node():
-    cold = SlowStartSettings(units=4.0, share=0.2, multiple=2.0, span_ms=1000.0, warm_ms=17000.0)
+    cold = SlowStartSettings(
+        base_units=4.0, cold_capacity=0.2, overload_multiple=2.0, window_ms=1000.0, warm_up_ms=17000.0
+    )
     host = FakeHost(dispatchers=8, cold=cold)
     for i in range(100):
         host.take(host.rpc())
@@ -191,7 +199,7 @@
     late, fresh = host.rpc(key="k", gives_up=1500.0), host.rpc()
     host.take(late, fresh)
     host.answer(host.sent[0])
-    assert host.sent[-1].rpc is fresh and not late.sends
+    assert host.sent[-1].request is fresh and not late.attempts
 
 
 def test_a_client_in_haste_is_sent_at_once_however_little_time_it_left():
@@ -203,7 +211,7 @@
     host.answer(host.sent[0])
     hasty = host.rpc(key="b", gives_up=17.0)
     host.take(hasty)
-    assert hasty.sends and host.dispatcher.jobs[hasty].pressed and not host.rejected
+    assert hasty.attempts and host.dispatcher.jobs[hasty].pressed and not host.rejected
 
 
 def test_a_client_in_haste_that_comes_again_is_due_as_it_was():
@@ -217,7 +225,7 @@
     assert len(host.rejected) == 1
     again = host.rpc(key="k", gives_up=60.0)
     host.take(again)
-    assert again.sends and host.dispatcher.jobs[again].pressed
+    assert again.attempts and host.dispatcher.jobs[again].pressed
 
 
 def test_what_was_given_up_is_forgotten_in_time():
@@ -237,19 +245,19 @@
     host.take(host.rpc())
     host.answer(host.sent[0])
     host.answer(host.sent[1])
-    assert [send.rpc.workload for send in host.sent[3:]] == [READ]
+    assert [send.request.workload for send in host.sent[3:]] == [READ]
 
 
 def test_a_node_that_goes_and_comes_back_keeps_its_answers():
     host = FakeHost()
-    host.nodes[0].standing = NodeState.GONE
-    host.round(heard=host.nodes)
+    host.nodes[0].state = NodeState.GONE
+    host.round(endpoint_changes=host.nodes)
     rpc = host.rpc()
     host.take(rpc)
-    host.nodes[0].standing = NodeState.LIVE
-    host.round(heard=host.nodes)
+    host.nodes[0].state = NodeState.LIVE
+    host.round(endpoint_changes=host.nodes)
     host.answer(host.sent[0])
-    assert [send.rpc for send in host.sent] == [rpc] and rpc.over
+    assert [send.request for send in host.sent] == [rpc] and rpc.finished
 
 
 def test_a_send_that_stays_out_tells_of_waiting_before_it_is_answered():
@@ -276,12 +284,14 @@
     host.answer(host.sent[-1])
     host.pass_time(1000.0)
     host.take(host.rpc(units=2.0))
-    assert host.sent[-1].rpc.units == 2.0
+    assert host.sent[-1].request.units == 2.0
 
 
 @pytest.mark.parametrize("came_back", [True, False])
 def test_a_node_that_answers_what_was_sent_before_its_strikes_was_slow_and_is_not_cold(came_back):
-    cold = SlowStartSettings(units=4.0, share=0.2, multiple=2.0, span_ms=1000.0, warm_ms=17000.0)
+    cold = SlowStartSettings(
+        base_units=4.0, cold_capacity=0.2, overload_multiple=2.0, window_ms=1000.0, warm_up_ms=17000.0
+    )
     host = FakeHost(dispatchers=8, number=3, cold=cold)
     lane = host.dispatcher.lanes[host.nodes[0]]
     for _ in range(3):
@@ -300,27 +310,29 @@
     first, other = host.sent
     host.now += 1300.0
     for send in (first, other):
-        send.outcome, send.took_ms, send.rpc.over = Outcome.OK, 30.0, True
+        send.outcome, send.latency_ms, send.request.finished = Outcome.OK, 30.0, True
     late, fresh = host.rpc(gives_up=700.0), [host.rpc() for _ in range(9)]
-    host.round(answers=[first, other], taken=[late, *fresh])
+    host.round(outcomes=[first, other], arrivals=[late, *fresh])
     lanes = [host.dispatcher.lanes[node] for node in host.nodes]
     assert all(lane.queue_ms < 10.0 and not lane.strikes and lane.window >= 2.0 for lane in lanes)
-    assert len(host.sent) == 4 and host.sent[2].rpc is fresh[0]
+    assert len(host.sent) == 4 and host.sent[2].request is fresh[0]
 
 
 @pytest.mark.parametrize("dispatchers", [1, 1000])
 @pytest.mark.parametrize("born_ms", [0.0, 1e9])
 def test_odd_starts_and_gaps_of_seconds_lose_nothing(dispatchers, born_ms):
-    cold = SlowStartSettings(units=12.0, share=0.25, multiple=2.0, span_ms=1000.0, warm_ms=10000.0)
+    cold = SlowStartSettings(
+        base_units=12.0, cold_capacity=0.25, overload_multiple=2.0, window_ms=1000.0, warm_up_ms=10000.0
+    )
     host = FakeHost(dispatchers=dispatchers, number=dispatchers - 1, cold=cold)
-    host.nodes[0].born_ms = born_ms
+    host.nodes[0].started_ms = born_ms
     rpcs = [host.rpc(), host.rpc(EXPORT, shard=-1), host.rpc(shard=9)]
     host.take(*rpcs)
     host.now += 1900.0
     host.round()
     answer_all(host)
     host.pass_time(4000.0)
-    assert all(rpc.over for rpc in rpcs)
+    assert all(rpc.finished for rpc in rpcs)
 
 
 def test_a_unit_work_told_too_high_by_the_first_answers_comes_down_in_a_few():
@@ -335,10 +347,12 @@
 def test_dispatchers_that_must_ask_for_the_list_do_not_ask_all_at_once():
     asked = []
     for seed in range(20):
-        host = FakeHost(dispatchers=200, seed=seed, permits=SitePolicy(must_ask=True, ask_within_ms=10000.0))
+        host = FakeHost(
+            dispatchers=200, seed=seed, permits=SitePolicy(polls_endpoints=True, max_poll_interval_ms=10000.0)
+        )
         host.pass_time(6000.0)
         asked += host.asked
-        host.round(list_answered=False)
+        host.round(endpoint_list_received=False)
         host.pass_time(10000.0)
         assert len(host.asked) == 2
     most = max(sum(1 for at in asked if 0.0 <= at - first < 500.0) for first in asked)
--- a/tests/test_gateway_failures.py
+++ b/tests/test_gateway_failures.py
@@ -322,7 +322,7 @@
     class Breaks(Scheduler):
         def decide(self, now, writer, **came):
             super().decide(now, writer, **came)
-            if any(rpc.key == "poison" for rpc in came["taken"]):
+            if any(rpc.key == "poison" for rpc in came["arrivals"]):
                 raise RuntimeError("poisoned")
 
     async def story(house: House) -> None:
@@ -369,10 +369,10 @@
         assert isinstance(await client.read("read", "v", "k", shard=0, length=1, deadline_ms=1000), Ok)
         link = next(iter(gateway.links.values()))
         lane = gateway.rounds.module.lanes[link.node]
-        before = len(gateway.rounds.inbox.answers)
+        before = len(gateway.rounds.inputs.outcomes)
         out = lane.last
         gateway.rounds.outcome(out, outcome)
-        assert out.outcome is Outcome.OK and len(gateway.rounds.inbox.answers) == before
+        assert out.outcome is Outcome.OK and len(gateway.rounds.inputs.outcomes) == before
 
     run(story)
 
@@ -409,7 +409,9 @@
 def test_where_the_list_must_be_asked_for_it_is_and_again_after_the_register_was_lost():
     async def story(house: House) -> None:
         await house.node()
-        permits = SitePolicy(most_sends=4, come_back_ms=500.0, must_ask=True, ask_within_ms=300.0)
+        permits = SitePolicy(
+            max_attempts=4, max_retry_after_ms=500.0, polls_endpoints=True, max_poll_interval_ms=300.0
+        )
         gateway = await house.gateway(permits=permits)
         assert not gateway.register_watch._asked
         asked = [line for line in house.register.record.lines if line[1] == "told"]
--- a/tests/test_http_forms.py
+++ b/tests/test_http_forms.py
@@ -321,7 +321,7 @@
         load=LOAD,
     ),
     "white space behind the mark of a rejection": Answer(
-        b"HTTP/1.1 503 -\r\nX-Rejected:  1 \r\nContent-Length: 0 \r\n\r\n", Outcome.FULL
+        b"HTTP/1.1 503 -\r\nX-Rejected:  1 \r\nContent-Length: 0 \r\n\r\n", Outcome.REJECTED
     ),
     "no space before values": Answer(
         OK + b"X-Meter:4\r\nX-Load-Report:TEXT queue=2,util=0.5\r\nContent-Length:4\r\n\r\nmine",
@@ -356,13 +356,13 @@
         used=0.04,
     ),
     "a value over several lines": Answer(
-        OK + b"X-Load-Report: TEXT queue=2,\r\n util=0.5\r\n" + BODY, Outcome.ERRORED, ends=True
+        OK + b"X-Load-Report: TEXT queue=2,\r\n util=0.5\r\n" + BODY, Outcome.FAILED, ends=True
     ),
     "a length over several lines": Answer(
-        OK + b"Content-Length:\r\n 4\r\n\r\nmine", Outcome.ERRORED, ends=True
+        OK + b"Content-Length:\r\n 4\r\n\r\nmine", Outcome.FAILED, ends=True
     ),
     "white space behind a chunk's length": Answer(
-        OK + CHUNKED + b"\r\n4 ;a=b\r\nmine\r\n0\r\n\r\n", Outcome.ERRORED, ends=True
+        OK + CHUNKED + b"\r\n4 ;a=b\r\nmine\r\n0\r\n\r\n", Outcome.FAILED, ends=True
     ),
 }
 
@@ -373,7 +373,7 @@
     told: list[tuple[Outcome | None, float | None, dict[str, float]]]
 
     def decide(self, now, writer, **came):
-        told = [(one.outcome, one.used, dict(one.load)) for one in came["answers"]]
+        told = [(one.outcome, one.plan_use, dict(one.load_report)) for one in came["outcomes"]]
         self.told = getattr(self, "told", []) + told
         super().decide(now, writer, **came)
 
--- a/tests/test_keepers.py
+++ b/tests/test_keepers.py
@@ -19,8 +19,8 @@
 )
 from cherrygrade.scheduling.scheduler import ANSWERED, SENT, WAITING, WORD, LoadAggregator
 
-PEERS = SitePolicy(most_sends=4, cancel=True, come_back_ms=500.0, peers=True)
-MARKS = SitePolicy(most_sends=4, come_back_ms=500.0, marks_repeats=True)
+PEERS = SitePolicy(max_attempts=4, allows_cancel=True, max_retry_after_ms=500.0, allows_gossip=True)
+MARKS = SitePolicy(max_attempts=4, max_retry_after_ms=500.0, clients_mark_retries=True)
 
 
 class Room:
@@ -41,7 +41,7 @@
         self.words += 1
         for other, host in enumerate(self.hosts):
             if other not in (number, *self.dead) and peer in (None, other):
-                host.dispatcher.decide(host.now, host, words=[(number, word)])
+                host.dispatcher.decide(host.now, host, gossip=[(number, word)])
 
     def pass_time(self, ms: float) -> None:
         for _ in range(int(ms / 10.0)):
@@ -129,7 +129,7 @@
 def test_a_word_of_nonsense_changes_nothing_that_matters(word):
     host = FakeHost(permits=PEERS, dispatchers=2)
     host.tell = lambda peer, told: None
-    host.round(words=[(1, word)])
+    host.round(gossip=[(1, word)])
     host.take(host.rpc())
     assert len(host.sent) == 1 and len(host.dispatcher.kept) <= 1
 
@@ -141,9 +141,9 @@
         host.tell = lambda peer, told: None
         lane = host.dispatcher.lanes[host.nodes[0]]
         keeper = lane.place % 3
-        host.round(words=[(peer, pack(WORD, WAITING, lane.place, 10, 900))])
+        host.round(gossip=[(peer, pack(WORD, WAITING, lane.place, 10, 900))])
         assert (lane.queue_ms == 900.0) == (peer == keeper)
-        host.round(words=[(peer, pack(WORD, SENT, lane.place, 10, 0)), (peer, b"cut")])
+        host.round(gossip=[(peer, pack(WORD, SENT, lane.place, 10, 0)), (peer, b"cut")])
         assert bool(host.dispatcher.kept) == (keeper == 1)
         assert host.dispatcher.nonsense == 1 + (peer != keeper) + (keeper != 1)
 
@@ -153,7 +153,7 @@
     host = FakeHost(permits=PEERS, dispatchers=2, number=1 - place % 2)
     host.tell = lambda peer, told: None
     host.now += 1300.0
-    host.round(words=[(place % 2, pack(WORD, WAITING, place, 10, wait)) for wait in (900, 400, 0)])
+    host.round(gossip=[(place % 2, pack(WORD, WAITING, place, 10, wait)) for wait in (900, 400, 0)])
     assert host.dispatcher.lanes[host.nodes[0]].queue_ms == 0.0
 
 
@@ -180,10 +180,10 @@
 
     keeps, told = 1, True
 
-    def keeper(self, node):
+    def aggregator(self, node):
         return self.keeps
 
-    def tells(self, node, now):
+    def publishes(self, node, now):
         return self.told
 
 
@@ -217,24 +217,26 @@
 
 def test_one_that_yielded_its_seat_uses_no_part_of_limits_and_cold_nodes():
     company = Others(3)
-    cold = SlowStartSettings(units=12.0, share=0.25, multiple=3.0, span_ms=1000.0, warm_ms=4000.0)
-    limited = ServicePlan("limited", usual_rate=100.0, limit_rate=100.0, limit_depth=50.0)
+    cold = SlowStartSettings(
+        base_units=12.0, cold_capacity=0.25, overload_multiple=3.0, window_ms=1000.0, warm_up_ms=4000.0
+    )
+    limited = ServicePlan("limited", usual_rate=100.0, limit_rate=100.0, limit_burst=50.0)
     host = FakeHost(nodes=2, dispatchers=3, company=company, cold=cold)
     host.pass_time(1000.0)
-    company.yields = True
-    host.nodes[1].born_ms = host.now - 1500.0
+    company.forfeits_quota = True
+    host.nodes[1].started_ms = host.now - 1500.0
     host.take(host.rpc(plan=limited, volume="w"), host.rpc(shard=1), host.rpc())
-    assert [send.node for send in host.sent] == [host.nodes[0]] and host.sent[0].rpc.volume == "v"
-    company.yields = False
+    assert [send.node for send in host.sent] == [host.nodes[0]] and host.sent[0].request.volume == "v"
+    company.forfeits_quota = False
     host.pass_time(50.0)
-    assert {send.rpc.volume for send in host.sent} == {"v", "w"} and len(host.sent) == 3
+    assert {send.request.volume for send in host.sent} == {"v", "w"} and len(host.sent) == 3
 
 
 def test_a_first_try_in_haste_is_no_repeat_where_repeats_are_marked():
     # Its client left itself little time; taken for a repeat it was late, and rejected at once. Where none is
     # marked, one whose key was given up here is a repeat.
     sent = []
-    for permits in (SitePolicy(most_sends=4, come_back_ms=500.0), MARKS):
+    for permits in (SitePolicy(max_attempts=4, max_retry_after_ms=500.0), MARKS):
         host = FakeHost(permits=permits)
         host.take(host.rpc(shard=9))
         host.pass_time(500.0)
@@ -244,7 +246,7 @@
         host.pass_time(1000.0)
         hasty = host.rpc(gives_up=90.0)
         host.take(hasty)
-        sent.append([hasty.sends != [], host.dispatcher.jobs[hasty].pressed if hasty.sends else None])
+        sent.append([hasty.attempts != [], host.dispatcher.jobs[hasty].pressed if hasty.attempts else None])
     assert sent == [[True, False], [True, True]]
 
 
@@ -275,7 +277,7 @@
 
 def test_a_second_rpc_of_a_quiet_volume_is_still_inside_its_share():
     # Fair-queueing time stood still where no other volume came through, so the second was beyond.
-    host = FakeHost(earnings=UtilityModel(in_share=1.0, beyond=0.1))
+    host = FakeHost(earnings=UtilityModel(within_quota=1.0, beyond_quota=0.1))
     plan = ServicePlan("quiet", usual_rate=10.0, weight=1.0)
     levels = []
     for volume in ("v", "v", "w"):
@@ -287,7 +289,7 @@
 
 
 def test_a_volume_far_over_its_usual_rate_is_beyond_its_share():
-    host = FakeHost(earnings=UtilityModel(in_share=1.0, beyond=0.1))
+    host = FakeHost(earnings=UtilityModel(within_quota=1.0, beyond_quota=0.1))
     plan = ServicePlan("loud", usual_rate=10.0)
     rpcs = [Request(EXPORT, plan, "v", 4, "", 0, 2.0, host.now + 5000.0) for _ in range(6)]
     host.take(*rpcs)
@@ -296,7 +298,7 @@
 
 def test_an_rpc_that_its_volumes_share_does_not_hold_whole_is_beyond_it():
     # So a small volume's large exports give way, and are not kept once late: what a full house needs.
-    host = FakeHost(earnings=UtilityModel(in_share=1.0, beyond=0.1))
+    host = FakeHost(earnings=UtilityModel(within_quota=1.0, beyond_quota=0.1))
     plan = ServicePlan("small", usual_rate=10.0)
     sizes = (("a", 3.0), ("b", 4.0))
     rpcs = [Request(EXPORT, plan, volume, 4, "", 0, units, host.now + 5000.0) for volume, units in sizes]
@@ -320,5 +322,5 @@
 def test_the_table_of_places_follows_the_list():
     host = FakeHost(permits=PEERS, dispatchers=2)
     host.tell = lambda peer, told: None
-    host.round(heard=[Node("10.0.9.9:1", shard=3)])
+    host.round(endpoint_changes=[Node("10.0.9.9:1", shard=3)])
     assert {lane.node.address for lane in host.dispatcher.places.values()} >= {"10.0.9.9:1", "10.0.0.0:1"}
--- a/tests/test_parts_in_force.py
+++ b/tests/test_parts_in_force.py
@@ -44,9 +44,11 @@
 from cherrygrade.settings import VolumeSettings as Dealt
 
 READ = Workload("read", 250.0, 2000.0, 1.0)
-PERMITS = SitePolicy(most_sends=4)
-COLD = SlowStartSettings(units=12.0, share=0.25, multiple=3.0, span_ms=1000.0, warm_ms=60_000.0)
-GOLD = ServicePlan("gold", limit_rate=300.0, limit_depth=120.0)
+PERMITS = SitePolicy(max_attempts=4)
+COLD = SlowStartSettings(
+    base_units=12.0, cold_capacity=0.25, overload_multiple=3.0, window_ms=1000.0, warm_up_ms=60_000.0
+)
+GOLD = ServicePlan("gold", limit_rate=300.0, limit_burst=120.0)
 IDS = count()
 STEP_MS = 25.0
 
@@ -162,7 +164,7 @@
         early, late = self.chance.choice([(2500.0, 2500.0), (0.0, 60.0), (1020.0, 1200.0)])
         quiet = {seat: goes[seat] - self.chance.uniform(early, late) for seat in self.seats}
         for node, at in zip(self.nodes, (self.now + 50.0, first - 300.0, settles - 150.0), strict=True):
-            node.born_ms = at
+            node.started_ms = at
             for seat in self.seats:
                 seat.told[node] = at + self.chance.choice([20.0, 200.0, self.chance.uniform(0.0, 1500.0)])
         old = divisors(self.before) if self.moves and self.joint else None
@@ -207,15 +209,17 @@
         for at, units in zip(times[first:], sums[first:], strict=True):
             total += units
             within = (at - begins) / 1000.0
-            over = [total - plan.limit_depth - plan.limit_rate * within for plan in plans]
+            over = [total - plan.limit_burst - plan.limit_rate * within for plan in plans]
             worst = max(worst, min(over))
     return worst
 
 
 def borne(cold: SlowStartSettings, age: float) -> float:
     """By rule 4, of a node of this age, where answers take 250 ms a unit."""
-    bears = max(cold.units, cold.multiple * cold.share * cold.span_ms / 250.0)
-    return bears * (1.0 + (1.0 / cold.share - 1.0) * max(0.0, age - cold.span_ms / 2.0) / cold.warm_ms)
+    bears = max(cold.base_units, cold.overload_multiple * cold.cold_capacity * cold.window_ms / 250.0)
+    return bears * (
+        1.0 + (1.0 / cold.cold_capacity - 1.0) * max(0.0, age - cold.window_ms / 2.0) / cold.warm_up_ms
+    )
 
 
 def held(day: Day) -> None:
@@ -223,9 +227,9 @@
     for node in day.nodes:
         sends = day.sends(node.address)
         assert sends
-        for span in {cold.span_ms for cold in colds}:
-            spans = [max(1.0, span / cold.span_ms) for cold in colds]
-            most = max(borne(one, day.now - node.born_ms) * n for one, n in zip(colds, spans, strict=True))
+        for span in {cold.window_ms for cold in colds}:
+            spans = [max(1.0, span / cold.window_ms) for cold in colds]
+            most = max(borne(one, day.now - node.started_ms) * n for one, n in zip(colds, spans, strict=True))
             assert most_in_span(sends, span) <= most + 1e-6
     for name in ("v", "w"):
         plans = [one.trade.volumes[name].plan for one in (day.before, day.after)]
@@ -246,20 +250,20 @@
 
 SHAPES = [
     (
-        ServicePlan("g", limit_rate=300.0, limit_depth=120.0),
-        ServicePlan("g", limit_rate=100.0, limit_depth=40.0),
+        ServicePlan("g", limit_rate=300.0, limit_burst=120.0),
+        ServicePlan("g", limit_rate=100.0, limit_burst=40.0),
     ),
     (
-        ServicePlan("g", limit_rate=100.0, limit_depth=40.0),
-        ServicePlan("g", limit_rate=300.0, limit_depth=120.0),
+        ServicePlan("g", limit_rate=100.0, limit_burst=40.0),
+        ServicePlan("g", limit_rate=300.0, limit_burst=120.0),
     ),
     (
-        ServicePlan("g", limit_rate=100.0, limit_depth=200.0),
-        ServicePlan("g", limit_rate=300.0, limit_depth=50.0),
+        ServicePlan("g", limit_rate=100.0, limit_burst=200.0),
+        ServicePlan("g", limit_rate=300.0, limit_burst=50.0),
     ),
     (
-        ServicePlan("g", limit_rate=300.0, limit_depth=50.0),
-        ServicePlan("g", limit_rate=100.0, limit_depth=200.0),
+        ServicePlan("g", limit_rate=300.0, limit_burst=50.0),
+        ServicePlan("g", limit_rate=100.0, limit_burst=200.0),
     ),
 ]
 
@@ -274,12 +278,12 @@
 
 
 COLDS = [
-    (COLD, replace(COLD, units=40.0)),
-    (replace(COLD, units=40.0), COLD),
-    (COLD, replace(COLD, span_ms=3000.0)),
-    (replace(COLD, span_ms=3000.0), COLD),
-    (COLD, replace(COLD, share=0.8, multiple=8.0)),
-    (replace(COLD, units=54.0, span_ms=3000.0), replace(COLD, units=36.0)),
+    (COLD, replace(COLD, base_units=40.0)),
+    (replace(COLD, base_units=40.0), COLD),
+    (COLD, replace(COLD, window_ms=3000.0)),
+    (replace(COLD, window_ms=3000.0), COLD),
+    (COLD, replace(COLD, cold_capacity=0.8, overload_multiple=8.0)),
+    (replace(COLD, base_units=54.0, window_ms=3000.0), replace(COLD, base_units=36.0)),
 ]
 
 
@@ -294,16 +298,21 @@
 
 def cold_room_of_one_count(gate: Admission, lane: NodeQueue, now: float) -> float:
     """`Admission.cold_room` as it read before there could be two counts."""
-    cold, age = gate.cold, now - max(lane.node.born_ms or -1e12, lane.warm_from)
-    if not cold.units or age >= cold.warm_ms:
+    cold, age = gate.cold, now - max(lane.node.started_ms or -1e12, lane.warm_from)
+    if not cold.base_units or age >= cold.warm_up_ms:
         return NEVER
-    bears = max(cold.units, cold.multiple * cold.share * cold.span_ms / lane.others.quiet_ms)
-    bears *= 1.0 + (1.0 / max(cold.share, 0.01) - 1.0) * max(0.0, age - cold.span_ms / 2.0) / cold.warm_ms
+    bears = max(
+        cold.base_units, cold.overload_multiple * cold.cold_capacity * cold.window_ms / lane.others.quiet_ms
+    )
+    bears *= (
+        1.0
+        + (1.0 / max(cold.cold_capacity, 0.01) - 1.0) * max(0.0, age - cold.window_ms / 2.0) / cold.warm_up_ms
+    )
     dispatchers = gate.company.dispatchers
     part = max(bears / dispatchers, gate.part)
     place = (gate.number + scheduler.crc32(lane.node.address.encode())) % dispatchers
-    spent = sum(units for at, units in lane.cold if at >= now - cold.span_ms)
-    return part * ((place + 1) * part < bears + 1e-6 and not gate.company.yields) - spent
+    spent = sum(units for at, units in lane.cold if at >= now - cold.window_ms)
+    return part * ((place + 1) * part < bears + 1e-6 and not gate.company.forfeits_quota) - spent
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -314,14 +323,14 @@
 
 
 def test_with_two_counts_a_part_is_the_smaller_of_the_two():
-    node = Node("10.0.0.1:1", born_ms=1_000_000.0)
+    node = Node("10.0.0.1:1", started_ms=1_000_000.0)
     lane = NodeQueue(node, 1_000_010.0, 250.0, 0.0, None)
     smaller = 0
     for number in range(40):
         rooms = []
         for counts in ((30,), (40,), (30, 40)):
             company = PeerDirectory(30)
-            company.counts = counts
+            company.dispatcher_counts = counts
             rooms.append(
                 Admission(number, company, 1.0, COLD, None, PERMITS, 0.0).cold_room(lane, 1_000_020.0)
             )
@@ -335,7 +344,7 @@
     if not is_compiled:
         pytest.skip("no C compiler here: the program runs the module as it reads")
     one = Seat(0, site(9), 1_000_000.0, made)
-    node = Node("10.0.0.0:1", born_ms=1_000_100.0)
+    node = Node("10.0.0.0:1", started_ms=1_000_100.0)
     one.told[node] = 0.0
     other = Seat(0, site(9), 1_000_000.0)
     other.told[node] = 0.0
@@ -343,7 +352,7 @@
         now = 1_000_000.0
         budget = RetryBudgetSettings(5.0, 0.1, 2000.0)
         for step, new in enumerate(
-            (site(12), site(12), site(12, budget=budget), site(9, replace(COLD, units=5.0)), site(9))
+            (site(12), site(12), site(12, budget=budget), site(9, replace(COLD, base_units=5.0)), site(9))
         ):
             seat.into(new, divisors(site(9)) if step == 0 else None, now)
             for _ in range(50):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -31,7 +31,7 @@
     told: list[Outcome | None]
 
     def decide(self, now, writer, **came):
-        self.told = getattr(self, "told", []) + [send.outcome for send in came["answers"]]
+        self.told = getattr(self, "told", []) + [send.outcome for send in came["outcomes"]]
         super().decide(now, writer, **came)
 
 
@@ -155,7 +155,7 @@
         caller = await square.caller()
         read = await caller.call(ask())
         assert (read.status, read.body) == (200, b"of " + TARGET)
-        assert platform.rounds.module.told == [Outcome.ERRORED, Outcome.OK]
+        assert platform.rounds.module.told == [Outcome.FAILED, Outcome.OK]
         assert (await caller.call(ask())).body == b"of " + TARGET
 
     play(tmp_path, story)
@@ -184,7 +184,7 @@
         peer, decide = node.peers[0], square.platform.rounds.module.decide
 
         def late(now, writer, **came):  # in the socket as the module decides, and not yet read here
-            if came["taken"]:
+            if came["arrivals"]:
                 peer.transport._sock.send(answer(200, b"somebody else's"))
             decide(now, writer, **came)
 
@@ -209,9 +209,9 @@
 @pytest.mark.parametrize(
     "script, told",
     [
-        (answer(503, fields=b"X-Rejected: 1\r\n"), Outcome.FULL),
-        (answer(504, fields=b"X-Rejected: 1\r\n"), Outcome.FULL),
-        (answer(504), Outcome.ERRORED),
+        (answer(503, fields=b"X-Rejected: 1\r\n"), Outcome.REJECTED),
+        (answer(504, fields=b"X-Rejected: 1\r\n"), Outcome.REJECTED),
+        (answer(504), Outcome.FAILED),
         (False, Outcome.RESET),
     ],
 )
@@ -224,7 +224,7 @@
         answered = await (await square.caller()).call(ask(**once))
         assert platform.rounds.module.told[0] is told
         # What may have run and must not run again is errored and never sent anew.
-        assert (answered.status, len(node.came)) == ((200, 2) if told is Outcome.FULL else (502, 1))
+        assert (answered.status, len(node.came)) == ((200, 2) if told is Outcome.REJECTED else (502, 1))
 
     play(tmp_path, story)
 
@@ -236,12 +236,12 @@
         node.close()
         once = {"X_Call_Class": "once", "method": "PUT", "body": b"x"}
         answered = await (await square.caller()).call(ask(**once))
-        assert answered.status == 503 and Outcome.UNCONNECTED in platform.rounds.module.told
+        assert answered.status == 503 and Outcome.CONNECT_FAILED in platform.rounds.module.told
 
     play(tmp_path, story)
 
 
-@pytest.mark.parametrize("resets, told", [(1, [Outcome.OK]), (2, [Outcome.UNCONNECTED, Outcome.OK])])
+@pytest.mark.parametrize("resets, told", [(1, [Outcome.OK]), (2, [Outcome.CONNECT_FAILED, Outcome.OK])])
 def test_a_connect_that_is_reset_as_it_comes_up_is_no_trouble_of_the_node(tmp_path, resets, told):
     # One alone was told as a node that cannot be reached: it struck, and only single trials went there.
     async def story(square: Square) -> None:
@@ -333,7 +333,7 @@
         answering = asyncio.create_task(caller.call(ask(X_Budget_Ms="1500")))
         told = platform.rounds.module
         await square.until(lambda: getattr(told, "told", []))
-        assert told.told[0] is Outcome.UNCONNECTED and time.monotonic() - begun >= 0.25
+        assert told.told[0] is Outcome.CONNECT_FAILED and time.monotonic() - begun >= 0.25
         assert (await answering).status == 503 and not node.made
         await square.until(lambda: not platform.sockets.used)
         (pool,) = platform.pools.values()
@@ -383,8 +383,8 @@
         answered = await caller.answer()
         assert answered.status in (502, 503)
         # By its own clock, as a busy machine turns the loop late: the timer that gives it up stands in time.
-        assert asks[0].give_up_ms <= carried[0].sent_ms + 300.0 - process.ANSWER_MS
-        assert carried[0].slot * process.GRAIN_MS <= asks[0].give_up_ms + process.GRAIN_MS
+        assert asks[0].deadline_ms <= carried[0].sent_ms + 300.0 - process.ANSWER_MS
+        assert carried[0].timer_slot * process.GRAIN_MS <= asks[0].deadline_ms + process.GRAIN_MS
         assert Outcome.TIMED_OUT in platform.rounds.module.told
         await square.until(lambda: not node.peers)
         assert not platform.open and not platform.sockets.used
@@ -404,7 +404,7 @@
         platform.room.most = 100_000
         node.script.extend([answer(200, large)] * 9)
         assert (await caller.call(ask())).status == 503
-        assert Outcome.ERRORED in platform.rounds.module.told and not platform.room.held
+        assert Outcome.FAILED in platform.rounds.module.told and not platform.room.held
 
     play(tmp_path, story)
 
@@ -698,7 +698,7 @@
         caller.writer.write(ask())
         await square.until(lambda: any(pool.waiting for pool in platform.pools.values()))
         square.discovery.tell(node.entry("terminating"))
-        await square.until(lambda: Outcome.UNSENT in platform.rounds.module.told)
+        await square.until(lambda: Outcome.NOT_SENT in platform.rounds.module.told)
         platform.sockets.most = 9
         assert (await caller.answer()).status == 503 and not node.came
 
@@ -717,8 +717,8 @@
         await node.open()
         born = int(time.time() * 1000.0) - 60000
         square.discovery.tell(node.entry(born_ms=born))
-        await square.until(lambda: met.born_ms)
-        assert abs(platform.rounds.clock() - met.born_ms - 60000.0) < 2000.0
+        await square.until(lambda: met.started_ms)
+        assert abs(platform.rounds.clock() - met.started_ms - 60000.0) < 2000.0
         await square.until(lambda: not platform.rounds.module.lanes[met].strikes)
         assert (await caller.call(ask())).status == 200
         square.discovery.tell(node.entry("terminated"))
@@ -749,7 +749,7 @@
         assert square.discovery.asked[1].endswith(b"since=2")
         square.discovery.write(square.discovery.peers[-1], 1, True, [])  # older than what is known
         await asyncio.sleep(0.05)
-        assert [node.standing for node in platform.listing.dials] == [NodeState.LIVE]
+        assert [node.state for node in platform.listing.dials] == [NodeState.LIVE]
         assert (await (await square.caller()).call(ask())).status == 200
 
     play(tmp_path, story)
@@ -768,7 +768,7 @@
         data = b"\n" + b"\n\n".join(told)  # and nothing behind the last one
         for at in range(0, len(data), piece):
             square.discovery.raw(square.discovery.peers[0], data[at : at + piece])
-        await square.until(lambda: next(iter(platform.listing.dials)).standing is NodeState.DRAINING)
+        await square.until(lambda: next(iter(platform.listing.dials)).state is NodeState.DRAINING)
         assert len(square.discovery.asked) == 1 and platform.listing.version == 8
 
     play(tmp_path, story)
@@ -781,7 +781,7 @@
         square.discovery.hush()
         square.discovery.tell(node.entry("terminating"))
         loop = asyncio.get_running_loop()
-        await square.until(lambda: next(iter(platform.listing.dials)).standing is NodeState.DRAINING, 6000.0)
+        await square.until(lambda: next(iter(platform.listing.dials)).state is NodeState.DRAINING, 6000.0)
         assert square.discovery.told_at[node.host] - loop.time() > 2.0
         assert len(square.discovery.asked) == 2 and b"since" not in square.discovery.asked[1]
         assert not square.discovery.late(node)
@@ -805,7 +805,7 @@
         assert (await (await square.caller()).call(ask())).status == 200
         square.discovery.down = False
         square.discovery.tell(node.entry("terminating"))
-        await square.until(lambda: next(iter(platform.listing.dials)).standing is NodeState.DRAINING, 250.0)
+        await square.until(lambda: next(iter(platform.listing.dials)).state is NodeState.DRAINING, 250.0)
 
     play(tmp_path, story)
 
@@ -868,7 +868,7 @@
         await square.until(lambda: platform.sighted)
         assert (await other.call(ask())).status == 503 and not node.came
         square.discovery.tell(node.entry())
-        await square.until(lambda: next(iter(platform.listing.dials)).standing is NodeState.LIVE)
+        await square.until(lambda: next(iter(platform.listing.dials)).state is NodeState.LIVE)
         assert (await other.call(ask())).status == 200
 
     play(tmp_path, story)
@@ -906,7 +906,7 @@
         await square.until(lambda: square.discovery.asked and not old.peers)
         old.close()
         square.discovery.tell(node.entry("terminating"))
-        await square.until(lambda: next(iter(platform.listing.dials)).standing is NodeState.DRAINING)
+        await square.until(lambda: next(iter(platform.listing.dials)).state is NodeState.DRAINING)
         assert not platform.done.done()
 
     play(tmp_path, story)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -96,7 +96,7 @@
 def test_a_site_is_read_into_frozen_types(tmp_path: Path):
     (tmp_path / "s.rec").write_text(MINIMAL)
     site = read_site(tmp_path / "s.rec", "place: dispatchers: 3")
-    assert site.trade.workloads["w"].effect is Idempotency.TOKENED
+    assert site.trade.workloads["w"].idempotency is Idempotency.IDEMPOTENT_WITH_KEY
     assert site.trade.volumes["v"].plan.weight == 2.0 and site.trade.volumes["v"].hosts == 3
     assert site.bearings.budget is None and site.lines.streams == 32
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -167,7 +167,13 @@
             await house.gateway(
                 pace=slow,
                 bounds=SMALL_BODIES,
-                cold=SlowStartSettings(units=1.0, share=1.0, multiple=1.0, span_ms=5000.0, warm_ms=60000.0),
+                cold=SlowStartSettings(
+                    base_units=1.0,
+                    cold_capacity=1.0,
+                    overload_multiple=1.0,
+                    window_ms=5000.0,
+                    warm_up_ms=60000.0,
+                ),
             )
         )
         while len(house.gateways[0].nodes.by_address) < 2:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -46,23 +46,28 @@
     host.nodes[1].zone = "other"
     host.take(host.rpc(MARKED, shard=-1))
     gate, lanes = host.dispatcher.gate, host.dispatcher.lanes
-    rpc, node = host.sent[0].rpc, host.sent[0].node
+    rpc, node = host.sent[0].request, host.sent[0].node
     other = host.nodes[1 - host.nodes.index(node)]
-    assert rpc.workload.effect is Idempotency.TOKENED and lanes
-    host.sent[0].outcome = Outcome.ERRORED
+    assert rpc.workload.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and lanes
+    host.sent[0].outcome = Outcome.FAILED
     assert gate.repeatable(rpc, node, host.now) and not gate.repeatable(rpc, other, host.now)
-    assert not gate.repeatable(rpc, node, host.now + MARKED.token_ms) and not gate.may_reject(rpc)
+    assert not gate.repeatable(rpc, node, host.now + MARKED.deduplication_window_ms) and not gate.may_reject(
+        rpc
+    )
     job = host.dispatcher.jobs[rpc]
     assert gate.opens(job, lanes[node], host.now) == host.now
-    assert gate.opens(job, lanes[node], host.now + MARKED.token_ms) > host.now + MARKED.token_ms
+    assert (
+        gate.opens(job, lanes[node], host.now + MARKED.deduplication_window_ms)
+        > host.now + MARKED.deduplication_window_ms
+    )
 
 
 @pytest.mark.parametrize("standing", [NodeState.DRAINING, NodeState.GONE])
 def test_nothing_new_goes_to_a_node_that_drains_or_is_gone(standing):
     host = FakeHost()
     dispatcher, lane = host.dispatcher, host.dispatcher.lanes[host.nodes[0]]
-    host.nodes[0].standing = standing
-    host.round(heard=host.nodes)
+    host.nodes[0].state = standing
+    host.round(endpoint_changes=host.nodes)
     rpc = host.rpc()
     host.take(rpc)
     assert dispatcher.gate.opens(dispatcher.jobs[rpc], lane, host.now) > host.now
@@ -71,9 +76,11 @@
 
 
 def test_a_cold_node_gets_an_even_part_of_what_it_always_bears():
-    cold = SlowStartSettings(units=12.0, share=0.25, multiple=2.0, span_ms=1000.0, warm_ms=10000.0)
+    cold = SlowStartSettings(
+        base_units=12.0, cold_capacity=0.25, overload_multiple=2.0, window_ms=1000.0, warm_up_ms=10000.0
+    )
     host = FakeHost(dispatchers=4, cold=cold)
-    host.nodes[0].born_ms = host.now
+    host.nodes[0].started_ms = host.now
     host.take(host.rpc())
     host.pass_time(1001.0)
     assert not host.sent  # a dispatcher before this one may have spent its part
@@ -89,24 +96,24 @@
     host = FakeHost()
     first, second = host.rpc(ORDERED, key="k"), host.rpc(ORDERED, key="k")
     host.take(first, second)
-    assert [send.rpc for send in host.sent] == [first]
-    host.now = first.give_up_ms - 10.0
+    assert [send.request for send in host.sent] == [first]
+    host.now = first.deadline_ms - 10.0
     host.answer(host.sent[0], Outcome.RESET)
-    assert first.over
+    assert first.finished
     third = host.rpc(ORDERED, key="k")
     host.take(third)
     sent_at = host.now
     host.pass_time(400.0)
-    later = [send for send in host.sent if send.rpc is not first]
+    later = [send for send in host.sent if send.request is not first]
     assert later and later[0].sent_ms >= sent_at + 100.0
 
 
 def test_further_sends_stay_within_the_budget():
-    host = FakeHost(budget=RetryBudgetSettings(spare=2.0, share=0.5, span_ms=5000.0))
+    host = FakeHost(budget=RetryBudgetSettings(min_retries=2.0, retry_ratio=0.5, window_ms=5000.0))
     for _ in range(4):
         host.take(host.rpc())
         while host.sent[-1].outcome is None:
-            host.answer(host.sent[-1], Outcome.ERRORED)
+            host.answer(host.sent[-1], Outcome.FAILED)
         host.pass_time(300.0)
     further = sum(1 for send in host.sent if send.number > 0)
     assert further == 4
@@ -115,7 +122,7 @@
 def test_a_limits_store_fills_while_nothing_of_its_volume_comes_or_goes():
     # The only RPC of its volume waited for units that were there, until it was given up.
     host = FakeHost()
-    host.take(host.rpc(plan=ServicePlan("limited", usual_rate=100.0, limit_rate=100.0, limit_depth=50.0)))
+    host.take(host.rpc(plan=ServicePlan("limited", usual_rate=100.0, limit_rate=100.0, limit_burst=50.0)))
     assert not host.sent
     host.pass_time(40.0)
     assert len(host.sent) == 1 and not host.rejected
@@ -123,9 +130,9 @@
 
 def test_a_plan_limit_is_shared_evenly_by_the_volumes_dispatchers():
     host = FakeHost()
-    plan = ServicePlan("limited", usual_rate=1000.0, limit_rate=20.0, limit_depth=8.0)
+    plan = ServicePlan("limited", usual_rate=1000.0, limit_rate=20.0, limit_burst=8.0)
     for _ in range(100):
-        host.take(host.rpc(plan=plan, hosts=2))
+        host.take(host.rpc(plan=plan, dispatchers=2))
         for send in [send for send in host.sent if send.outcome is None]:
             host.answer(send)
         host.pass_time(10.0)
--- a/tests/test_watch_clock.py
+++ b/tests/test_watch_clock.py
@@ -131,7 +131,7 @@
 
     @property
     def known(self) -> str:
-        standing = next(iter(self.listing.dials)).standing if self.listing.dials else None
+        standing = next(iter(self.listing.dials)).state if self.listing.dials else None
         return {NodeState.LIVE: "in_service", NodeState.DRAINING: "terminating", None: ""}[standing]
 
     async def learns(self, within_s: float) -> float:
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -18,7 +18,7 @@
 
 
 async def pair(house: House, places: list[str]):
-    permits = replace(PERMITS, peers=True)
+    permits = replace(PERMITS, allows_gossip=True)
     return [
         await house.gateway(number=number, dispatchers=2, permits=permits, places=places)
         for number in range(2)
@@ -147,7 +147,7 @@
     run(story)
     site = read_site(EXAMPLE)
     permits = site.bearings.permits
-    assert not (permits.peers or permits.marks_repeats or site.words.places)
+    assert not (permits.allows_gossip or permits.clients_mark_retries or site.words.places)
 
 
 NEW = """
@@ -159,7 +159,7 @@
 
 def test_the_same_file_serves_the_new_shape_by_its_settings_alone():
     site = read_site(EXAMPLE, NEW)
-    assert site.bearings.permits.peers and len(site.words.places) == 3
+    assert site.bearings.permits.allows_gossip and len(site.words.places) == 3
 
 
 @pytest.mark.parametrize(
