--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
 """The same examples in every run: a verdict must not depend on the day. And tests known to be red."""
 
 from hypothesis import settings
-from known_red import pytest_addoption, pytest_configure
+from support.known_red import pytest_addoption, pytest_configure
 
 __all__ = ["pytest_addoption", "pytest_configure"]
 
--- a/tests/test_extents.py
+++ b/tests/extents/test_extents.py
@@ -6,11 +6,11 @@
 from dataclasses import replace
 
 import pytest
-from fakehost import READ as FAKE_READ
-from fakehost import FakeHost
-from house import PERMITS, House, run
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from support.fake_host import READ as FAKE_READ
+from support.fake_host import FakeHost
+from support.gateway_site import PERMITS, GatewaySite, run
 
 from cherrygrade.client import Client, Errored, Ok, Rejected
 from cherrygrade.extents.hold import Company
@@ -29,7 +29,7 @@
 
 
 async def filled(
-    house: House,
+    house: GatewaySite,
     *,
     nodes: int = 2,
     cuts: ExtentSettings = NO_HOLD,
@@ -51,7 +51,7 @@
     return client, data
 
 
-def sends(house: House, key: str | None = None) -> list:
+def sends(house: GatewaySite, key: str | None = None) -> list:
     """Frames that reached nodes: a shared one has units, those that it carries have none."""
     return [
         line
@@ -75,7 +75,7 @@
 
 
 def test_adjacent_reads_that_wait_share_sends():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         client, data = await filled(house)
         before = len(sends(house))
         ranges = [(at * 512, 512) for at in range(32)]  # one extent
@@ -86,7 +86,7 @@
 
 
 def test_all_clients_that_ask_for_the_same_range_at_once_are_read_for_once_or_little_more():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         client, data = await filled(house)
         clients = [client, *(house.client(house.gateways[0], f"c{n}") for n in range(9))]
         await asyncio.gather(*(reads(one, [(0, 1)]) for one in clients))
@@ -99,7 +99,7 @@
 
 
 def test_a_thousand_one_byte_reads_come_right():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         client, data = await filled(house)
         ranges = [(at, 1) for at in range(1000)]
         assert right(await reads(client, ranges, "export"), ranges, data)  # a slow machine needs the time
@@ -109,7 +109,7 @@
 
 
 def test_unmerged_service_sends_each_by_itself():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         client, data = await filled(house, cuts=ExtentSettings(merge=False, hold_part=0.0))
         before = len(sends(house))
         ranges = [(at * 512, 512) for at in range(32)]
@@ -135,7 +135,7 @@
     ],
 )
 def test_ranges_at_the_ends_of_volume_extents_and_pieces(offset, length):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         client, data = await filled(house, cuts=ExtentSettings(most_piece=4096))
         answers = await reads(client, [(offset, length)], "export", 4000.0)
         assert right(answers, [(offset, length)], data)
@@ -144,7 +144,7 @@
 
 
 def test_a_range_beyond_the_end_is_errored_and_names_the_end():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         client, data = await filled(house)
         answers = await reads(client, [(8 * 16 * K - 1, 2)])
         assert isinstance(answers[0], Errored) and str(8 * 16 * K) in answers[0].reason
@@ -154,7 +154,7 @@
 
 
 def test_a_shared_send_of_which_one_part_fails_errs_that_part_alone():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         client, data = await filled(house, build=Build(cores=1, unit_ms=20.0, put_off=0.0), nodes=1)
         house.nodes[0].bad = [("v", "e0", 2048, 2100)]
         ranges = [(at * 1024, 1024) for at in range(8)]
@@ -170,7 +170,7 @@
 
 
 def test_a_client_that_leaves_takes_its_part_out_and_the_rest_go_on():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         client, data = await filled(house, nodes=1, build=Build(cores=1, unit_ms=30.0, put_off=0.0))
         other = house.client(house.gateways[0], "other")
         await reads(other, [(0, 1)])
@@ -193,7 +193,7 @@
 
 
 def test_an_export_over_forty_extents_with_a_dead_node_has_one_answer_and_drops_the_rest():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         client, _ = await filled(house, nodes=4, extents=40)
         house.nodes[3].crash()
         answers = await reads(client, [(0, 40 * 16 * K)], "export", 4000.0)
@@ -207,7 +207,7 @@
 
 
 def test_pieces_of_one_rpc_are_bounded_in_all_and_for_a_node():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         most = {"all": 0, "one": 0}
         cuts = ExtentSettings(most_piece=4096, pieces=5, pieces_a_shard=2)
         client, data = await filled(house, nodes=4, cuts=cuts, build=Build(cores=4, unit_ms=3.0, put_off=0.0))
@@ -224,7 +224,7 @@
 
 @pytest.mark.parametrize("told", [True, False])
 def test_an_extent_that_moved_is_found_whether_the_register_or_the_node_tells(told):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         client, data = await filled(house)
         house.move(2, 1, told=told)
         ranges = [(2 * 16 * K + 100, 2000)]
@@ -235,7 +235,7 @@
 
 
 def test_a_split_read_whose_extent_moves_midway_mixes_no_two_versions():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         cuts = ExtentSettings(most_piece=1024, pieces=2, pieces_a_shard=1, hold_part=0.0)
         client, data = await filled(house, nodes=3, cuts=cuts, build=Build(cores=1, unit_ms=6.0, put_off=0.0))
         task = asyncio.create_task(reads(client, [(0, 32 * K)], "export", 4500.0))
@@ -251,7 +251,7 @@
 
 
 def test_an_extent_that_moves_to_a_node_that_drains_is_rejected_in_time():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         client, _ = await filled(house)
         house.list(house.nodes[1], "draining")
         house.move(0, 1, told=False)
@@ -263,7 +263,7 @@
 
 
 def test_many_that_wait_for_one_stale_entry_ask_once():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         client, data = await filled(house)
         asked = house.register.asked
         house.move(0, 1, told=False)
@@ -275,7 +275,7 @@
 
 
 def test_writes_that_touch_share_a_send_and_a_read_after_the_answer_sees_them():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         client, data = await filled(house, nodes=1, build=Build(cores=1, unit_ms=10.0, put_off=0.0))
         before = len(sends(house))
         writes = [
@@ -291,7 +291,7 @@
 
 
 def test_tokened_non_idempotent_and_ordered_writes_never_share():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         client, _ = await filled(house, nodes=1, build=Build(cores=1, unit_ms=5.0, put_off=0.0))
         before = len(sends(house))
         writes = [
@@ -305,7 +305,7 @@
 
 
 def test_a_split_write_of_which_a_piece_fails_is_errored():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         client, data = await filled(house, cuts=ExtentSettings(most_piece=4096))
         house.nodes[1].bad = [("v", "e1", 0, 10)]
         answer = await client.write("write", "v", "", bytes(40 * K), offset=0, deadline_ms=1400)
@@ -320,7 +320,7 @@
 
 
 def test_a_map_that_comes_late_is_waited_for_within_the_deadline():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node()
         house.register.silent = True
         client = house.client(await house.gateway(listed=False))
@@ -338,7 +338,7 @@
 
 
 def test_an_ordered_range_over_two_extents_is_errored_though_the_map_comes_after_it():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node = await house.node()
         house.register.silent = True
         gateway = await house.gateway(listed=False)
@@ -361,7 +361,7 @@
 
 
 def test_a_client_that_does_not_read_its_export_stops_its_pieces():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         from cherrygrade.wire.frames import encode
         from cherrygrade.wire.messages import VERSION, Hello, ReadRpc
 
@@ -403,7 +403,7 @@
 def test_whatever_happens_the_bytes_are_those_of_a_plain_volume(steps, merge, most_piece):
     """Against a plain model: ok answers have its bytes, each RPC one answer, failed writes hold or not."""
 
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         for shard in range(3):
             await house.node(shard=shard, build=Build(cores=2, unit_ms=0.3, put_off=0.0))
         house.volume(extents=8, extent_bytes=512)
--- a/tests/test_config_council.py
+++ b/tests/fleet/config/test_config_log.py
@@ -5,7 +5,7 @@
 
 import msgspec
 import pytest
-from test_leases import NAMES, Council
+from fleet.leases.test_leases import NAMES, Council
 
 from cherrygrade.fleet.config.versions import QuotaDivisors, difference
 from cherrygrade.fleet.consensus import state_machine, voter
--- a/tests/test_config_in_force.py
+++ b/tests/fleet/runtime/test_config_in_force.py
@@ -8,8 +8,8 @@
 
 import msgspec
 import pytest
-from configured import free_ports
-from house import House, run
+from support.configured_fleet import free_ports
+from support.gateway_site import GatewaySite, run
 
 from cherrygrade.cli import origin_of
 from cherrygrade.client import Ok, Rejected
@@ -61,7 +61,7 @@
 class One:
     """One dispatcher that votes alone, with a node and a client."""
 
-    def __init__(self, house: House, folder: Path) -> None:
+    def __init__(self, house: GatewaySite, folder: Path) -> None:
         self.house, self.folder = house, folder
 
     async def open(self, number: int = 0, *, own: str = OWN, kept: StoredConfig | None = None) -> Gateway:
@@ -120,7 +120,7 @@
 
 
 def test_all_that_hangs_on_a_version_goes_over_at_once(tmp_path):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         one = One(house, tmp_path)
         gateway = await one.open()
         await one.sure(gateway)
@@ -161,7 +161,7 @@
 
 @pytest.mark.parametrize("broken", ["terms", "rooms"])
 def test_a_fault_while_it_is_built_leaves_everything_as_it_was_and_tells_why(tmp_path, monkeypatch, broken):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         one = One(house, tmp_path)
         gateway = await one.open()
         await one.sure(gateway)
@@ -199,7 +199,7 @@
 
 @pytest.mark.parametrize("text, why", WRONG)
 def test_what_cannot_come_into_force_is_refused_with_its_key_before_and_where_it_comes(tmp_path, text, why):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         one = One(house, tmp_path)
         gateway = await one.open(1, own=OWN.replace('voters: ["d0"]', 'voters: ["d9"]'))
         before = told(gateway)
@@ -212,7 +212,7 @@
 
 
 def test_a_limit_that_is_lowered_cuts_the_store_at_once(tmp_path):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         one = One(house, tmp_path)
         gateway = await one.open()
         await one.sure(gateway)
@@ -233,7 +233,7 @@
 
 
 def test_what_is_held_goes_on_under_the_workload_that_it_was_taken_with(tmp_path):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         one = One(house, tmp_path)
         own = OWN.replace("limit_rate: 300, limit_depth: 120", "limit_rate: 12, limit_depth: 6")
         gateway = await one.open(own=own)
@@ -264,7 +264,7 @@
 
 
 def test_pieces_of_a_range_go_on_under_its_workload_and_volume(tmp_path):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         one = One(house, tmp_path)
         gateway = await one.open()
         await one.sure(gateway)
@@ -287,7 +287,7 @@
 
 
 def test_a_budget_may_come_and_go_while_it_is_counted(tmp_path):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         one = One(house, tmp_path)
         gateway = await one.open()
         await one.sure(gateway)
@@ -303,7 +303,7 @@
 
 
 def test_one_that_does_not_know_the_fleets_version_has_no_part_and_serves_the_rest(tmp_path):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         one = One(house, tmp_path)
         # It votes in no council that anybody leads: nobody tells it.
         gateway = await one.open(1, own=OWN.replace('voters: ["d0"]', 'voters: ["d9"]'))
@@ -320,7 +320,7 @@
 
 
 def test_its_store_begins_empty_once_it_knows(tmp_path):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         one = One(house, tmp_path)
         gateway = await one.open(1, own=OWN.replace('voters: ["d0"]', 'voters: ["d9"]'))
         client = house.client(gateway)
@@ -337,7 +337,7 @@
 
 
 def test_a_version_that_was_kept_is_in_force_before_anybody_is_served(tmp_path):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         one = One(house, tmp_path)
         gateway = await one.open(kept=StoredConfig(7, version(3, ALL)))
         assert gateway._in_force[2] == 7
@@ -349,7 +349,7 @@
 
 
 def test_while_parts_move_the_smaller_and_outside_of_a_count_none(tmp_path):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         one = One(house, tmp_path)
         gateway = await one.open(2, own=OWN.replace('voters: ["d0"]', 'voters: ["d9"]'))
         gateway.agent.config.replica._sure = True
@@ -375,7 +375,7 @@
 
 
 def test_the_mark_of_settings_is_the_own_files(tmp_path):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         one = One(house, tmp_path)
         gateway = await one.open()
         await one.sure(gateway)
@@ -387,7 +387,7 @@
 
 
 def test_divisors_that_were_named_stay_named(tmp_path):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         gateway = await One(house, tmp_path).open()
         judge = gateway.overlay.judge
         why, _, _ = judge("place: dispatchers: 5\nvolumes: w: hosts: 4", "earnings: in_share: 0.4")
@@ -399,7 +399,7 @@
 
 
 def test_the_own_file_is_that_of_the_start(tmp_path):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         one = One(house, tmp_path)
         gateway = await one.open()
         before = gateway.overlay.site("")
@@ -414,7 +414,7 @@
 
 
 def test_an_older_stage_never_comes_into_force_behind_a_newer_one(tmp_path):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         gateway = await One(house, tmp_path).open()
         raised, lowered = (f"plans: gold: {{limit_rate: {rate}, limit_depth: 9}}" for rate in (900, 60))
         assert await gateway.in_force(version(2, lowered), 5) == ""
--- a/tests/test_config_processes.py
+++ b/tests/fleet/runtime/test_config_processes.py
@@ -10,7 +10,7 @@
 import time
 
 import pytest
-from configured import ROOT, WITHIN_S, Fleet, limit, play
+from support.configured_fleet import ROOT, WITHIN_S, Fleet, limit, play
 
 from cherrygrade.fleet.errors import ConfigRefusedError, ConfigUnreachableError
 from cherrygrade.fleet.membership.messages import ConfigAdvert
--- a/tests/test_council_processes.py
+++ b/tests/fleet/runtime/test_council_processes.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 import pytest
-from house import House, run
-from test_fleet_processes import ROOT, Company
+from fleet.runtime.test_fleet_processes import ROOT, Company
+from support.gateway_site import GatewaySite, run
 
 from cherrygrade.fleet.runtime.voter_store import found
 from cherrygrade.standin.receiver import judge
@@ -90,7 +90,7 @@
 def play(
     story: Callable[[CouncilServer], Coroutine[Any, Any, None]], folder: Path, numbered: bool = True
 ) -> None:
-    async def whole(house: House) -> None:
+    async def whole(house: GatewaySite) -> None:
         await house.node(0)
         await house.register.start()
         council_server = CouncilServer(folder, house.register.address)
--- a/tests/test_fleet_processes.py
+++ b/tests/fleet/runtime/test_fleet_processes.py
@@ -12,15 +12,15 @@
 from typing import Any
 
 import pytest
-from house import House, run
-from places import release, reserve
+from support.gateway_site import GatewaySite, run
+from support.port_reservation import release, reserve
 
 from cherrygrade.client import Client, Ok
 from cherrygrade.fleet.runtime.status_query import ask
 
 pytestmark = pytest.mark.alone
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[3]
 COUNT = 5
 SITE = """
 place: {{name: "{name}", listen: "{listen}", register: "{register}", number: {seat}, dispatchers: {count}}}
@@ -107,8 +107,10 @@
         release(*self.listens, *self.places)
 
 
-def play(story: Callable[[House, Company], Coroutine[Any, Any, None]], folder: Path, **more: Any) -> None:
-    async def whole(house: House) -> None:
+def play(
+    story: Callable[[GatewaySite, Company], Coroutine[Any, Any, None]], folder: Path, **more: Any
+) -> None:
+    async def whole(house: GatewaySite) -> None:
         await house.node(0)
         await house.register.start()
         company = Company(folder, house.register.address, **more)
@@ -121,7 +123,7 @@
 
 
 def test_a_killed_process_is_known_dead_and_back_after_its_restart(tmp_path):
-    async def story(house: House, company: Company) -> None:
+    async def story(house: GatewaySite, company: Company) -> None:
         await company.all_start()
         await company.until(company.equal, 8.0)
         await company.kill(3)
@@ -142,7 +144,7 @@
 
 
 def test_a_process_that_stands_still_two_seconds_is_not_called_dead(tmp_path):
-    async def story(house: House, company: Company) -> None:
+    async def story(house: GatewaySite, company: Company) -> None:
         await company.all_start()
         await company.until(company.equal, 8.0)
         process = company.running[1]
@@ -168,7 +170,7 @@
 
 def test_no_rpc_waits_for_a_fleet_that_is_deaf(tmp_path):
     # The first process finds nobody: neither its start nor its answers take notice.
-    async def story(house: House, company: Company) -> None:
+    async def story(house: GatewaySite, company: Company) -> None:
         await company.start(2)
         client = Client(company.listens[2], "c")
         took = []
@@ -185,7 +187,7 @@
 
 
 def test_where_no_fleet_is_named_none_of_it_is_loaded(tmp_path):
-    async def story(house: House, company: Company) -> None:
+    async def story(house: GatewaySite, company: Company) -> None:
         await company.start(0, "-X", "importtime")
         loaded = (tmp_path / "d0.log").read_text()
         assert "cherrygrade.gateway.process" in loaded and "cherrygrade.fleet" not in loaded
@@ -194,7 +196,7 @@
 
 
 def test_a_person_is_shown_the_fleet_with_an_exit_code_for_scripts(tmp_path):
-    async def story(house: House, company: Company) -> None:
+    async def story(house: GatewaySite, company: Company) -> None:
         await company.all_start()
         await company.until(company.equal, 8.0)
 
--- a/tests/test_parts_processes.py
+++ b/tests/fleet/runtime/test_quota_parts_processes.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 import pytest
-from configured import Fleet
-from house import House, run
+from support.configured_fleet import Fleet
+from support.gateway_site import GatewaySite, run
 
 from cherrygrade.client import Client
 from cherrygrade.standin.node import Build, Node
@@ -36,7 +36,7 @@
 class Loaded(Fleet):
     """With load at the limit on each dispatcher: `v` at shard 0, and `u` at shard 1, which is cold."""
 
-    def __init__(self, folder: Path, house: House, count: int) -> None:
+    def __init__(self, folder: Path, house: GatewaySite, count: int) -> None:
         super().__init__(folder, house.register.address, count)
         self.house = house
         self.clients: dict[int, Client] = {}
@@ -90,7 +90,7 @@
 
 
 def play(story: Callable[[Loaded], Coroutine[Any, Any, None]], folder: Path, count: int, begins: int) -> None:
-    async def whole(house: House) -> None:
+    async def whole(house: GatewaySite) -> None:
         await house.node(0, Build(unit_ms=3.0, put_off=0.0))
         await house.node(1, Build(unit_ms=40.0, put_off=0.0))
         await house.register.start()
--- a/tests/test_council_disk.py
+++ b/tests/fleet/runtime/test_voter_store.py
@@ -14,7 +14,7 @@
 from cherrygrade.fleet.consensus.raft import LogEntry, PersistentState, RaftEffects, Snapshot
 from cherrygrade.fleet.runtime.voter_store import VoterStore, VoterStoreError, open_store
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[3]
 WRITER = """
 import sys
 from pathlib import Path
--- a/tests/test_bad_input.py
+++ b/tests/gateway/test_bad_input.py
@@ -6,9 +6,9 @@
 import os
 
 import pytest
-from house import House, run
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from support.gateway_site import GatewaySite, run
 
 from cherrygrade.client import Ok
 from cherrygrade.settings import LimitSettings
@@ -92,7 +92,9 @@
         pass
 
 
-async def last_word(house: House, data: bytes, *, bounds: LimitSettings | None = None, eof: bool = False):
+async def last_word(
+    house: GatewaySite, data: bytes, *, bounds: LimitSettings | None = None, eof: bool = False
+):
     """What a raw peer is told last; a good client goes on beside it all the time."""
     await house.node()
     gateway = await house.gateway(bounds=bounds)
@@ -134,7 +136,7 @@
     ],
 )
 def test_a_peer_that_breaks_the_protocol_is_told_why_and_alone_is_closed(data, reason):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         told = await last_word(house, data)
         assert isinstance(told[-1], Bye) and reason in told[-1].reason
 
@@ -142,7 +144,7 @@
 
 
 def test_a_hello_that_never_ends_is_closed_in_time():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         told = await last_word(house, HELLO[:5], bounds=LimitSettings(hello_ms=150.0))
         assert told == [Bye("no hello in time")]
 
@@ -151,14 +153,14 @@
 
 @pytest.mark.parametrize("data", [HELLO, HELLO + READ[:9], HELLO + READ, HELLO[:3]])
 def test_a_peer_that_closes_its_side_keeps_no_rpc_alive(data):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await last_word(house, data, eof=True)
 
     run(story)
 
 
 def test_many_garbage_peers_cost_nobody_else_anything():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node()
         gateway = await house.gateway()
         good = house.client(gateway, "good")
--- a/tests/test_gateway_failures.py
+++ b/tests/gateway/test_gateway_failures.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from house import House, run
+from support.gateway_site import GatewaySite, run
 
 from cherrygrade.client import Client, Errored, Ok, Rejected
 from cherrygrade.gateway.life import LEFT_BROKEN, LEFT_BY_FORCE, LEFT_CLEAN
@@ -21,7 +21,7 @@
 
 
 def test_an_answer_cut_in_half_never_reaches_the_client_and_a_read_goes_again():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node = await house.node()
         client = house.client(await house.gateway())
         await put(client, "k", b"seat" * 4096)
@@ -34,7 +34,7 @@
 
 
 def test_a_non_idempotent_write_whose_answer_was_cut_is_errored_and_stands_once():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node = await house.node()
         client = house.client(await house.gateway())
         node.resets = 1
@@ -47,7 +47,7 @@
 
 
 def test_a_tokened_write_goes_again_to_its_node_and_stands_once():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node = await house.node()
         client = house.client(await house.gateway())
         node.resets = 1
@@ -58,7 +58,7 @@
 
 
 def test_after_a_reset_the_next_of_an_ordered_key_waits_its_rest():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node = await house.node(build=Build(unit_ms=20.0, put_off=0.0))
         gateway = await house.gateway()
         client = house.client(gateway)
@@ -77,7 +77,7 @@
 
 
 def test_a_rack_that_restarts_at_once_while_the_list_lags_loses_no_rpc():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         nodes = [await house.node(shard=n) for n in range(3)]
         house.register.lag_ms = 1e9
         client = house.client(await house.gateway())
@@ -110,7 +110,7 @@
 
 
 def test_an_answer_in_the_round_in_which_time_is_up_gives_one_answer():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node = await house.node(build=Build(unit_ms=60.0, put_off=0.0))
         gateway = await house.gateway()
         answers: list[int] = []
@@ -132,7 +132,7 @@
 
 
 def test_a_burst_beyond_the_most_held_is_rejected_before_it_is_taken():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node(build=Build(cores=1, unit_ms=50.0, put_off=0.0))
         gateway = await house.gateway(bounds=LimitSettings(most_held=10))
         client = house.client(gateway)
@@ -148,7 +148,7 @@
 
 
 def test_a_drain_heard_while_connects_are_pending_keeps_what_waits_here():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node = await house.node()
         gateway = await house.gateway()
         client = house.client(gateway)
@@ -167,7 +167,7 @@
 
 
 def test_the_register_gone_from_the_start_is_followed_once_it_is_there():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node = await house.node()
         port = await house.register.start()
         house.register._server.close()
@@ -186,7 +186,7 @@
 
 
 def test_losing_the_register_leaves_the_last_list_standing():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node()
         client = house.client(await house.gateway())
         house.register.close()
@@ -197,7 +197,7 @@
 
 
 def test_a_client_lives_through_the_restart_of_its_dispatcher():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node = await house.node(build=Build(unit_ms=30.0, put_off=0.0))
         gateway = await house.gateway()
         client = house.client(gateway)
@@ -227,7 +227,7 @@
 
 
 def test_one_byte_at_a_time_from_a_node_is_an_answer_all_the_same():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node = await house.node()
         client = house.client(await house.gateway())
         await put(client, "k", b"abcdefgh")
@@ -239,7 +239,7 @@
 
 
 def test_a_late_answer_is_read_off_and_the_next_one_is_not_mistaken():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node = await house.node(build=Build(cores=1, unit_ms=5.0, put_off=0.0))
         client = house.client(await house.gateway(lines=NodeConnectionSettings(most=1)))
         await put(client, "a", b"A" * 200_000)
@@ -255,7 +255,7 @@
 
 
 def test_a_node_that_refuses_connects_is_told_apart_from_one_that_may_have_run():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node = await house.node()
         gateway = await house.gateway()
         client = house.client(gateway)
@@ -269,7 +269,7 @@
 def test_rpcs_that_lay_in_the_socket_are_known_to_be_old():
     """A process that stood still reads RPCs whose clients have long given up."""
 
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         from cherrygrade.wire.frames import encode
         from cherrygrade.wire.messages import VERSION, Hello, ReadRpc
 
@@ -289,7 +289,7 @@
 
 
 def test_told_to_leave_it_finishes_what_it_holds_and_takes_nothing_new():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node(build=Build(unit_ms=100.0, put_off=0.0))
         gateway = await house.gateway()
         client = house.client(gateway)
@@ -305,7 +305,7 @@
 
 
 def test_told_to_leave_twice_it_answers_all_and_ends_at_once():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node(build=Build(unit_ms=500.0, put_off=0.0))
         gateway = await house.gateway()
         client = house.client(gateway)
@@ -325,7 +325,7 @@
             if any(rpc.key == "poison" for rpc in came["arrivals"]):
                 raise RuntimeError("poisoned")
 
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node(build=Build(unit_ms=100.0, put_off=0.0))
         gateway = await house.gateway(make=Breaks)
         client = house.client(gateway)
@@ -341,7 +341,7 @@
 
 
 def test_a_client_that_leaves_has_its_place_given_back():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node(build=Build(cores=1, unit_ms=200.0, put_off=0.0))
         gateway = await house.gateway()
         client = house.client(gateway)
@@ -362,7 +362,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.RESET])
 def test_a_second_word_on_a_send_changes_nothing(outcome):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node()
         gateway = await house.gateway()
         client = house.client(gateway)
@@ -378,7 +378,7 @@
 
 
 def test_one_byte_at_a_time_from_a_client_and_to_one():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         from cherrygrade.wire.frames import encode
         from cherrygrade.wire.messages import VERSION, Hello, ReadRpc, WriteRpc
 
@@ -407,7 +407,7 @@
 
 
 def test_where_the_list_must_be_asked_for_it_is_and_again_after_the_register_was_lost():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node()
         permits = SitePolicy(
             max_attempts=4, max_retry_after_ms=500.0, polls_endpoints=True, max_poll_interval_ms=300.0
--- a/tests/test_words.py
+++ b/tests/gateway/test_gossip_connections.py
@@ -7,17 +7,17 @@
 from pathlib import Path
 
 import pytest
-from house import PERMITS, House, run
+from support.gateway_site import PERMITS, GatewaySite, run
 
 from cherrygrade.client import Ok
 from cherrygrade.records.load import RecordError, read_site
 from cherrygrade.wire.frames import encode
 from cherrygrade.wire.messages import Hello, Word
 
-EXAMPLE = Path(__file__).parent.parent / "deploy" / "example.rec"
+EXAMPLE = Path(__file__).parents[2] / "deploy" / "example.rec"
 
 
-async def pair(house: House, places: list[str]):
+async def pair(house: GatewaySite, places: list[str]):
     permits = replace(PERMITS, allows_gossip=True)
     return [
         await house.gateway(number=number, dispatchers=2, permits=permits, places=places)
@@ -39,7 +39,7 @@
 
 
 def test_what_one_dispatcher_sends_is_told_to_the_one_that_keeps_the_node():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node = await house.node()
         gateways = await pair(house, house.reserve(2))
         modules = [gateway.rounds.module for gateway in gateways]
@@ -65,7 +65,7 @@
 
 
 def test_nonsense_at_the_words_place_ends_that_connection_only():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node()
         places = house.reserve(2)
         gateways = await pair(house, places)
@@ -93,7 +93,7 @@
 
 
 def test_a_dispatcher_of_another_fleet_and_one_that_does_not_say_hello_are_told_why():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node()
         places = house.reserve(2)
         gateways = await pair(house, places)
@@ -108,7 +108,7 @@
 
 
 def test_a_flood_of_words_is_dropped_and_nonsense_counted_and_nobody_is_hurt():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node()
         places = house.reserve(2)
         gateways = await pair(house, places)
@@ -126,7 +126,7 @@
 
 
 def test_a_dispatcher_that_is_away_costs_words_and_no_answer():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node()
         gateways = await pair(house, house.reserve(2))
         gateways[1]._end(0)
@@ -138,7 +138,7 @@
 
 
 def test_settings_as_they_were_open_no_way_and_tell_nobody():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node()
         gateway = await house.gateway()
         await use(house.client(gateway), 3)
--- a/tests/test_migration.py
+++ b/tests/gateway/test_migration.py
@@ -8,12 +8,12 @@
 import sys
 from pathlib import Path
 
-from house import House, run
-from places import release, reserve
+from support.gateway_site import GatewaySite, run
+from support.port_reservation import release, reserve
 
 from cherrygrade.client import Client, Ok
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 OLD = """
 place: {{name: "d{number}", listen: "{listen}", register: "{register}", number: {number}, dispatchers: 3}}
@@ -78,7 +78,7 @@
 
 
 def test_the_move_goes_forward_and_back_one_dispatcher_at_a_time(tmp_path):
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         for shard in range(3):
             await house.node(shard)
         await house.register.start()
--- a/tests/test_parts_in_force.py
+++ b/tests/gateway/test_quota_parts_in_force.py
@@ -10,7 +10,7 @@
 from types import SimpleNamespace
 
 import pytest
-from test_compiled import rough_day
+from scheduling.test_compiled import rough_day
 
 from cherrygrade import compiled
 from cherrygrade.fleet.config.joint_phase import parts
--- a/tests/golden/test_http_bytes.py
+++ b/tests/golden/test_http_bytes.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 import pytest
-from square import Square, play
 from support import golden
+from support.platform_site import PlatformSite, play
 
 from cherrygrade.standin.web import WebNode
 
@@ -53,7 +53,7 @@
     return bool(end) and len(body) >= (int(length[1]) if length else 0)
 
 
-async def exchange(square: Square, node: RawNode, request: bytes, reply: bytes) -> dict[str, str]:
+async def exchange(square: PlatformSite, node: RawNode, request: bytes, reply: bytes) -> dict[str, str]:
     node.raw_bytes, node.first_request, node.reply = b"", b"", reply
     reader, writer = await asyncio.open_connection("127.0.0.1", square.port)
     writer.write(request)
@@ -70,7 +70,7 @@
 def exchanges(folder: Path, cases: list[dict[str, str]]) -> list[dict[str, str]]:
     found: list[dict[str, str]] = []
 
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = RawNode("s-0", 0)
         await node.open()
         square.nodes.append(node)
--- a/tests/test_http_forms.py
+++ b/tests/http/test_http_forms.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 import pytest
-from square import Square, ask, play
+from support.platform_site import PlatformSite, ask, play
 
 from cherrygrade.scheduling.model import Outcome
 from cherrygrade.scheduling.scheduler import Scheduler
@@ -146,7 +146,7 @@
 def test_a_request_reaches_its_node_in_every_form(tmp_path: Path, form: str, piece: int) -> None:
     wanted = REQUESTS[form]
 
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         caller = await square.caller()
@@ -188,7 +188,7 @@
 @PIECES
 @pytest.mark.parametrize("form", REFUSED)
 def test_a_form_that_is_not_taken_is_told_so_and_goes_nowhere(tmp_path: Path, form: str, piece: int) -> None:
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         caller = await square.caller()
@@ -203,7 +203,7 @@
 
 @PIECES
 def test_many_requests_in_one_write_are_answered_in_their_order(tmp_path: Path, piece: int) -> None:
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start()
         caller = await square.caller()
@@ -224,7 +224,7 @@
     ids=["alone", "of two", "of two fields"],
 )
 def test_behind_a_request_that_closes_the_connection_ends(tmp_path: Path, option: bytes, piece: int) -> None:
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         caller = await square.caller()
@@ -241,7 +241,7 @@
 
 @PIECES
 def test_an_option_that_only_holds_the_word_close_closes_nothing(tmp_path: Path, piece: int) -> None:
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start()
         caller = await square.caller()
@@ -261,7 +261,7 @@
 @pytest.mark.parametrize("framing", [b"Content-Length: 1\r\n", CHUNKED], ids=["length", "chunks"])
 def test_who_waits_to_be_told_to_go_on_is_told_so(tmp_path: Path, framing: bytes, piece: int) -> None:
     # RFC 9110, 10.1.1: a client may hold its body back for as long as it likes.
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=30.0)
         await square.start()
         with socket.create_connection(("127.0.0.1", square.port)) as client:
@@ -279,7 +279,7 @@
 
 
 def test_who_waits_to_be_told_to_go_on_with_too_much_is_told_no(tmp_path: Path) -> None:
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start()
         caller = await square.caller()
@@ -383,7 +383,7 @@
 def test_an_answer_is_understood_in_every_form(tmp_path: Path, form: str, piece: int) -> None:
     wanted = ANSWERS[form]
 
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Heard)
         node.script.append(None)
--- a/tests/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -15,7 +15,7 @@
 from cherrygrade.lab.capacity.reports import Report, Row, Target, read_report, read_reports, read_target
 from cherrygrade.lab.capacity.slopes import Point, Seen, at, fit, pooled, reaches
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 FOLDER = ROOT / "docs" / "capacity"
 
 
--- a/tests/test_lab_fleet.py
+++ b/tests/lab/test_lab_fleet.py
@@ -14,7 +14,7 @@
 from cherrygrade.lab.audits import fleetaudit
 from cherrygrade.standin.ways import ENTRY, FLEET
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 FACTS = [MemberInfo(f"127.64.0.{n + 1}:7", f"z{n}", "1", "s", n) for n in range(4)]
 ALIVE = [MemberRecord(f"d{n}", 100 + n, 0, MemberState.ALIVE, FACTS[n]) for n in range(4)]
 
--- a/tests/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -22,7 +22,7 @@
 from cherrygrade.lab.scale.sums import HostResult, Phase, Sample, Seen
 from cherrygrade.lab.scale.watch import AGAIN_MS, Watch
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 FILE = ROOT / "scenarios" / "scale.rec"
 SHORT = (
     "spans: {settle: 30000, calm: 0, rest: 2000, loaded: 0, one_dead: 0, few_dead: 0, zone_dead: 0, back: 0"
--- a/tests/test_scale_changes.py
+++ b/tests/lab/test_scale_changes.py
@@ -16,7 +16,7 @@
 from cherrygrade.lab.scale.rows import Row
 from cherrygrade.lab.scale.sums import NEVER, Phase
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 FILE = ROOT / "scenarios" / "scale-config.rec"
 A, B, C = "a" * 16, "b" * 16, "c" * 16
 
--- a/tests/test_virtual.py
+++ b/tests/lab/test_virtual.py
@@ -17,7 +17,7 @@
 from cherrygrade.virtual.network import Air, Network
 from cherrygrade.virtual.way import Way
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def play(story, air: Air | None = None, seed: int = 1):
--- a/tests/test_floods.py
+++ b/tests/peers/test_floods.py
@@ -7,8 +7,8 @@
 
 import psutil
 import pytest
-from square import ask
-from started import SOCKETS, Started
+from support.platform_process import SOCKETS, PlatformProcess
+from support.platform_site import ask
 
 from cherrygrade.http.reader import Reader
 
@@ -35,7 +35,7 @@
 }
 
 
-async def bad(one: Started, writes: list[bytes]) -> list[int] | None:
+async def bad(one: PlatformProcess, writes: list[bytes]) -> list[int] | None:
     """The statuses that it is told until its connection ends; None where that takes over 6 s."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", one.port)
@@ -69,7 +69,7 @@
     return [message.status for message in told.found]
 
 
-async def deaf(one: Started) -> None:
+async def deaf(one: PlatformProcess) -> None:
     """Asks for much and never reads."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -87,7 +87,7 @@
 
 def test_floods_of_every_kind_at_once_cost_usual_clients_nothing(tmp_path):
     async def story() -> None:
-        one = Started(tmp_path)
+        one = PlatformProcess(tmp_path)
         await one.start()
         try:
             usual, kept = await one.caller(), psutil.Process(one.process.pid)
--- a/tests/test_room.py
+++ b/tests/peers/test_room.py
@@ -7,7 +7,7 @@
 import time
 from dataclasses import replace
 
-from house import TRADE, House, run
+from support.gateway_site import TRADE, GatewaySite, run
 
 from cherrygrade.client import Ok, Rejected
 from cherrygrade.peers.ladder import Step
@@ -28,7 +28,7 @@
 )  # fmt: skip
 
 
-async def raw(house: House, name: str, *frames: bytes, buffer: int = 4096) -> socket.socket:
+async def raw(house: GatewaySite, name: str, *frames: bytes, buffer: int = 4096) -> socket.socket:
     """A client that speaks and never listens."""
     loop = asyncio.get_running_loop()
     sock = socket.socket()
@@ -48,7 +48,7 @@
     return False
 
 
-async def big(house: House, nodes: int = 2, extents: int = 32, extent: int = 64 * K, **more):
+async def big(house: GatewaySite, nodes: int = 2, extents: int = 32, extent: int = 64 * K, **more):
     for shard in range(nodes):
         await house.node(shard=shard, build=more.pop("build", None) if not shard else None)
     house.volume(extents=extents, extent_bytes=extent)
@@ -57,7 +57,7 @@
     return client
 
 
-async def full_of_writes(house: House, still_ms: float) -> tuple[Node, list[asyncio.Task]]:
+async def full_of_writes(house: GatewaySite, still_ms: float) -> tuple[Node, list[asyncio.Task]]:
     """A small store, full of two writes to a node that stands still for a while."""
     node = await house.node(shard=0)
     client = house.client(await house.gateway(pace=SMALL, bounds=SMALL_BODIES))
@@ -73,7 +73,7 @@
 
 
 def test_a_body_that_finds_no_room_waits_and_is_written_whole_once_there_is():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node, first = await full_of_writes(house, 40.0)
         late = house.client(house.gateways[0], "late")
         answer = await late.write("write", "v", "late", b"b" * 100 * K, shard=0, deadline_ms=1400)
@@ -85,7 +85,7 @@
 
 
 def test_a_body_that_finds_no_room_in_time_is_told_when_to_come_back_and_the_line_goes_on():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node, first = await full_of_writes(house, 150.0)
         late, begun = house.client(house.gateways[0], "late"), time.monotonic()
         answer = await late.write("write", "v", "late", b"b" * 100 * K, shard=0, deadline_ms=1400)
@@ -99,7 +99,7 @@
 
 
 def test_a_body_dropped_for_a_full_house_is_never_acknowledged_though_the_house_empties_meanwhile():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node = await house.node(shard=0)
         client = house.client(await house.gateway(bounds=LimitSettings(most_held=1)))
         node.act("still", {"for_ms": 100.0})
@@ -121,7 +121,7 @@
 
 
 def test_a_client_that_goes_while_its_body_waits_leaves_nothing_behind():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node, first = await full_of_writes(house, 200.0)
         sock = await raw(
             house, "gone", encode(WriteRpc(1, "write", "v", "gone", 0, 0, 1400.0), 100 * K) + b"x" * K
@@ -137,7 +137,7 @@
 
 
 def test_a_write_whose_client_is_gone_holds_its_room_while_its_send_is_out():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node = await house.node(shard=0)
         gateway = await house.gateway(pace=SMALL, bounds=SMALL_BODIES)
         client = house.client(gateway)  # brings a line to the node
@@ -158,7 +158,7 @@
 
 
 def test_writes_that_wait_for_a_cold_node_fill_their_part_and_pressed_reads_still_come_in():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node(shard=0)
         cold = await house.node(shard=1, listed=False)
         house.register.set(cold.address, "z", 1, "live", 1, 0.0)
@@ -199,7 +199,7 @@
 
 
 def test_five_hundred_slow_clients_in_a_second_leave_pressed_reads_their_room():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         good = await big(house, pace=QUICK, bounds=LimitSettings(most_body=2048 * K, most_silent=600))
         store, highest = house.gateways[0].rooms.store, 0
         ask = encode(ReadRpc(1, "export", "v", "", -1, 0, 2048 * K, 4900.0))
@@ -227,7 +227,7 @@
 
 
 def test_a_part_of_a_shared_send_for_a_slow_client_does_not_keep_all_of_it():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await big(house, nodes=1, pace=QUICK, build=Build(unit_ms=1.0, put_off=0.0))
         gateway, node = house.gateways[0], house.nodes[0]
         exports = encode(ReadRpc(1, "export", "v", "", -1, 0, 1024 * K, 4900.0))
@@ -257,7 +257,7 @@
 
 
 def test_an_export_over_ten_nodes_with_one_that_trickles_ends_once_and_hurts_nobody():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         good = await big(house, nodes=10, extents=40, pace=QUICK, lines=NodeConnectionSettings(most=2))
         house.nodes[7].trickle = 10
         export = asyncio.create_task(good.read("export", "v", offset=0, length=40 * 64 * K, deadline_ms=4500))
@@ -275,7 +275,7 @@
 
 
 def test_slow_clients_are_not_charged_for_a_slow_node_that_holds_what_they_asked_for():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await big(house, pace=QUICK)
         house.nodes[0].silent = True
         ask = encode(ReadRpc(1, "export", "v", "", -1, 0, 4096, 4900.0))  # of the silent node alone
@@ -289,7 +289,7 @@
 
 
 def test_slow_clients_and_a_node_that_trickles_on_one_extent_each_answer_for_themselves():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         good = await big(house, pace=QUICK)
         gateway, node = house.gateways[0], house.nodes[0]
         first = encode(ReadRpc(1, "export", "v", "", -1, 0, 2048 * K, 4900.0))
@@ -318,7 +318,7 @@
 
 
 def test_where_the_whole_network_slows_nobody_is_cut():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await big(house, pace=replace(QUICK, grace_ms=500.0, room=64 * 1024 * K, batch_room=64 * 1024 * K))
         house.clients[0].close()
         ask = encode(ReadRpc(1, "export", "v", "", -1, 0, 2048 * K, 4900.0))
@@ -333,7 +333,7 @@
 
 
 def test_in_a_slow_network_short_of_room_the_heaviest_go_one_by_one():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         # Three graces are longer than the span in which nobody may have moved bytes well: how soon
         # sockets' buffers fill, and whose last, is the system's matter.
         pace = replace(QUICK, grace_ms=400.0)
@@ -354,7 +354,7 @@
 
 
 def test_a_client_that_says_no_more_and_one_that_sips_a_byte_a_second_hold_nothing_for_long():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await big(house, pace=QUICK)
         gateway = house.gateways[0]
         ask = encode(ReadRpc(1, "export", "v", "", -1, 0, 2048 * K, 4900.0))
@@ -371,7 +371,7 @@
 
 
 def test_a_crowd_that_never_speaks_shuts_out_nobody_who_does():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node(shard=0)
         gateway = await house.gateway(bounds=LimitSettings(most_clients=20, most_silent=5, hello_ms=5000.0))
         host, port = gateway.address.split(":")
@@ -386,7 +386,7 @@
 
 
 def test_what_a_slow_client_has_counts_to_the_most_of_all_slow_ones():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await big(house, pace=QUICK, trade=TRADE)
         gateway = house.gateways[0]
         ask = encode(ReadRpc(1, "export", "v", "", -1, 0, 2048 * K, 4900.0))
--- a/tests/test_slow_peers.py
+++ b/tests/peers/test_slow_peers.py
@@ -6,9 +6,9 @@
 import socket
 import time
 
-from house import House, run
 from hypothesis import given
 from hypothesis import strategies as st
+from support.gateway_site import GatewaySite, run
 
 from cherrygrade.client import Errored, Ok, Rejected
 from cherrygrade.peers.ladder import (
@@ -118,7 +118,7 @@
     assert all(memory.grace(("a", str(peer)), at + 100.1, 8.0) == 8.0 for peer, at in last.items())
 
 
-async def big_volume(house: House, **more) -> None:
+async def big_volume(house: GatewaySite, **more) -> None:
     for shard in range(2):
         await house.node(shard=shard)
     house.volume(extents=64, extent_bytes=256 * 1024)
@@ -126,7 +126,7 @@
     assert isinstance(await house.clients[0].read("read", "v", offset=0, length=1, deadline_ms=1400), Ok)
 
 
-async def slow_reader(house: House, per_s: float) -> asyncio.StreamWriter:
+async def slow_reader(house: GatewaySite, per_s: float) -> asyncio.StreamWriter:
     """Asks for all there is and takes so many bytes a second of it."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16384)  # a large one takes lumps of half a second
@@ -151,7 +151,7 @@
     return writer
 
 
-async def until_cut(house: House, patience: float = 4.0) -> bool:
+async def until_cut(house: GatewaySite, patience: float = 4.0) -> bool:
     for _ in range(int(patience / 0.02)):
         if not any(session.name == "slow" for session in house.gateways[0].sessions):
             return True
@@ -160,7 +160,7 @@
 
 
 def test_a_client_that_reads_nothing_is_cut_and_the_good_one_sees_no_harm():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await big_volume(house, pace=QUICK)
         writer = await slow_reader(house, 0.0)
         task = asyncio.create_task(until_cut(house))
@@ -178,7 +178,7 @@
 
 
 def test_a_cut_client_that_comes_back_has_half_the_grace():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await big_volume(house, pace=QUICK)
         took = []
         for _ in range(2):
@@ -196,7 +196,7 @@
 
 
 def test_a_body_that_trickles_in_is_cut_in_its_middle_and_nothing_of_it_is_written():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await big_volume(house, pace=QUICK)
         _, writer = await asyncio.open_connection(*house.gateways[0].address.split(":"))
         writer.write(encode(Hello(VERSION, "client", "slow")))
@@ -214,7 +214,7 @@
 
 
 def test_an_answer_that_trickles_from_a_node_is_given_up_and_the_read_answered():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await big_volume(house, pace=QUICK)
         good = house.clients[0]
         house.nodes[0].trickle = 10
@@ -230,7 +230,7 @@
 
 
 def test_a_dispatcher_that_stood_still_cuts_nobody_for_it():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await big_volume(house, pace=QUICK)
         _, writer = await asyncio.open_connection(*house.gateways[0].address.split(":"))
         writer.write(encode(Hello(VERSION, "client", "slow")))
@@ -247,7 +247,7 @@
 
 
 def test_a_peer_above_the_least_rate_is_left_alone():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await big_volume(house, pace=QUICK)
         writer = await slow_reader(house, 400_000.0)
         assert not await until_cut(house, 1.5)
--- a/tests/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -12,11 +12,11 @@
 import socket
 import struct
 import time
+from test_platform import TARGET, Watched
 
 import pytest
-from fakehost import ORDERED, FakeHost
-from square import SETTINGS, Square, ask, play
-from test_platform import TARGET, Watched
+from support.fake_host import ORDERED, FakeHost
+from support.platform_site import SETTINGS, PlatformSite, ask, play
 
 from cherrygrade.gateway.life import LEFT_CLEAN
 from cherrygrade.http.reader import Reader
@@ -29,7 +29,7 @@
 PUT_ONCE = {"method": "PUT", "body": b"x"}
 
 
-def raw(square: Square, data: bytes = b"") -> socket.socket:
+def raw(square: PlatformSite, data: bytes = b"") -> socket.socket:
     """A client whose connection and bytes are in the system, and the event loop has not turned."""
     sock = socket.create_connection(("127.0.0.1", square.port))
     sock.sendall(data)
@@ -41,7 +41,7 @@
     sock.close()
 
 
-async def narrow(square: Square) -> socket.socket:
+async def narrow(square: PlatformSite) -> socket.socket:
     """A client between whom and the dispatcher the system keeps little."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -73,12 +73,12 @@
     return [message.status for message in reader.found]
 
 
-async def barrier(square: Square) -> None:
+async def barrier(square: PlatformSite) -> None:
     """Whatever was on its way before has come by now: a node answered another client."""
     assert (await (await square.caller()).call(ask())).status == 200
 
 
-def hold_connects(square: Square) -> asyncio.Event:
+def hold_connects(square: PlatformSite) -> asyncio.Event:
     """Connections to nodes come up once this is set."""
     loop, free = asyncio.get_running_loop(), asyncio.Event()
     real = loop.create_connection
@@ -98,7 +98,7 @@
 @pytest.mark.parametrize("end", [socket.socket.close, reset])
 def test_one_that_asks_and_is_gone_before_its_end_is_read_is_sent_nowhere(tmp_path, end):
     # What it wrote is read in one turn, its end in the next: the round between them decided to send.
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         await barrier(square)
@@ -125,7 +125,7 @@
 
 
 def test_what_waits_for_a_connection_goes_with_its_client(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         free = hold_connects(square)
@@ -142,7 +142,7 @@
 
 
 def test_a_connection_that_comes_up_as_its_client_leaves_carries_nothing(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         client, real = raw(square, ask()), nodes.ConnectionPool.stands
@@ -163,7 +163,7 @@
 
 
 def test_a_further_attempt_is_not_begun_for_who_has_gone(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         callers = [await square.caller() for _ in range(2)]
@@ -192,7 +192,7 @@
 @pytest.mark.parametrize("end", [socket.socket.close, reset])
 def test_one_that_sends_much_at_once_and_goes_has_nothing_begun_any_more(tmp_path, end):
     # Reading rests behind so much, and a reader that rests sees no end.
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=10.0)
         platform = await square.start()
         node.script.append(None)
@@ -213,7 +213,7 @@
 def test_many_that_leave_as_a_round_begins_are_all_passed_over(tmp_path, monkeypatch):
     monkeypatch.setattr(nodes, "REST_MS", 0.0)  # so that the attempts decided in this round begin in it
 
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=40.0)
         platform = await square.start()
         module = platform.rounds.module
@@ -237,7 +237,7 @@
 
 
 def test_who_ends_its_side_is_gone_at_once_though_it_has_not_taken_its_last_answer(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         platform.room.most = 10**8
@@ -261,7 +261,7 @@
 
 
 def test_small_writes_go_at_once(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         platform = await square.start()
         await square.caller()
         await square.until(lambda: platform.clients)
@@ -272,7 +272,7 @@
 
 
 def test_an_answer_behind_which_we_close_outlives_bytes_that_nobody_reads(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         platform = await square.start()
         client = raw(square, b"\x00 nonsense\r\n\r\n")
         await square.until(lambda: platform.refused)
@@ -290,7 +290,7 @@
 def test_a_lingering_close_is_bounded_in_time_bytes_and_places(tmp_path, monkeypatch):
     monkeypatch.setattr(process, "LINGER_MS", 300.0)
 
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         platform = await square.start()
         loop = asyncio.get_running_loop()
         quiet = raw(square, b"\x00 nonsense\r\n\r\n")
@@ -318,7 +318,7 @@
 
 
 def test_a_burst_of_leavings_cuts_nobodys_lingering_close(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         platform = await square.start()
         refused = [raw(square, b"\x00 nonsense\r\n\r\n") for _ in range(platform.most_lingering)]
         await square.until(lambda: len(platform.lingering) == len(refused))
@@ -336,7 +336,7 @@
 
 @pytest.mark.parametrize("idle", ["rested", "silent"])
 def test_a_request_that_crosses_our_close_of_an_idle_connection_is_never_passed_on(tmp_path, idle):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         caller = await square.caller()
@@ -356,7 +356,7 @@
 
 @pytest.mark.parametrize("when, told", [("shut", 200), ("end", 503), ("crowd", 200), ("sweep", 200)])
 def test_a_request_that_lies_unread_as_its_connection_is_to_close_is_answered(tmp_path, when, told):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         await square.node()
         platform = await square.start()
         client = raw(square, ask())
@@ -385,7 +385,7 @@
 
 
 def test_who_has_half_a_request_on_its_way_does_not_go_for_a_fresh_client(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         await square.node()
         platform = await square.start()
         client, data = raw(square, ask()), ask()
@@ -402,7 +402,7 @@
 
 
 def test_answers_that_wait_at_lingering_closes_count_as_memory(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         node.script.append(answer(200, bytes(900_000)))
@@ -422,7 +422,7 @@
 
 
 def test_whoever_the_system_accepted_is_answered_before_the_door_closes(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         await square.node()
         platform = await square.start()
         await barrier(square)
@@ -440,7 +440,7 @@
 
 
 def test_whoever_comes_in_the_turn_of_the_end_is_told_to_come_back(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         await barrier(square)
@@ -456,7 +456,7 @@
 
 
 def test_a_second_order_to_leave_answers_what_is_open_and_begins_nothing_behind_it(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         node.script.extend([None] * 9)
         platform = await square.start()
@@ -475,7 +475,7 @@
 
 
 def test_the_end_tells_who_sent_much_at_once_though_its_reading_rests(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         node.script.append(None)
         platform = await square.start()
@@ -493,7 +493,7 @@
 
 
 def test_on_a_loop_that_stands_still_just_then_everybody_is_answered_before_the_kill(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         node.script.extend([None] * 9)
         platform = await square.start()
@@ -517,7 +517,7 @@
 
 
 def test_an_answer_that_came_in_the_turn_of_the_end_is_given(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         node.script.append(None)
         platform = await square.start()
@@ -539,7 +539,7 @@
 
 
 def test_the_end_waits_for_clients_to_take_their_last_answers(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         platform.room.most, large = 10**8, bytes(900_000)
@@ -560,7 +560,7 @@
 
 
 def test_an_order_to_leave_before_the_first_list_and_a_reload_behind_the_end(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         await square.node()
         square.discovery.down = True
         platform = await square.begin()
@@ -590,7 +590,7 @@
 def test_an_answer_that_tells_no_length_ends_with_the_stream_and_never_by_a_reset(
     tmp_path, end, told, head, drains
 ):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
         node.script.append(None)
@@ -627,7 +627,7 @@
     ],
 )
 def test_an_answer_cut_in_its_head_length_or_chunk_is_nobodys_however_its_stream_ends(tmp_path, cut):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
         node.script.append(None)
@@ -641,7 +641,7 @@
 
 
 def test_an_answer_without_end_is_given_up_and_its_end_comes_too_late_for_anybody(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
         node.script.append(None)
@@ -659,7 +659,7 @@
 
 def test_a_second_answer_that_comes_late_is_not_the_next_requests(tmp_path):
     # Seen up to 4 ms behind the first, and nothing tells it apart: the next attempt waits until it were here.
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         node.script.append(answer(200, b"mine"))
@@ -680,7 +680,7 @@
     kinds = [kind | {"effect": "dedup", "windowS": 0.4} for kind in SETTINGS["classes"]]
     settings = SETTINGS | {"classes": kinds, "limits": SETTINGS["limits"] | {"connectTimeoutS": 5.0}}
 
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched, settings=settings)
         node.script.append(None)
@@ -701,7 +701,7 @@
 
 
 def test_a_node_told_to_drain_while_a_connection_comes_up_is_sent_nothing(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
         caller, free = await square.caller(), hold_connects(square)
@@ -717,7 +717,7 @@
 
 def test_a_connection_that_comes_up_in_the_turn_of_its_time_out_ends_what_was_begun_on_it(tmp_path):
     # The attempt had no outcome then, until its client's time was over.
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=60.0)
         platform = await square.start(Watched)
         loop, caller, left = asyncio.get_running_loop(), await square.caller(), [1]
@@ -761,7 +761,7 @@
 
 
 def test_what_has_not_left_whole_as_its_client_goes_never_does(tmp_path, narrow_ways):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         node._server.sockets[0]._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -777,7 +777,7 @@
 
 
 def test_an_answer_in_front_of_the_requests_last_byte_ends_its_connection(tmp_path, narrow_ways):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
         listening = node._server.sockets[0]._sock
@@ -796,7 +796,7 @@
 
 @pytest.mark.parametrize("half", [b"HTTP/1.1 2", answer(200, b"somebody else's")[:-3], answer(200, b"whole")])
 def test_bytes_of_a_node_in_the_instant_of_our_close_are_nobodys(tmp_path, half):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
         caller = await square.caller()
--- a/tests/test_deploy.py
+++ b/tests/platform/test_deploy.py
@@ -11,13 +11,13 @@
 from pathlib import Path
 from typing import Any
 
-from places import release, reserve
-from square import SETTINGS, Caller, ask
+from support.platform_site import SETTINGS, RawClient, ask
+from support.port_reservation import release, reserve
 
 from cherrygrade.platform.watching import READY_MS
 from cherrygrade.standin.web import WebDiscovery, WebNode
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 # Python reads this file by itself at its start: every call that the page refuses, and every socket, is noted.
 NOTES = """
@@ -95,7 +95,7 @@
         while b'"listening"' not in (line := await asyncio.wait_for(process.stderr.readline(), 10.0)):
             assert line, "it ended before it listened"
         drain = asyncio.create_task(process.stderr.read())
-        caller = Caller(*await asyncio.open_connection("127.0.0.1", port))
+        caller = RawClient(*await asyncio.open_connection("127.0.0.1", port))
         told.answers = []
         for _ in range(3):
             answer = await caller.call(ask())
@@ -177,7 +177,7 @@
         while answers[-1:] != [200] and loop.time() - began < 15.0:
             await asyncio.sleep(0.1)
             try:
-                caller = Caller(*await asyncio.open_connection("127.0.0.1", port))
+                caller = RawClient(*await asyncio.open_connection("127.0.0.1", port))
             except ConnectionError:
                 continue
             answer = await caller.call(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -185,7 +185,7 @@
             caller.writer.close()
         took = loop.time() - began
         times = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()[11:13]
-        caller = Caller(*await asyncio.open_connection("127.0.0.1", port))
+        caller = RawClient(*await asyncio.open_connection("127.0.0.1", port))
         told = await caller.call(ask())
         assert told is not None and told.status == 503 and told.fields[b"retry-after"] and not node.came
         caller.writer.close()
--- a/tests/test_descriptors.py
+++ b/tests/platform/test_descriptors.py
@@ -7,14 +7,14 @@
 import asyncio
 
 import pytest
-from square import ask
-from started import SOCKETS, Started
+from support.platform_process import SOCKETS, PlatformProcess
+from support.platform_site import ask
 
 
 @pytest.mark.parametrize("crowd", ["rests", "is silent", "sends half"])
 def test_a_crowd_that_fills_every_place_while_discovery_is_down_shuts_nobody_out(tmp_path, crowd):
     async def story() -> None:
-        one = Started(tmp_path)
+        one = PlatformProcess(tmp_path)
         await one.start()
         try:
             one.discovery.down = True
--- a/tests/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -10,7 +10,7 @@
 import time
 
 import pytest
-from square import SETTINGS, Square, ask, play
+from support.platform_site import SETTINGS, PlatformSite, ask, play
 
 from cherrygrade.gateway.life import LEFT_BROKEN, LEFT_CLEAN
 from cherrygrade.http.reader import MOST_BODY, MOST_LONG
@@ -36,7 +36,7 @@
 
 
 def test_a_read_and_a_write_pass_through_and_come_back_unchanged(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start()
         caller = await square.caller()
@@ -57,7 +57,7 @@
 
 def test_fields_for_the_node_pass_on_and_those_of_this_hop_do_not(tmp_path):
     # Without Idempotency-Key a node cannot know a repeat; a variant of the users' site showed it.
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start()
         caller = await square.caller()
@@ -101,7 +101,7 @@
     ],
 )
 def test_what_cannot_be_meant_is_told_at_once_and_nothing_is_sent(tmp_path, data):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start()
         other = await square.caller()
@@ -114,7 +114,7 @@
 
 
 def test_a_borrowed_id_is_told_so_and_the_open_rpc_goes_on(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=150.0)
         await square.start()
         one, two = await square.caller(), await square.caller()
@@ -148,7 +148,7 @@
     ],
 )
 def test_a_spoilt_answer_reaches_nobody_and_the_read_goes_again(tmp_path, spoilt):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
         node.script.append(spoilt)
@@ -163,7 +163,7 @@
 
 @pytest.mark.parametrize("behind", [b"NOISE", answer(200, b"somebody else's"), b"\r\n", b"HTTP/1.1 20"])
 def test_bytes_behind_an_answer_are_never_the_next_rpcs(tmp_path, behind):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start()
         node.script.append(answer(200, b"mine") + behind)
@@ -176,7 +176,7 @@
 
 
 def test_bytes_that_come_late_behind_an_answer_are_seen_before_the_connection_is_used(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start()
         caller = await square.caller()
@@ -196,7 +196,7 @@
 
 
 def test_answers_in_front_and_reports_that_make_no_sense_harm_nothing(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start(Watched)
         bad = b"X-Meter: nan\r\nX-Delta: -4\r\nX-Load-Report: TEXT queue=inf, =, util\r\n"
@@ -216,7 +216,7 @@
     ],
 )
 def test_outcomes_are_told_as_the_protocol_means_them(tmp_path, script, told):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
         node.script.append(script)
@@ -230,7 +230,7 @@
 
 
 def test_a_node_that_cannot_be_reached_never_ran_it(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
         node.close()
@@ -244,7 +244,7 @@
 @pytest.mark.parametrize("resets, told", [(1, [Outcome.OK]), (2, [Outcome.CONNECT_FAILED, Outcome.OK])])
 def test_a_connect_that_is_reset_as_it_comes_up_is_no_trouble_of_the_node(tmp_path, resets, told):
     # One alone was told as a node that cannot be reached: it struck, and only single trials went there.
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         await square.node()
         platform = await square.start(Watched)
         loop, left, caller = asyncio.get_running_loop(), [resets], await square.caller()
@@ -270,7 +270,7 @@
     return SETTINGS | {"classes": kinds, "limits": SETTINGS["limits"] | {"connectTimeoutS": connect_s}}
 
 
-def late_connects(square: Square, waits: list[float]) -> None:
+def late_connects(square: PlatformSite, waits: list[float]) -> None:
     """Connections to nodes come up this many s late, at once when none is left to say."""
     loop = asyncio.get_running_loop()
     real = loop.create_connection
@@ -284,7 +284,7 @@
 
 def test_a_connection_that_comes_up_late_is_raced_and_is_no_trouble_of_its_node(tmp_path):
     # It was told as a node that cannot be reached: that struck it, and struck twice it passed for cold.
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
         caller = await square.caller()
@@ -301,7 +301,7 @@
 
 def test_late_connections_beside_signs_of_life_are_no_trouble_of_their_node(tmp_path):
     # Two at once are late, while a third one carries an answer.
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=60.0)
         platform = await square.start(Watched, settings=slow(1.9))
         callers = [await square.caller() for _ in range(3)]
@@ -323,7 +323,7 @@
     # Two in a row without a sign of life; none is awaited for ever, and none is left.
     monkeypatch.setattr(nodes, "AWAITED_MS", 700.0)
 
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
         caller = await square.caller()
@@ -345,7 +345,7 @@
 def test_a_connection_just_answered_on_rests_before_it_is_used(tmp_path):
     # A node that closes behind its answer is not heard to do so yet: the next send there would be reset. One
     # whose second answer comes late would be heard as the next send's.
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=20.0)
         platform = await square.start(Watched)
         one, two = await square.caller(), await square.caller()
@@ -366,7 +366,7 @@
 
 
 def test_a_silent_node_is_given_up_in_time_and_its_connection_closes(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
         node.script.extend([None] * 9)
@@ -393,7 +393,7 @@
 
 
 def test_a_large_answer_is_carried_while_there_is_room_and_none_stays_taken(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
         large = bytes(range(256)) * 1600
@@ -413,7 +413,7 @@
 
 
 def test_a_long_request_is_carried_while_there_is_room_and_none_stays_taken(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=100.0)
         platform = await square.start()
         room = platform.long_requests
@@ -442,7 +442,7 @@
 def test_who_leaves_with_a_long_request_leaves_its_room(tmp_path, at, reset):
     written = LEFT_AT[at]
 
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         node.script.append(None)
@@ -461,7 +461,7 @@
 
 
 def test_who_leaves_with_a_long_request_not_begun_leaves_its_room(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         caller = await square.caller()
@@ -479,7 +479,7 @@
 
 
 def test_a_request_longer_than_any_room_is_told_so_at_once(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         for more in ({"Content_Length": str(MOST_LONG + 1)}, {"Content_Length": "61000000"}):
@@ -491,7 +491,7 @@
 
 
 def test_clients_that_take_nothing_are_cut_before_they_use_up_the_memory(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         platform.room.most = 4_000_000
@@ -513,7 +513,7 @@
 
 
 def test_rejected_tells_when_to_come_back(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         await square.start()  # and no node at all
         answered = await (await square.caller()).call(ask(X_Budget_Ms="150"))
         assert answered.status == 503 and float(answered.fields[b"retry-after"]) == 1.0
@@ -522,7 +522,7 @@
 
 
 def test_a_client_that_leaves_is_told_to_the_module_and_owes_nothing(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=200.0)
         platform = await square.start()
         caller = await square.caller()
@@ -536,7 +536,7 @@
 
 
 def test_rpcs_written_at_once_on_one_connection_are_answered_in_their_order(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         await square.node()
         await square.start()
         caller = await square.caller()
@@ -552,7 +552,7 @@
 
 def test_what_is_kept_stays_in_order_while_answers_wait_to_be_taken(tmp_path):
     # The rest of a request came in front of its beginning, and made nonsense of both.
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=30.0)
         platform = await square.start()
         caller = await square.caller()
@@ -605,7 +605,7 @@
 def test_an_attempt_tells_at_most_what_is_left_to_its_client_as_its_bytes_are_written(tmp_path, monkeypatch):
     # The bench wants it of further attempts. Both connections come up late, by 1.5 s as on its days, and as
     # the second stands its turn of the event loop, in which something else was heard already, is held up.
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=20.0)
         platform = await square.start(settings=slow(4.0))
         await square.until(lambda: square.discovery.peers)
@@ -632,7 +632,7 @@
 
 
 def test_nothing_is_begun_whose_time_was_over_while_its_turn_was_held_up(tmp_path, monkeypatch):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         caller, stands = await square.caller(), nodes.ConnectionPool.stands
@@ -651,7 +651,7 @@
 
 def test_an_rpc_that_waits_behind_another_has_its_time_from_its_own_last_byte(tmp_path, monkeypatch):
     # It was counted from when the one before it was done: told, served and given up for that much too long.
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=400.0)
         platform = await square.start(settings=slow(4.0))
         caller, told = await square.caller(), Told(monkeypatch)
@@ -669,7 +669,7 @@
 
 
 def test_a_half_message_and_silence_are_ended_and_a_silent_crowd_shuts_nobody_out(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         await square.node()
         platform = await square.start()
         half, silent, worker = [await square.caller() for _ in range(3)]
@@ -690,7 +690,7 @@
 
 
 def test_what_waits_for_a_connection_stays_here_once_its_node_drains(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
         platform.sockets.most = 0  # none can be made
@@ -706,7 +706,7 @@
 
 
 def test_a_node_is_its_host_wherever_it_is_reached_and_is_forgotten_when_gone(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         caller = await square.caller()
@@ -736,7 +736,7 @@
     "line", [b"{nonsense\n", b'{"seq":7}\n', b'{"seq":7,"whole":false,"hosts":[{"host":"a"}]}\n', None]
 )
 def test_a_watch_that_breaks_or_tells_nonsense_is_begun_anew_and_the_list_stands(tmp_path, line):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         await square.node()
         platform = await square.start()
         await square.until(lambda: square.discovery.asked)
@@ -757,7 +757,7 @@
 
 @pytest.mark.parametrize("piece", [1, 7, 10**6])
 def test_lists_that_come_indented_are_heard_however_they_are_split(tmp_path, piece):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         square.discovery.indent = 2
         platform = await square.start()
@@ -775,7 +775,7 @@
 
 
 def test_what_a_silent_watch_missed_is_here_before_it_counts_as_told(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         square.discovery.hush()
@@ -794,7 +794,7 @@
     monkeypatch.setattr(watching, "QUIET_MS", 200.0)
     monkeypatch.setattr(watching, "FIRST_MS", 100.0)
 
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         square.discovery = WebDiscovery(breath_s=0.1)
         node = await square.node()
         platform = await square.start()
@@ -813,7 +813,7 @@
 def test_a_half_object_that_is_never_ended_is_no_sign_of_life(tmp_path, monkeypatch):
     monkeypatch.setattr(watching, "QUIET_MS", 300.0)
 
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         square.discovery = WebDiscovery(breath_s=0.1)
         await square.node()
         await square.start()
@@ -825,7 +825,7 @@
 
 def test_a_new_process_is_ready_with_discoverys_list_not_with_the_one_in_its_file(tmp_path):
     # What discovery has counts from the first moment; the file's list may be from before.
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         old, new = await square.node(shard=0), await square.node(shard=0)
         square.write_config()
         known = json.loads((tmp_path / "config.json").read_text())["known"]
@@ -852,7 +852,7 @@
     assert watching.READY_MS <= 4500.0 < watching.BLIND_MS
     monkeypatch.setattr(process, "READY_MS", 200.0)
 
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         square.discovery.down = True
         platform = await square.begin()  # the file names the node, and so did discovery a while ago
@@ -877,7 +877,7 @@
 def test_where_discovery_stays_silent_the_files_list_serves_after_a_time(tmp_path, monkeypatch):
     monkeypatch.setattr(process, "BLIND_MS", 200.0)
 
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         await square.node()
         square.discovery.down = True
         platform = await square.begin()
@@ -890,7 +890,7 @@
 
 
 def test_a_reload_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
         await square.until(lambda: square.discovery.asked)
@@ -915,7 +915,7 @@
 @pytest.mark.alone
 def test_an_order_to_leave_serves_on_until_shortly_before_the_kill(tmp_path):
     # Its successor comes at the platform's time: whoever is sent away sooner finds nobody.
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=2.0)
         platform = await square.start()
         idle, busy = [await square.caller() for _ in range(2)]
@@ -949,7 +949,7 @@
     # Answers are due so long before the forced end; by its 4 ms a pause of the machine decided the exit code.
     monkeypatch.setattr(process, "ANSWER_MS", 60.0)
 
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         node = await square.node()
         node.script.extend([None] * 20)
         platform = await square.start()
@@ -966,7 +966,7 @@
 
 
 def test_nobody_there_means_no_wait(tmp_path):
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         platform = await square.start()
         platform.leave()
         assert await asyncio.wait_for(platform.done, 1.0) == LEFT_CLEAN
@@ -979,7 +979,7 @@
         def take(self, rpc, now, writer):
             raise ValueError("broken")
 
-    async def story(square: Square) -> None:
+    async def story(square: PlatformSite) -> None:
         await square.node()
         platform = await square.start(Broken)
         assert (await (await square.caller()).call(ask())).status == 502
@@ -1018,7 +1018,7 @@
     ],
 )
 def test_a_wrong_configuration_names_its_key_what_is_wanted_and_what_stood_there(tmp_path, change, told):
-    square = Square(tmp_path)
+    square = PlatformSite(tmp_path)
     square.write_config()
     whole = json.loads((tmp_path / "config.json").read_text()) | change
     (tmp_path / "config.json").write_text(json.dumps(whole))
--- a/tests/test_thin_path.py
+++ b/tests/platform/test_thin_path.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from house import House, run
+from support.gateway_site import GatewaySite, run
 
 from cherrygrade.client import Ok, Rejected
 
 
 def test_a_write_and_a_read_come_through_the_module():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         node = await house.node(shard=3)
         client = house.client(await house.gateway())
         wrote = await client.write("write", "v", "seatmap", b"x" * 5000, shard=-1, deadline_ms=1500)
@@ -21,7 +21,7 @@
 
 
 def test_what_the_settings_do_not_know_is_rejected_with_its_name():
-    async def story(house: House) -> None:
+    async def story(house: GatewaySite) -> None:
         await house.node()
         client = house.client(await house.gateway())
         answer = await client.read("nonesuch", "v", "k", shard=0, length=1, deadline_ms=500)
--- a/tests/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -12,13 +12,13 @@
 
 import pytest
 
-HERE = Path(__file__).parent
+HERE = Path(__file__).parents[1]
 TESTS = "def test_red():\n    assert False\n\ndef test_green():\n    pass\n"
 RED = "test_it.py::test_red | a fault | 36\n"
 
 
 WORKERS = [[], ["-n", "2"]]
-PLUGINS = ["-p", "xdist.plugin", "-p", "known_red", "-p", "no:cacheprovider"]
+PLUGINS = ["-p", "xdist.plugin", "-p", "support.known_red", "-p", "no:cacheprovider"]
 
 
 def lay(folder: Path, tests: str, listed: str | None, line: list[str]) -> subprocess.CompletedProcess[str]:
--- a/tests/test_machine.py
+++ b/tests/project/test_machine.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 # Of os, resource and psutil; the last few are psutil's, which read where nothing is given.
 CALLS = frozenset(
     "setpriority nice sched_setaffinity sched_setscheduler sched_setparam setrlimit prlimit"
--- a/tests/test_failures.py
+++ b/tests/scheduling/test_failures.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from fakehost import EXPORT, READ, FakeHost
+from support.fake_host import EXPORT, READ, FakeHost
 
 from cherrygrade.gateway.lateness import Lateness
 from cherrygrade.scheduling.model import (
--- a/tests/test_keepers.py
+++ b/tests/scheduling/test_load_gossip.py
@@ -5,7 +5,7 @@
 from struct import pack
 
 import pytest
-from fakehost import EXPORT, MARKED, READ, FakeHost
+from support.fake_host import EXPORT, MARKED, READ, FakeHost
 
 from cherrygrade.scheduling.model import (
     Node,
--- a/tests/test_rules.py
+++ b/tests/scheduling/test_rules.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from fakehost import EXPORT, MARKED, ONCE, ORDERED, READ, FakeHost
+from support.fake_host import EXPORT, MARKED, ONCE, ORDERED, READ, FakeHost
 
 from cherrygrade.scheduling.model import (
     Idempotency,
--- a/tests/configured.py
+++ b/tests/support/configured_fleet.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 import msgspec
-from house import House, run
-from test_fleet_processes import ROOT
+from fleet.runtime.test_fleet_processes import ROOT
+from support.gateway_site import GatewaySite, run
 
 from cherrygrade.fleet.errors import ConfigUnreachableError
 from cherrygrade.fleet.membership.messages import ConfigAdvert
@@ -30,7 +30,7 @@
 from cherrygrade.standin.ways import BOUND, TOLD, Ways, host, number_of
 
 VOTERS = ["d0", "d1", "d2"]
-FLEET = "configured"
+FLEET = "support.configured_fleet"
 WITHIN_S = 6.0  # the goal, and what stories hold it to
 SITE = """
 place: {{name: "d{n}", listen: "127.0.0.1:0", register: "{register}", number: {n}, dispatchers: {count}}}
@@ -267,7 +267,7 @@
     count: int = 5,
     programs: dict[int, str] | None = None,
 ) -> None:
-    async def whole(house: House) -> None:
+    async def whole(house: GatewaySite) -> None:
         await house.node(0)
         await house.register.start()
         fleet = Fleet(folder, house.register.address, count)
--- a/tests/house.py
+++ b/tests/support/gateway_site.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from places import release, reserve
+from support.port_reservation import release, reserve
 
 from cherrygrade.client import Client
 from cherrygrade.gateway.process import Gateway
@@ -61,7 +61,7 @@
 )
 
 
-class House:
+class GatewaySite:
     def __init__(self) -> None:
         self.nodes: list[Node] = []
         self.places: list[str] = []
@@ -130,7 +130,11 @@
             bounds or LimitSettings(),
             lines or NodeConnectionSettings(),
             lambda event, **facts: self.logs.append((event, facts)),
-            **{name: more[name] for name in ("make", "cuts", "pace", "places") if name in more},
+            **{
+                name: more[name]
+                for name in ("make", "cuts", "pace", "support.port_reservation")
+                if name in more
+            },
         )
         port = await gateway.start()
         gateway.address = f"127.0.0.1:{port}"  # type: ignore[attr-defined]
@@ -160,11 +164,11 @@
             assert (store.used, store.batch, store.slow, store.waits) == (0, 0, 0, 0)
 
 
-def run(story: Callable[[House], Coroutine[Any, Any, None]], seconds: float = 10.0) -> None:
+def run(story: Callable[[GatewaySite], Coroutine[Any, Any, None]], seconds: float = 10.0) -> None:
     """Play a story in a house of its own, within its time."""
 
     async def play() -> None:
-        house = House()
+        house = GatewaySite()
         try:
             await asyncio.wait_for(story(house), seconds)
         finally:
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-FOLDER = Path(__file__).parent.parent / "golden"
+FOLDER = Path(__file__).parents[1] / "golden"
 
 
 def load(name: str) -> Any:
--- a/tests/started.py
+++ b/tests/support/platform_process.py
@@ -11,22 +11,22 @@
 from pathlib import Path
 
 import psutil
-from places import release, reserve
-from square import SETTINGS, Caller, ask
+from support.platform_site import SETTINGS, RawClient, ask
+from support.port_reservation import release, reserve
 
 from cherrygrade.standin.web import WebDiscovery, WebNode
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 SOCKETS = 128
 
 
-class Started:
+class PlatformProcess:
     """One dispatcher by itself, with a node and discovery in this process."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.discovery, self.node = WebDiscovery(breath_s=0.5), WebNode("s-0", 0)
-        self.callers: list[Caller] = []
+        self.callers: list[RawClient] = []
 
     async def start(self) -> None:
         await self.discovery.open()
@@ -65,8 +65,8 @@
         caller.writer.close()
         return answered is not None and answered.status == 200
 
-    async def caller(self) -> Caller:
-        caller = Caller(*await asyncio.open_connection("127.0.0.1", self.port))
+    async def caller(self) -> RawClient:
+        caller = RawClient(*await asyncio.open_connection("127.0.0.1", self.port))
         self.callers.append(caller)
         return caller
 
--- a/tests/square.py
+++ b/tests/support/platform_site.py
@@ -53,7 +53,7 @@
     return f"{method} {target} HTTP/1.1\r\nHost: app.svc\r\n{lines}\r\n".encode() + body
 
 
-class Caller:
+class RawClient:
     """A client's connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -78,13 +78,13 @@
         return await self.answer()
 
 
-class Square:
+class PlatformSite:
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.discovery = WebDiscovery()
         self.nodes: list[WebNode] = []
         self.logs: list[tuple[str, dict[str, Any]]] = []
-        self._callers: list[Caller] = []
+        self._callers: list[RawClient] = []
         self.platform: Platform | None = None
         self.env = {"BALANCER_CONFIG": str(folder / "config.json")}
 
@@ -126,8 +126,8 @@
         self.port = await self.platform.start()
         return self.platform
 
-    async def caller(self) -> Caller:
-        caller = Caller(*await asyncio.open_connection("127.0.0.1", self.port))
+    async def caller(self) -> RawClient:
+        caller = RawClient(*await asyncio.open_connection("127.0.0.1", self.port))
         self._callers.append(caller)
         return caller
 
@@ -150,9 +150,9 @@
         await asyncio.sleep(0.02)
 
 
-def play(folder: Path, story: Callable[[Square], Coroutine[Any, Any, None]]) -> None:
+def play(folder: Path, story: Callable[[PlatformSite], Coroutine[Any, Any, None]]) -> None:
     async def whole() -> None:
-        square = Square(folder)
+        square = PlatformSite(folder)
         try:
             await story(square)
         finally:
