--- a/tests/support/configured_fleet.py
+++ b/tests/support/configured_fleet.py
@@ -30,7 +30,7 @@
 from cherrygrade.standin.ways import BOUND, TOLD, Ways, host, number_of
 
 VOTERS = ["d0", "d1", "d2"]
-FLEET = "support.configured_fleet"
+FLEET = "configured"
 WITHIN_S = 6.0  # the goal, and what stories hold it to
 SITE = """
 place: {{name: "d{n}", listen: "127.0.0.1:0", register: "{register}", number: {n}, dispatchers: {count}}}
--- a/tests/support/gateway_site.py
+++ b/tests/support/gateway_site.py
@@ -132,7 +132,7 @@
             lambda event, **facts: self.logs.append((event, facts)),
             **{
                 name: more[name]
-                for name in ("make", "cuts", "pace", "support.port_reservation")
+                for name in ("make", "cuts", "pace", "places")
                 if name in more
             },
         )
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -52,11 +52,11 @@
     def pytest_collection_finish(self, session: pytest.Session) -> None:
         self.here |= self.listed.keys() & {item.nodeid for item in session.items}
         if hasattr(self.config, "workeroutput"):
-            self.config.workeroutput["support.known_red"] = [sorted(self.missing), sorted(self.here)]
+            self.config.workeroutput["known_red"] = [sorted(self.missing), sorted(self.here)]
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_testnodedown(self, node: Any) -> None:
-        missing, here = getattr(node, "workeroutput", {}).get("support.known_red", ([], []))
+        missing, here = getattr(node, "workeroutput", {}).get("known_red", ([], []))
         self.missing.update(missing)
         self.here.update(here)
 
