--- a/cherrygrade/scheduling/queued_request.py
+++ b/cherrygrade/scheduling/queued_request.py
@@ -3,14 +3,10 @@
 from __future__ import annotations
 
 from bisect import insort
-from typing import TYPE_CHECKING
 
-from cherrygrade.scheduling.model import Request, Workload
+from cherrygrade.scheduling.model import Node, Request, Workload
 from cherrygrade.scheduling.quota import VolumeQuota
 
-if TYPE_CHECKING:
-    from cherrygrade.scheduling.node_queue import NodeQueue
-
 
 def _sort_key(queued: QueuedRequest) -> float:
     return queued.sort_key
@@ -29,8 +25,9 @@
         sort_key: its place in a queue, lowest first; equals keep the order of arrival.
         overdue_at_ms: when its newest attempt is taken for lost and holds no slot any more.
         queue: the queue that it waits in; None while it waits in none.
-        node_queue: the node that it was placed on; None before the first placement.
-        nearby: requests that may share an attempt with it, by key, while it waits; else None.
+        node: the node that it was placed on; None before the first placement.
+        nearby: requests that wait at that node and may share an attempt, by key; None before.
+        is_nearby: whether it is one of them now.
         pressed: whether it belongs to the pressed side of Cake's two queues.
         slot_released: whether its newest attempt holds no slot of the node.
     """
@@ -52,8 +49,9 @@
         self.sort_key = 0.0
         self.overdue_at_ms = 0.0
         self.queue: list[QueuedRequest] | None = None
-        self.node_queue: NodeQueue | None = None
+        self.node: Node | None = None
         self.nearby: dict[str, list[QueuedRequest]] | None = None
+        self.is_nearby = False
         self.pressed = False
         self.slot_released = False
 
@@ -65,14 +63,20 @@
                 return True
         return False
 
+    def assign(self, node: Node, nearby: dict[str, list[QueuedRequest]]) -> None:
+        """Place it on a node; `nearby` is the table of that node's queue."""
+        self._leave_nearby()
+        self.node = node
+        self.nearby = nearby
+
     def move_to(self, queue: list[QueuedRequest] | None) -> None:
         """Leave the queue that it waits in for this one, or for none."""
         if self.queue is not None:
             self.queue.remove(self)
         self._leave_nearby()
-        if queue is not None and self.request.coalescable and self.node_queue is not None:
-            self.nearby = self.node_queue.nearby
+        if queue is not None and self.request.coalescable and self.nearby is not None:
             self.nearby.setdefault(self.request.key, []).append(self)
+            self.is_nearby = True
         self.queue = queue
         if queue:
             insort(queue, self, key=_sort_key)
@@ -81,9 +85,9 @@
 
     def _leave_nearby(self) -> None:
         nearby = self.nearby
-        if nearby is None:
+        if nearby is None or not self.is_nearby:
             return
-        self.nearby = None
+        self.is_nearby = False
         key = self.request.key
         nearby[key].remove(self)
         if not nearby[key]:
--- a/cherrygrade/scheduling/scheduler.py
+++ b/cherrygrade/scheduling/scheduler.py
@@ -237,7 +237,7 @@
     def _place(self, queued: QueuedRequest, now: float) -> None:
         """Choose a node, and queue the request there."""
         queue = self.placement.choose(queued, now)
-        queued.node_queue = queue
+        queued.assign(queue.node, queue.nearby)
         self._touch(queue, now)
         if queued.queue is None and not queued.request.attempts:
             self.utility.rank(queued, queue, now)
@@ -278,8 +278,8 @@
         if queued.in_flight:
             return
         following = self.admission.order.remove(queued)
-        if following is not None and following.node_queue is not None:
-            self._touch(following.node_queue, now)
+        if following is not None and following.node is not None:
+            self._touch(self.placement.queues.get(following.node, self.unplaced), now)
         self.requests.pop(queued.request, None)
 
     def _sweep(self, queue: NodeQueue, now: float, sink: DecisionSink) -> None:
@@ -345,7 +345,7 @@
         if first.request.shard >= 0 or (own and first.arrived_ms >= own[0].arrived_ms):
             return
         if self.admission.slow_start.units_left(queue, now) >= first.request.units:
-            first.node_queue = queue
+            first.assign(queue.node, queue.nearby)
             queue.due_ms = now  # looked at again at once
             first.move_to(own)
 
