--- a/cherrygrade/scheduling/round_inputs.py
+++ b/cherrygrade/scheduling/round_inputs.py
@@ -1,6 +1,6 @@
-"""What every host of a dispatcher shares at its door: what came in for the next round, and nodes by address.
+"""What every host of the scheduler shares: the inputs of the next round, and nodes by address.
 
-Standard library only: the bench's adapter uses it too. Holds no decision.
+Standard library only: the bench's adapter uses it too. No decisions.
 """
 
 from __future__ import annotations
@@ -12,12 +12,16 @@
 
 
 class RoundInputs:
-    """All that came in since the last round; emptied by the round."""
+    """All that happened since the last round; emptied by the round.
+
+    Attributes: those of `Scheduler.decide`, under the same names.
+    """
 
     def __init__(self) -> None:
         self.clear()
 
     def clear(self) -> None:
+        """Begin the next round."""
         self.arrivals: list[Request] = []
         self.outcomes: list[Attempt] = []
         self.cancellations: list[Request] = []
@@ -25,11 +29,11 @@
         self.endpoint_list_received: bool | None = None
         self.gossip: list[tuple[int, bytes]] = []
 
-    def decide(self, dispatcher: Scheduler, now: float, writer: DecisionSink) -> None:
-        """One round of the module with all that came in."""
-        dispatcher.decide(
+    def decide(self, scheduler: Scheduler, now: float, sink: DecisionSink) -> None:
+        """One round of the scheduler with all of it."""
+        scheduler.decide(
             now,
-            writer,
+            sink,
             arrivals=self.arrivals,
             outcomes=self.outcomes,
             cancellations=self.cancellations,
@@ -41,33 +45,44 @@
 
 
 class NodeTable:
-    """Node objects by address; one a machine, as long as the host lives or until it forgets a gone one."""
+    """Node objects, one a machine, as long as the host lives or until it forgets one that is gone.
+
+    Attributes:
+        by_address: nodes by address.
+    """
 
     def __init__(self) -> None:
         self.by_address: dict[str, Node] = {}
         self._listed: set[str] = set()
 
     def node(self, address: str) -> Node:
+        """The node of this address, made where it is not known."""
         return self.by_address.setdefault(address, Node(address))
 
     def forget(self, node: Node) -> None:
+        """The node is gone; should its address be listed again, it is another."""
         if self.by_address.get(node.address) is node:
             del self.by_address[node.address]
         self._listed.discard(node.address)
 
     def told(self, named: Iterable[Node], whole: bool) -> list[Node]:
-        """A list came that names these: gives all nodes of which something was learned by it.
+        """A list was received.
+
+        Args:
+            named: the nodes that it names, already up to date.
+            whole: it names all nodes, so that one it leaves out is gone.
 
-        A whole list that leaves a node out tells that it is gone.
+        Returns:
+            All nodes of which the list says something.
         """
-        heard = list(named)
-        addresses = {node.address for node in heard}
+        changed = list(named)
+        addresses = {node.address for node in changed}
         if not whole:
             self._listed |= addresses
-            return heard
+            return changed
         for address in sorted(self._listed - addresses):
             node = self.by_address[address]
             node.state = NodeState.GONE
-            heard.append(node)
+            changed.append(node)
         self._listed = addresses
-        return heard
+        return changed
--- a/cherrygrade/scheduling/start_settings.py
+++ b/cherrygrade/scheduling/start_settings.py
@@ -1,7 +1,7 @@
-"""What an instance is told at its start, as the module's arguments: one reader for every host of the module.
+"""Reads the start message of an instance: the one place that maps its names to the program's.
 
-The simulator gives it as flat pairs, the platform as nested JSON of the same names and units. Standard
-library only: the bench's adapter uses it too.
+The users' bench sends it as flat pairs of path and value, the platform as nested JSON with the same names and
+units (seconds, units of work). Standard library only: the bench's adapter uses it too.
 """
 
 from __future__ import annotations
@@ -29,6 +29,7 @@
 
 
 def flag(text: str) -> bool:
+    """Whether a value of the message says yes."""
     return text in ("1", "true")
 
 
@@ -52,24 +53,31 @@
 
 
 class StartSettings:
-    """The pairs of a start-up message; what is absent takes its default, the unknown is passed over."""
+    """The pairs of a start message; what is absent takes its default, the unknown is passed over."""
 
     def __init__(self, parts: list[str]) -> None:
         self._pairs = dict(part.split("=", 1) for part in parts if "=" in part)
 
     @classmethod
     def nested(cls, settings: dict[str, Any]) -> StartSettings:
+        """From nested JSON."""
         return cls([*_flat(settings)])
 
     def same(self) -> dict[str, str]:
-        """All of it, to be held against another."""
+        """All pairs, to be compared with another message's."""
         return dict(self._pairs)
 
     def text(self, path: str, default: str = "") -> str:
+        """A text; "-" stands for none."""
         value = self._pairs.get(path, default)
         return default if value == "-" else value
 
     def number(self, path: str, default: float = 0.0) -> float:
+        """A number.
+
+        Raises:
+            ValueError: the value is none; the message names the path.
+        """
         value = self.text(path)
         try:
             number = float(value) if value else default
@@ -80,13 +88,16 @@
         return number
 
     def ms(self, path: str, default_s: float = 0.0) -> float:
+        """A time in seconds, as milliseconds. Raises ValueError as `number` does."""
         return self.number(path, default_s) * 1000.0
 
     def flag(self, path: str, default: bool = False) -> bool:
+        """A yes or no."""
         value = self.text(path)
         return flag(value) if value else default
 
     def workloads(self) -> dict[str, Workload]:
+        """Workloads by name. Raises ValueError as `number` does."""
         writes = self.text("extra.writes").split(",")
         found = {}
         for i in range(int(self.number("classes.count"))):
@@ -107,6 +118,7 @@
         return found
 
     def plans(self) -> dict[str, ServicePlan]:
+        """Service plans by name. Raises ValueError as `number` does."""
         found = {}
         for i in range(int(self.number("grades.count"))):
             at = f"grades.{i}."
@@ -122,7 +134,8 @@
             )
         return found
 
-    def cold_start(self) -> SlowStartSettings:
+    def slow_start(self) -> SlowStartSettings:
+        """What a node that warms up bears. Raises ValueError as `number` does."""
         return SlowStartSettings(
             base_units=self.number("extra.youngLimit"),
             cold_capacity=self.number("guarantees.coldShare", 1.0),
@@ -131,14 +144,19 @@
             warm_up_ms=self.ms("guarantees.warmWithinS"),
         )
 
-    def resend_budget(self) -> RetryBudgetSettings | None:
-        span_ms = self.ms("guarantees.resendSpanS")
-        if not span_ms:
+    def retry_budget(self) -> RetryBudgetSettings | None:
+        """The retry budget; None where there is none. Raises ValueError as `number` does."""
+        window_ms = self.ms("guarantees.resendSpanS")
+        if not window_ms:
             return None
-        spare, share = self.number("guarantees.spareAttempts"), self.number("guarantees.extraShare")
-        return RetryBudgetSettings(min_retries=spare, retry_ratio=share, window_ms=span_ms)
+        return RetryBudgetSettings(
+            min_retries=self.number("guarantees.spareAttempts"),
+            retry_ratio=self.number("guarantees.extraShare"),
+            window_ms=window_ms,
+        )
 
-    def earnings(self) -> UtilityModel:
+    def utility(self) -> UtilityModel:
+        """What units earn. Raises ValueError as `number` does."""
         return UtilityModel(
             within_quota=self.number("extra.shareWorth", 1.0),
             beyond_quota=self.number("extra.beyondShare", 1.0),
@@ -148,7 +166,8 @@
             reports_use_elsewhere=self.flag("extra.saysOthers"),
         )
 
-    def permits(self) -> SitePolicy:
+    def policy(self) -> SitePolicy:
+        """What the site lets a dispatcher do. Raises ValueError as `number` does."""
         return SitePolicy(
             max_attempts=int(self.number("limits.maxAttempts", 1)),
             allows_hedging=self.flag("limits.secondCopies"),
@@ -162,15 +181,15 @@
         )
 
     def dispatcher(self, make: Callable[..., Scheduler], seed: int) -> Scheduler:
-        """The module as these pairs want it."""
+        """A scheduler set up as the message says. Raises ValueError as `number` does."""
         return make(
             seed=seed,
             number=int(self.number("ordinal")),
             dispatchers=max(1, int(self.number("balancers", 1))),
             workloads=list(self.workloads().values()),
-            utility=self.earnings(),
-            slow_start=self.cold_start(),
-            retry_budget=self.resend_budget(),
-            policy=self.permits(),
+            utility=self.utility(),
+            slow_start=self.slow_start(),
+            retry_budget=self.retry_budget(),
+            policy=self.policy(),
             key_rest_ms=self.ms("guarantees.turnGapS"),
         )
--- a/cherrygrade/wirehost/__main__.py
+++ b/cherrygrade/wirehost/__main__.py
@@ -8,12 +8,17 @@
 
 
 def main() -> int:
+    """Serve until standard input ends.
+
+    Returns:
+        0; 1: standard output was closed; 2: a line was malformed.
+    """
     host = Host(sys.stdout)
     try:
         for line in sys.stdin:
             host.read(line.rstrip("\r\n"))
-    except MalformedLineError as trouble:
-        print(f"wirehost: {trouble}", file=sys.stderr)
+    except MalformedLineError as error:
+        print(f"wirehost: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 1
--- a/tests/golden/test_settings.py
+++ b/tests/golden/test_settings.py
@@ -25,10 +25,10 @@
     return {
         "workloads": positional(pairs.workloads()),
         "plans": positional(pairs.plans()),
-        "cold": positional(pairs.cold_start()),
-        "budget": positional(pairs.resend_budget()),
-        "earnings": positional(pairs.earnings()),
-        "permits": positional(pairs.permits()),
+        "cold": positional(pairs.slow_start()),
+        "budget": positional(pairs.retry_budget()),
+        "earnings": positional(pairs.utility()),
+        "permits": positional(pairs.policy()),
     }
 
 
