--- a/cherrygrade/scheduling/effective_settings.py
+++ b/cherrygrade/scheduling/effective_settings.py
@@ -1,5 +1,4 @@
-"""The settings that the scheduler goes by at present; the fleet's configuration replaces them between
-rounds."""
+"""The settings in force; the fleet's configuration replaces them between two rounds."""
 
 from __future__ import annotations
 
--- a/cherrygrade/scheduling/queued_request.py
+++ b/cherrygrade/scheduling/queued_request.py
@@ -58,10 +58,7 @@
     @property
     def in_flight(self) -> bool:
         """Whether an attempt has no outcome yet."""
-        for attempt in self.request.attempts:
-            if attempt.outcome is None:
-                return True
-        return False
+        return any(attempt.outcome is None for attempt in self.request.attempts)
 
     def assign(self, node: Node, nearby: dict[str, list[QueuedRequest]]) -> None:
         """Place it on a node; `nearby` is the table of that node's queue."""
