--- a/cherrygrade/lab/rig/scenario.py
+++ b/cherrygrade/lab/rig/scenario.py
@@ -116,7 +116,7 @@
     path = folder / f"dispatcher-{number}.{life}.rec"
     site = dict(scenario.site)
     if scenario.words:
-        site["words"] = {"support.port_reservation": [*places]}
+        site["words"] = {"places": [*places]}
         site["permits"] = {**site.get("permits", {}), "peers": True}
         site["earnings"] = {**site.get("earnings", {}), "tells_elsewhere": False}
     if fleet is not None:
--- a/cherrygrade/lab/scale/changes.py
+++ b/cherrygrade/lab/scale/changes.py
@@ -79,7 +79,7 @@
         return f"{count(scale, for_ms)} changes, {pace}"
 
     found = [
-        Step(CONFIGURED, "support.configured_fleet", (), spans.configured),
+        Step(CONFIGURED, "configured", (), spans.configured),
         Step(CHANGES, "changes", (), spans.changes, note(spans.changes)),
         Step(KILLED, "changes killed", (), spans.changes_killed, note(spans.changes_killed)),
         Step(MISSED, "missed", half, spans.missed, note(spans.missed)),
--- a/cherrygrade/lab/scale/run.py
+++ b/cherrygrade/lab/scale/run.py
@@ -218,7 +218,7 @@
             self.nodes.append(child)
             told = {"first": first, "count": min(NODES_A_PROCESS, scale.nodes - first)}
             places += json.loads(await child.start("cherrygrade.lab.scale.stands", "nodes", json.dumps(told)))
-        told_list = json.dumps({"support.port_reservation": places})
+        told_list = json.dumps({"places": places})
         port = json.loads(await self.register.start("cherrygrade.lab.scale.stands", "register", told_list))
         self.registered = f"127.0.0.1:{port}"
         if scale.voters and scale.drills:
@@ -318,7 +318,7 @@
 
     async def _step(self, step: Step) -> None:
         self.told(step.when)
-        if step.kind == "support.configured_fleet":
+        if step.kind == "configured":
             await self.putting.configured()
         self.putting.story.states[step.when] = [await self._states()]
         await self._ask(f"{step.when} begins")
