--- a/benchmarks/fleet_config.py
+++ b/benchmarks/fleet_config.py
@@ -33,7 +33,9 @@
 from cherrygrade.client import Client, Ok
 from cherrygrade.fleet.errors import ConfigRefusedError, ConfigUnreachableError
 from cherrygrade.fleet.membership.messages import letter
-from cherrygrade.fleet.runtime.operator_commands import PutRequest, fresh_id, visit
+from cherrygrade.fleet.runtime.admin_client import visit
+from cherrygrade.fleet.runtime.admin_messages import PutRequest
+from cherrygrade.fleet.runtime.operator_commands import fresh_id
 from cherrygrade.fleet.runtime.status_query import ask
 from cherrygrade.fleet.runtime.voter_store import found
 from cherrygrade.lab.rig.run import Child, free_places
--- a/benchmarks/fleet_config_service.py
+++ b/benchmarks/fleet_config_service.py
@@ -18,7 +18,9 @@
 
 from bench import SITE, Rig, Tally, cpu_s, open_loop, read_rpc
 
-from cherrygrade.fleet.runtime.operator_commands import PutRequest, fresh_id, visit
+from cherrygrade.fleet.runtime.admin_client import visit
+from cherrygrade.fleet.runtime.admin_messages import PutRequest
+from cherrygrade.fleet.runtime.operator_commands import fresh_id
 from cherrygrade.fleet.runtime.status_query import ask
 from cherrygrade.fleet.runtime.voter_store import found
 
--- a/cherrygrade/fleet/runtime/config_exchange.py
+++ b/cherrygrade/fleet/runtime/config_exchange.py
@@ -31,19 +31,16 @@
 from cherrygrade.fleet.membership.messages import ConfigAdvert
 from cherrygrade.fleet.membership.table import MemberState
 from cherrygrade.fleet.runtime.addresses import address
+from cherrygrade.fleet.runtime.config_connections import ConfigFetch, ConfigServer
 from cherrygrade.fleet.runtime.council_server import CouncilServer
 from cherrygrade.fleet.runtime.sealed_file import SealedFile, SealedFileError
 from cherrygrade.settings import CouncilSettings
 from cherrygrade.transport.connection import Connection
-from cherrygrade.wire.messages import VERSION, Bye, Hello, Members, Welcome
 
 InForce = Callable[[ConfigVersion, int], str | Awaitable[str]]
 """Put a version in force at this stage: "", or why it is refused and all is as it was. Awaited where it is to
 be: reading a text takes tens of ms, for which RPCs need not wait."""
 
-PART = 8192  # of a word in one frame
-MOST_WORD = 1024 * 1024  # a version in frames
-FETCH_S = 1.5  # for a connection, and again for all that comes by it
 LEAVE_S = 0.5  # for the disk, as this dispatcher leaves
 UNSURE_MS = 500.0  # who is not sure looks this often whom it may ask
 MOST_GIVERS = 16  # streams that ask for content, before any of them is told anything
@@ -53,131 +50,6 @@
 NEVER = 1e15
 
 
-class FramedConnection:
-    """Words in frames over one connection, each way at most MOST_WORD."""
-
-    def __init__(self, conn: Connection | None = None) -> None:
-        self.conn = Connection(self, 0) if conn is None else conn
-        self._within = bytearray()
-
-    def say(self, word: bytes) -> None:
-        for at in range(0, max(1, len(word)), PART):
-            self.conn.send(Members(word[at : at + PART], at + PART >= len(word)))
-
-    def part(self, message: Members) -> None:
-        self._within += message.payload
-        if len(self._within) > MOST_WORD:
-            self.conn.close("a word without end")
-        elif message.last:
-            data, self._within = bytes(self._within), bytearray()
-            try:
-                self.word(data)
-            except (msgspec.MsgspecError, UnicodeDecodeError):
-                self.conn.close("a word that can't be read")
-
-    def word(self, data: bytes) -> None:
-        raise NotImplementedError
-
-    # What a connection of its own tells.
-
-    def connected(self, conn: Connection) -> None: ...
-
-    def room(self, conn: Connection, message: Any, length: int) -> None:
-        return None
-
-    def frame(self, conn: Connection, message: Any, body: object) -> None:
-        if isinstance(message, Members):
-            self.part(message)
-        elif not isinstance(message, Welcome | Bye):
-            conn.close(f"unexpected {type(message).__name__} of a configuration")
-
-    def writable(self, conn: Connection) -> None: ...
-
-    def closed(self, conn: Connection, why: str) -> None: ...
-
-
-class ConfigFetch(FramedConnection):
-    """One fetch out."""
-
-    def __init__(self, config: ConfigExchange, by: str, wanted: FetchRequest) -> None:
-        super().__init__()
-        self.config, self.by, self._wanted = config, by, wanted
-        self._over = False
-        self._timer: asyncio.TimerHandle | None = None
-        self.task: asyncio.Task[None] | None = None
-
-    async def connect(self, to: tuple[str, int] | None, source: str) -> None:
-        loop = asyncio.get_running_loop()
-        try:
-            if to is None:
-                raise OSError("it is not known where it is")
-            async with asyncio.timeout(FETCH_S):
-                await loop.create_connection(lambda: self.conn, *to, local_addr=(source, 0))
-            self._timer = loop.call_later(FETCH_S, self.conn.abort, "no content in time")
-        except OSError as refused:  # TimeoutError among them
-            self.end(f"no stream: {refused.strerror or refused or 'no answer in time'}")
-
-    def connected(self, conn: Connection) -> None:
-        conn.send(Hello(VERSION, "config", self.config.core.name, [self.config.fleet]))
-        self.say(msgspec.msgpack.encode(self._wanted))
-
-    def word(self, data: bytes) -> None:
-        gave = msgspec.msgpack.decode(data, type=FetchResponse)
-        if not self._over:
-            self._finish()
-            self.config.fetched(self.by, gave, len(data))
-        self.conn.close("fetched")
-
-    def closed(self, conn: Connection, why: str) -> None:
-        self.end(f"its stream ended: {why}")
-
-    def end(self, why: str) -> None:
-        """Nothing came of it."""
-        if not self._over:
-            self._finish()
-            self.config.unfetched(self.by, why)
-
-    def close(self) -> None:
-        self._finish()
-        if self.task is not None:
-            self.task.cancel()
-        self.conn.abort("dispatcher leaves")
-
-    def _finish(self) -> None:
-        self._over = True
-        if self._timer is not None:
-            self._timer.cancel()
-        self.config.fetches.pop(self, None)
-
-
-class ConfigServer(FramedConnection):
-    """One that fetches from here; the agent's stream hands its frames on."""
-
-    def __init__(self, config: ConfigExchange, conn: Connection) -> None:
-        super().__init__(conn)
-        self.config, self._serves = config, False
-        self._timer = asyncio.get_running_loop().call_later(FETCH_S, conn.abort, "no fetch in time")
-
-    def word(self, data: bytes) -> None:
-        wanted = msgspec.msgpack.decode(data, type=FetchRequest)
-        replica = self.config.replica
-        if replica is None or self._serves:
-            self.conn.close("nothing to fetch")
-            return
-        gave = replica.wanted(wanted)
-        self._serves = gave.content is not None
-        word = msgspec.msgpack.encode(gave)
-        self.config.given_bytes += len(word)
-        self.say(word)
-
-    def closed(self, conn: Connection, why: str) -> None:
-        self._timer.cancel()
-        self.config.givers.pop(self, None)
-        if self._serves and self.config.replica is not None:
-            self._serves = False
-            self.config.replica.served()
-
-
 class ConfigExchange:
     """`fetches` and `givers` end by themselves or by time; `steps` are emptied as they are on disk and in
     force; `said`: the last first-hand words, for people, the oldest go."""
--- a/cherrygrade/fleet/runtime/council_server.py
+++ b/cherrygrade/fleet/runtime/council_server.py
@@ -17,7 +17,6 @@
 import lmdb
 import msgspec
 
-from cherrygrade.fleet.config.versions import QuotaDivisors, difference
 from cherrygrade.fleet.consensus import raft
 from cherrygrade.fleet.consensus.raft import PersistentState
 from cherrygrade.fleet.consensus.voter import (
@@ -31,137 +30,21 @@
 )
 from cherrygrade.fleet.errors import CouncilUnreachableError, VoterStoppedError
 from cherrygrade.fleet.runtime.addresses import address
+from cherrygrade.fleet.runtime.config_judge import Judge, judged
+from cherrygrade.fleet.runtime.council_connections import CouncilClientConnection, CouncilConnection
 from cherrygrade.fleet.runtime.voter_store import VoterStore, open_store
 from cherrygrade.settings import CouncilSettings
 from cherrygrade.transport.connection import Connection
-from cherrygrade.wire.messages import VERSION, Bye, Hello, Members, Welcome
 
-PART = 8192  # of a word in one frame
-MOST_WORD = 32 * 1024 * 1024  # a snapshot in frames
-MOST_QUEUED = 256  # words to a peer that is not connected; the oldest go: Raft says them again
 MOST_GUESTS = 512
-CONNECT_S, AGAIN_S = 1.0, 0.1
+AGAIN_S = 0.1
 ASK_S = 1.0  # for an answer of one voter, before another is asked
 LET_IN_MS = 1000.0  # between two asks of a voter without a vote
 MOST_JUDGING = 16  # changes of the configuration at once
 
-Judge = Callable[[str, str], tuple[str, QuotaDivisors | None, QuotaDivisors | None]]
-"""Of the texts before and after a change: why it is refused, or "" and the divisors of the site that comes of
-it and of the one before. Blocking; it may touch nothing of the dispatcher's."""
-
 _word = msgspec.msgpack.Decoder(raft.AnyRaftMessage)
 _ask = msgspec.msgpack.Decoder(AnyRequest)
 _answer = msgspec.msgpack.Decoder(AnyReply)
-_encode = msgspec.msgpack.Encoder().encode
-
-
-class CouncilConnection:
-    """One connection for the council's words, made here (`to`) or there. Words come in frames."""
-
-    def __init__(self, council_server: CouncilServer, name: str = "") -> None:
-        self.council_server, self.name = council_server, name
-        self.conn = Connection(self, 0)
-        self.queue: deque[bytes] = deque(maxlen=MOST_QUEUED)
-        self.ready = self.connecting = False
-        self._within = bytearray()
-        self.task: asyncio.Task[None] | None = None
-
-    # To a voter.
-
-    def say(self, kind: bytes, word: Any) -> None:
-        data = kind + _encode(word)
-        if self.ready:
-            self._send(data)
-            return
-        self.queue.append(data)
-        if not self.connecting:
-            self.connecting = True
-            self.task = asyncio.get_running_loop().create_task(self._connect())
-
-    async def _connect(self) -> None:
-        try:
-            to = self.council_server.place(self.name)
-            if to is None:
-                await asyncio.sleep(AGAIN_S)
-                return
-            async with asyncio.timeout(CONNECT_S):
-                loop = asyncio.get_running_loop()
-                host = self.council_server.source
-                await loop.create_connection(lambda: self.conn, *to, local_addr=(host, 0))
-        except OSError:
-            await asyncio.sleep(AGAIN_S)
-        finally:
-            self.connecting = False
-            if not self.conn.open:
-                self.council_server.lost(self)
-
-    def _send(self, data: bytes) -> None:
-        self.council_server.said_bytes += len(data)
-        for at in range(0, len(data), PART):
-            self.conn.send(Members(data[at : at + PART], at + PART >= len(data)))
-
-    # What the connection tells.
-
-    def connected(self, conn: Connection) -> None:
-        fleet = self.council_server.fleet
-        conn.send(Hello(VERSION, "council", self.council_server.name, [fleet]))
-        self.ready = True
-        while self.queue:
-            self._send(self.queue.popleft())
-
-    def room(self, conn: Connection, message: Any, length: int) -> None:
-        return None
-
-    def frame(self, conn: Connection, message: Any, body: object) -> None:
-        if isinstance(message, Members):
-            self.part(message)
-        elif not isinstance(message, Welcome | Bye):
-            conn.close(f"unexpected {type(message).__name__} in council")
-
-    def part(self, message: Members) -> None:
-        self._within += message.payload
-        if len(self._within) > MOST_WORD:
-            self.conn.close("a word without end")
-        elif message.last:
-            data, self._within = bytes(self._within), bytearray()
-            try:
-                self.council_server.came(self, data)
-            except (msgspec.MsgspecError, UnicodeDecodeError):
-                self.conn.close("a word that can't be read")
-
-    def writable(self, conn: Connection) -> None:
-        pass
-
-    def closed(self, conn: Connection, why: str) -> None:
-        self.ready = False
-        self.council_server.lost(self)
-
-
-class CouncilClientConnection(CouncilConnection):
-    """One that came in: the agent's stream hands its frames on."""
-
-    def __init__(self, council_server: CouncilServer, conn: Connection, name: str) -> None:
-        super().__init__(council_server, name)
-        self.conn, self.ready = conn, True
-
-    def say(self, kind: bytes, word: Any) -> None:
-        if self.ready:  # else it has gone, and asks again if it wants to know
-            self._send(kind + _encode(word))
-
-
-def judged(judge: Judge | None, before: str, text: str) -> ConfigVerdict:
-    """In a thread of its own: RPCs do not wait for a text to be read."""
-    if judge is None:
-        return ConfigVerdict("this dispatcher takes no configuration")
-    try:
-        why, parts, old = judge(before, text)
-    except Exception as broke:  # whatever reads it: a text that breaks it is refused, and nothing else is
-        return ConfigVerdict(f"reading it failed: {type(broke).__name__}: {broke}"[:500])
-    if why or parts is None:
-        return ConfigVerdict(why or "no site comes of it")
-    hunks = difference(before, text)
-    short = sum(len(one) for hunk in hunks for one in hunk.lines) < len(text)
-    return ConfigVerdict("", parts, old, hunks if short and before else None)
 
 
 class CouncilServer:
--- a/cherrygrade/lab/scale/putting.py
+++ b/cherrygrade/lab/scale/putting.py
@@ -10,8 +10,10 @@
 from typing import Any, Protocol
 
 from cherrygrade.fleet.errors import ConfigRefusedError, ConfigUnreachableError
-from cherrygrade.fleet.runtime.operator_commands import PutRequest as AskedPut
-from cherrygrade.fleet.runtime.operator_commands import ShowRequest, fresh_id, visit
+from cherrygrade.fleet.runtime.admin_client import visit
+from cherrygrade.fleet.runtime.admin_messages import PutRequest as AskedPut
+from cherrygrade.fleet.runtime.admin_messages import ShowRequest
+from cherrygrade.fleet.runtime.operator_commands import fresh_id
 from cherrygrade.fleet.runtime.status_query import ask
 from cherrygrade.lab.scale import changes
 from cherrygrade.lab.scale.changes import Gap, Put, Story
--- a/tests/fleet/runtime/test_config_processes.py
+++ b/tests/fleet/runtime/test_config_processes.py
@@ -14,7 +14,8 @@
 
 from cherrygrade.fleet.errors import ConfigRefusedError, ConfigUnreachableError
 from cherrygrade.fleet.membership.messages import ConfigAdvert
-from cherrygrade.fleet.runtime.operator_commands import PATIENCE_S, PutRequest, visit
+from cherrygrade.fleet.runtime.admin_client import PATIENCE_S, visit
+from cherrygrade.fleet.runtime.admin_messages import PutRequest
 from cherrygrade.fleet.runtime.status_query import ask
 
 pytestmark = pytest.mark.few
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -16,7 +16,7 @@
 from cherrygrade.fleet.leases import lease_table
 from cherrygrade.fleet.membership import messages as membership_messages
 from cherrygrade.fleet.membership import reachability, table
-from cherrygrade.fleet.runtime import operator_commands, voter_store
+from cherrygrade.fleet.runtime import admin_messages, voter_store
 from cherrygrade.wire import messages
 
 MESSAGES: dict[str, Any] = {
@@ -47,10 +47,10 @@
     "wire.messages.Done": messages.Done,
     "fleet.carriers.disk.Owner": voter_store.StoreOwner,
     "fleet.carriers.disk.Hard": voter_store.HardState,
-    "fleet.carriers.operator.Request": operator_commands.AdminRequest,
-    "fleet.carriers.operator.Put": operator_commands.PutRequest,
-    "fleet.carriers.operator.Show": operator_commands.ShowRequest,
-    "fleet.carriers.operator.Missing": operator_commands.MissingRequest,
+    "fleet.carriers.operator.Request": admin_messages.AdminRequest,
+    "fleet.carriers.operator.Put": admin_messages.PutRequest,
+    "fleet.carriers.operator.Show": admin_messages.ShowRequest,
+    "fleet.carriers.operator.Missing": admin_messages.MissingRequest,
     "fleet.config.replica.Kept": replica.StoredConfig,
     "fleet.config.replica.Near": replica.ReachableMember,
     "fleet.config.replica.Here": replica.OwnAdvert,
--- a/tests/support/configured_fleet.py
+++ b/tests/support/configured_fleet.py
@@ -18,13 +18,9 @@
 
 from cherrygrade.fleet.errors import ConfigUnreachableError
 from cherrygrade.fleet.membership.messages import ConfigAdvert
-from cherrygrade.fleet.runtime.operator_commands import (
-    MissingRequest,
-    PutRequest,
-    ShowRequest,
-    fresh_id,
-    visit,
-)
+from cherrygrade.fleet.runtime.admin_client import visit
+from cherrygrade.fleet.runtime.admin_messages import MissingRequest, PutRequest, ShowRequest
+from cherrygrade.fleet.runtime.operator_commands import fresh_id
 from cherrygrade.fleet.runtime.status_query import ask
 from cherrygrade.fleet.runtime.voter_store import found
 from cherrygrade.standin.ways import BOUND, TOLD, Ways, host, number_of
