--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -40,7 +40,7 @@
 )
 from cherrygrade.fleet.leases.lease_table import digest
 from cherrygrade.fleet.runtime.status_query import ask
-from cherrygrade.fleet.runtime.voter_store import VoterStore, found
+from cherrygrade.fleet.runtime.voter_store import VoterStore, create_founding_store
 from cherrygrade.scheduling.model import (
     Attempt,
     Node,
@@ -823,10 +823,10 @@
         self.answers: list[Any] = []
         self.writes = 0
         for number, name in enumerate(names):
-            found(folder / name, "bench", name, names)
+            create_founding_store(folder / name, "bench", name, names)
             store = VoterStore(folder / name, "bench", name, "0")
-            self.stores[store.me] = store
-            self.voters[store.me] = Voter(store.me, store.load(), names, number, 0.0, 0.005)
+            self.stores[store.voter_id] = store
+            self.voters[store.voter_id] = Voter(store.voter_id, store.load(), names, number, 0.0, 0.005)
         self.encode, self.decode = msgpack.Encoder().encode, msgpack.Decoder(raft.AnyRaftMessage)
 
     def do(self, me: str, call: Callable[..., VoterEffects], *parts: Any) -> None:
--- a/benchmarks/fleet_config.py
+++ b/benchmarks/fleet_config.py
@@ -37,7 +37,7 @@
 from cherrygrade.fleet.runtime.admin_messages import PutRequest
 from cherrygrade.fleet.runtime.operator_commands import fresh_id
 from cherrygrade.fleet.runtime.status_query import ask
-from cherrygrade.fleet.runtime.voter_store import found
+from cherrygrade.fleet.runtime.voter_store import create_founding_store
 from cherrygrade.lab.rig.run import Child, free_places
 from cherrygrade.standin.control import Controller
 from cherrygrade.standin.ways import BOUND, ENTRY, FLEET, TOLD, host
@@ -103,7 +103,7 @@
         far = {at for at in range(self.count) if at % 2}
         await self.control.say("slow", on=" ".join(map(str, sorted(far))), size=ONE_WAY_MS)
         for name in VOTERS:
-            found(self.folder / name, FLEET, name, VOTERS)
+            create_founding_store(self.folder / name, FLEET, name, VOTERS)
         for at in range(0, self.count, 8):
             await asyncio.gather(*(self.start(one) for one in range(at, min(at + 8, self.count))))
         await self.until(self._whole)
--- a/benchmarks/fleet_config_service.py
+++ b/benchmarks/fleet_config_service.py
@@ -22,7 +22,7 @@
 from cherrygrade.fleet.runtime.admin_messages import PutRequest
 from cherrygrade.fleet.runtime.operator_commands import fresh_id
 from cherrygrade.fleet.runtime.status_query import ask
-from cherrygrade.fleet.runtime.voter_store import found
+from cherrygrade.fleet.runtime.voter_store import create_founding_store
 
 NAMES = ["d0", "d1", "d2"]
 PER_S, EVERY_S, VOLUMES, NODES = 517.0, 3.0, 100, 3
@@ -41,7 +41,7 @@
             with socket.create_server(("127.0.0.1", 0)) as free:
                 place[name] = f"127.0.0.1:{free.getsockname()[1]}"
         for name in NAMES:
-            found(self.folder / name, "bench", name, NAMES)
+            create_founding_store(self.folder / name, "bench", name, NAMES)
         made = []
         plans = {f"p{at}": {"usual_rate": 1000, "limit_rate": 0} for at in range(VOLUMES)}
         volumes = {
--- a/benchmarks/fleet_leases.py
+++ b/benchmarks/fleet_leases.py
@@ -21,7 +21,7 @@
 
 from cherrygrade.fleet.leases.lease_client import LATELY_MS
 from cherrygrade.fleet.runtime.status_query import ask
-from cherrygrade.fleet.runtime.voter_store import found
+from cherrygrade.fleet.runtime.voter_store import create_founding_store
 from cherrygrade.standin.receiver import judge
 
 LEASE_MS = 2000.0
@@ -52,7 +52,7 @@
             self.receiver = told.split()[1]
         self.register = f"127.0.0.1:{self._other('register').split()[1]}"
         for name in self.voters:
-            found(self.folder / name, "bench", name, self.voters)
+            create_founding_store(self.folder / name, "bench", name, self.voters)
 
     def _other(self, *parts: str) -> str:
         line = [sys.executable, "-m", "cherrygrade", "standin", *parts]
--- a/cherrygrade/cli.py
+++ b/cherrygrade/cli.py
@@ -179,7 +179,7 @@
     is not founded again: started with an empty folder it is let in by the others.
     """
     from cherrygrade.errors import OperatorError
-    from cherrygrade.fleet.runtime.voter_store import found
+    from cherrygrade.fleet.runtime.voter_store import create_founding_store
 
     site = _site(file, given)
     try:
@@ -188,7 +188,7 @@
                 f"{file} names no fleet.council", "Nothing was made.", "Name its voters there."
             )
         council = site.fleet.council
-        found(Path(council.folder), site.fleet.name, site.place.name, council.voters)
+        create_founding_store(Path(council.folder), site.fleet.name, site.place.name, council.voters)
     except OperatorError as trouble:
         print(trouble, file=sys.stderr)
         return 2
--- a/cherrygrade/fleet/runtime/__init__.py
+++ b/cherrygrade/fleet/runtime/__init__.py
@@ -1,1 +1,5 @@
-"""Sockets, disk and timers of the fleet. Nothing is decided here."""
+"""Sockets, disk, timers and the operator's commands of the fleet.
+
+The decisions are made in `membership`, `consensus`, `leases` and `config`, which do no I/O: they take events
+and return effects. The modules here bring the events and carry the effects out.
+"""
--- a/cherrygrade/fleet/runtime/addresses.py
+++ b/cherrygrade/fleet/runtime/addresses.py
@@ -1,13 +1,19 @@
-"""Where a member says that it is."""
+"""Addresses of dispatchers, as settings and membership records give them."""
 
 from __future__ import annotations
 
 import ipaddress
 
 
-def address(place: str) -> tuple[str, int] | None:
-    """Host and port; None where nothing can go: names are not looked up for anybody's word."""
-    host, _, port = place.rpartition(":")
+def parse_address(text: str) -> tuple[str, int] | None:
+    """Split `IP:PORT` for a socket call.
+
+    Host names are not resolved: a record of another member must not make this process ask a name server.
+
+    Returns:
+        Host and port, or None where the text is not an IP address with a port.
+    """
+    host, _, port = text.rpartition(":")
     try:
         return str(ipaddress.ip_address(host)), int(port)
     except ValueError:
--- a/cherrygrade/fleet/runtime/admin_client.py
+++ b/cherrygrade/fleet/runtime/admin_client.py
@@ -13,7 +13,7 @@
     ConfigRefusedError,
     ConfigUnreachableError,
 )
-from cherrygrade.fleet.runtime.addresses import address
+from cherrygrade.fleet.runtime.addresses import parse_address
 from cherrygrade.fleet.runtime.admin_messages import (
     AdminRequest,
 )
@@ -32,18 +32,18 @@
 
     def connected(self, conn: Connection) -> None:
         conn.send(Hello(VERSION, "operator", "cherrygrade fleet config"))
-        self.say(msgspec.json.encode(self._request))
+        self.send_message(msgspec.json.encode(self._request))
 
     def frame(self, conn: Connection, message: Any, body: object) -> None:
         if isinstance(message, Bye):
             self._words.put_nowait(message.reason)
         elif isinstance(message, Members):
-            self.part(message)
+            self.frame_received(message)
         elif not isinstance(message, Welcome):
             conn.close(f"unexpected {type(message).__name__}")
 
-    def word(self, data: bytes) -> None:
-        self._words.put_nowait(json.loads(data))
+    def message_received(self, message: bytes) -> None:
+        self._words.put_nowait(json.loads(message))
 
     def closed(self, conn: Connection, why: str) -> None:
         self._words.put_nowait(why)
@@ -61,7 +61,7 @@
 
 async def visit(place: str, request: AdminRequest, within_s: float = PATIENCE_S) -> dict[str, Any]:
     """What the dispatcher at this place says to that. ConfigRefused, ConfigUnreached, NoConfig."""
-    to = address(place)
+    to = parse_address(place)
     if to is None:
         do = "Give --at a dispatcher's fleet.place."
         raise ConfigNotFoundError(f"{place} is no HOST:PORT", "Nobody was asked.", do)
--- a/cherrygrade/fleet/runtime/admin_server.py
+++ b/cherrygrade/fleet/runtime/admin_server.py
@@ -5,6 +5,7 @@
 import asyncio
 import json
 from collections.abc import Callable
+from dataclasses import asdict
 from typing import Any
 
 import msgspec
@@ -49,8 +50,8 @@
         self.task: asyncio.Task[None] | None = None
         self._timer = asyncio.get_running_loop().call_later(LEAVE_S, conn.abort, "a person in no hurry")
 
-    def word(self, data: bytes) -> None:
-        request = _request.decode(data)
+    def message_received(self, message: bytes) -> None:
+        request = _request.decode(message)
         if self.task is None:
             self.task = asyncio.get_running_loop().create_task(self._answer(request))
 
@@ -65,12 +66,12 @@
         except OperatorError as trouble:
             told = {"what": trouble.what, "means": trouble.means, "do": trouble.do}
             told["nobody"] = isinstance(trouble, ConfigUnreachableError)
-        self.say(json.dumps(told).encode())
+        self.send_message(json.dumps(told).encode())
         self.conn.close("told")
 
     async def _shown(self, ask_id: str, number: int = 0) -> ConfigStatus:
         try:
-            found = await self.council_server.ask(ShowConfig(ask_id, number), COUNCIL_S)
+            found = await self.council_server.request(ShowConfig(ask_id, number), COUNCIL_S)
         except CouncilUnreachableError as trouble:
             raise ConfigUnreachableError(trouble.what) from trouble
         assert isinstance(found, ConfigStatus)
@@ -82,11 +83,11 @@
             shown = await self._shown(f"{request.id}/newest")
             based_on = shown.lines[-1].number if shown.lines else 0
         ask = PutConfig(request.id, request.text, based_on, request.by)
-        asking = asyncio.get_running_loop().create_task(self.council_server.ask(ask, JUDGE_S))
+        asking = asyncio.get_running_loop().create_task(self.council_server.request(ask, JUDGE_S))
         try:
             while not (await asyncio.wait({asking}, timeout=COUNCIL_S))[0]:
                 await self._shown(f"{request.id}/leads")  # a long text: does it still lead?
-                self.say(b"{}")
+                self.send_message(b"{}")
             found = asking.result()
         except (CouncilUnreachableError, ConfigUnreachableError) as trouble:
             raise ConfigUnreachableError(
@@ -130,7 +131,12 @@
         here = config.status()
         replica = config.replica
         settled = replica is not None and replica.stage > 2 * number and bool(replica.stage % 2)
-        return {"here": here, "settled": settled, "missing": found, "record": config.core.record}
+        return {
+            "here": here,
+            "settled": settled,
+            "missing": [asdict(member) for member in found],
+            "record": config.core.record,
+        }
 
     def closed(self, conn: Connection, why: str) -> None:
         self._gone()
--- a/cherrygrade/fleet/runtime/config_connections.py
+++ b/cherrygrade/fleet/runtime/config_connections.py
@@ -1,4 +1,4 @@
-"""Connections that fetch configuration content, and that serve it to members who fetch."""
+"""Connections that fetch a configuration's content, and that serve it to members who fetch it here."""
 
 from __future__ import annotations
 
@@ -7,10 +7,7 @@
 
 import msgspec
 
-from cherrygrade.fleet.config.replica import (
-    FetchRequest,
-    FetchResponse,
-)
+from cherrygrade.fleet.config.replica import FetchRequest, FetchResponse
 from cherrygrade.fleet.runtime.framed_connection import FramedConnection
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, Hello
@@ -18,86 +15,103 @@
 if TYPE_CHECKING:
     from cherrygrade.fleet.runtime.config_exchange import ConfigExchange
 
-FETCH_S = 1.5  # for a connection, and again for all that comes by it
+FETCH_TIMEOUT_S = 1.5  # for the connection, and again for the content
 
 
 class ConfigFetch(FramedConnection):
-    """One fetch out."""
+    """One fetch of content from a member; it ends once, with content or with why there is none.
 
-    def __init__(self, config: ConfigExchange, by: str, wanted: FetchRequest) -> None:
+    Attributes:
+        config: Is told how the fetch ended.
+        member: The member that is asked.
+        task: Makes the connection.
+    """
+
+    def __init__(self, config: ConfigExchange, member: str, request: FetchRequest) -> None:
         super().__init__()
-        self.config, self.by, self._wanted = config, by, wanted
-        self._over = False
-        self._timer: asyncio.TimerHandle | None = None
+        self.config = config
+        self.member = member
         self.task: asyncio.Task[None] | None = None
+        self._request = request
+        self._ended = False
+        self._timer: asyncio.TimerHandle | None = None
 
     async def connect(self, to: tuple[str, int] | None, source: str) -> None:
+        """Connect to the member; `to` is None where its address is not known."""
         loop = asyncio.get_running_loop()
         try:
             if to is None:
                 raise OSError("it is not known where it is")
-            async with asyncio.timeout(FETCH_S):
+            async with asyncio.timeout(FETCH_TIMEOUT_S):
                 await loop.create_connection(lambda: self.conn, *to, local_addr=(source, 0))
-            self._timer = loop.call_later(FETCH_S, self.conn.abort, "no content in time")
-        except OSError as refused:  # TimeoutError among them
-            self.end(f"no stream: {refused.strerror or refused or 'no answer in time'}")
+            self._timer = loop.call_later(FETCH_TIMEOUT_S, self.conn.abort, "no content in time")
+        except OSError as error:  # TimeoutError among them
+            self.fail(f"no stream: {error.strerror or error or 'no answer in time'}")
 
     def connected(self, conn: Connection) -> None:
+        """Introduce this dispatcher, and ask."""
         conn.send(Hello(VERSION, "config", self.config.core.name, [self.config.fleet]))
-        self.say(msgspec.msgpack.encode(self._wanted))
-
-    def word(self, data: bytes) -> None:
-        gave = msgspec.msgpack.decode(data, type=FetchResponse)
-        if not self._over:
-            self._finish()
-            self.config.fetched(self.by, gave, len(data))
+        self.send_message(msgspec.msgpack.encode(self._request))
+
+    def message_received(self, message: bytes) -> None:
+        """Hand the content on."""
+        response = msgspec.msgpack.decode(message, type=FetchResponse)
+        if not self._ended:
+            self._end()
+            self.config.fetch_succeeded(self.member, response, len(message))
         self.conn.close("fetched")
 
     def closed(self, conn: Connection, why: str) -> None:
-        self.end(f"its stream ended: {why}")
+        """Fail, where no content came before."""
+        self.fail(f"its stream ended: {why}")
 
-    def end(self, why: str) -> None:
-        """Nothing came of it."""
-        if not self._over:
-            self._finish()
-            self.config.unfetched(self.by, why)
+    def fail(self, why: str) -> None:
+        """End without content; nothing happens where the fetch has ended already."""
+        if not self._ended:
+            self._end()
+            self.config.fetch_failed(self.member, why)
 
     def close(self) -> None:
-        self._finish()
+        """End as the dispatcher stops: nobody is told."""
+        self._end()
         if self.task is not None:
             self.task.cancel()
         self.conn.abort("dispatcher leaves")
 
-    def _finish(self) -> None:
-        self._over = True
+    def _end(self) -> None:
+        self._ended = True
         if self._timer is not None:
             self._timer.cancel()
         self.config.fetches.pop(self, None)
 
 
 class ConfigServer(FramedConnection):
-    """One that fetches from here; the agent's stream hands its frames on."""
+    """Serves one member that fetches content here; its `PeerStream` passes the frames on."""
 
     def __init__(self, config: ConfigExchange, conn: Connection) -> None:
         super().__init__(conn)
-        self.config, self._serves = config, False
-        self._timer = asyncio.get_running_loop().call_later(FETCH_S, conn.abort, "no fetch in time")
+        self.config = config
+        self._serving = False
+        loop = asyncio.get_running_loop()
+        self._timer = loop.call_later(FETCH_TIMEOUT_S, conn.abort, "no fetch in time")
 
-    def word(self, data: bytes) -> None:
-        wanted = msgspec.msgpack.decode(data, type=FetchRequest)
+    def message_received(self, message: bytes) -> None:
+        """Answer the member's request; a second one on the same connection is refused."""
+        request = msgspec.msgpack.decode(message, type=FetchRequest)
         replica = self.config.replica
-        if replica is None or self._serves:
+        if replica is None or self._serving:
             self.conn.close("nothing to fetch")
             return
-        gave = replica.wanted(wanted)
-        self._serves = gave.content is not None
-        word = msgspec.msgpack.encode(gave)
-        self.config.given_bytes += len(word)
-        self.say(word)
+        response = replica.wanted(request)
+        self._serving = response.content is not None
+        encoded = msgspec.msgpack.encode(response)
+        self.config.sent_bytes += len(encoded)
+        self.send_message(encoded)
 
     def closed(self, conn: Connection, why: str) -> None:
+        """Tell the replica that this transfer has ended, so that it may serve another member."""
         self._timer.cancel()
-        self.config.givers.pop(self, None)
-        if self._serves and self.config.replica is not None:
-            self._serves = False
+        self.config.server_connections.pop(self, None)
+        if self._serving and self.config.replica is not None:
+            self._serving = False
             self.config.replica.served()
--- a/cherrygrade/fleet/runtime/config_exchange.py
+++ b/cherrygrade/fleet/runtime/config_exchange.py
@@ -1,8 +1,8 @@
-"""The configuration's sockets, timer and disk, of one dispatcher.
+"""The shared configuration at one dispatcher: its connections, timer and steps into force.
 
-Nothing is decided here: `config/replica.py` says what is believed, fetched, kept and put in force,
-`config/parts.py` when parts have moved. What goes into force is on disk before it does; a file that is torn
-is put aside, and the dispatcher serves on its own file and asks.
+The decisions are `config/replica.py`'s (what is believed, fetched, kept and put in force) and
+`config/joint_phase.py`'s (when quotas have moved); here their effects are carried out. What goes into force
+is on disk before it does.
 """
 
 from __future__ import annotations
@@ -10,49 +10,60 @@
 import asyncio
 from collections import deque
 from collections.abc import Awaitable, Callable
-from concurrent.futures import ThreadPoolExecutor
-from pathlib import Path
 from typing import Any
-from zlib import crc32
 
-import msgspec
-
-from cherrygrade.fleet.config.joint_phase import JointPhase, SeatedMember, seats
+from cherrygrade.fleet.config.joint_phase import JointPhase, seats
 from cherrygrade.fleet.config.replica import (
     ConfigReplica,
     FetchRequest,
     FetchResponse,
-    ReachableMember,
     ReplicaEffects,
-    StoredConfig,
 )
 from cherrygrade.fleet.config.versions import ConfigVersion
+from cherrygrade.fleet.consensus.voter import Voter
 from cherrygrade.fleet.membership.membership import Effects, MemberConfigReport, Membership
 from cherrygrade.fleet.membership.messages import ConfigAdvert
-from cherrygrade.fleet.membership.table import MemberState
-from cherrygrade.fleet.runtime.addresses import address
+from cherrygrade.fleet.runtime.addresses import parse_address
 from cherrygrade.fleet.runtime.config_connections import ConfigFetch, ConfigServer
+from cherrygrade.fleet.runtime.config_coverage import ConfigCoverage, MissingMember
+from cherrygrade.fleet.runtime.config_members import reachable_members, seated_members
+from cherrygrade.fleet.runtime.config_storage import ConfigStorage
 from cherrygrade.fleet.runtime.council_server import CouncilServer
-from cherrygrade.fleet.runtime.sealed_file import SealedFile, SealedFileError
 from cherrygrade.settings import CouncilSettings
 from cherrygrade.transport.connection import Connection
 
 InForce = Callable[[ConfigVersion, int], str | Awaitable[str]]
-"""Put a version in force at this stage: "", or why it is refused and all is as it was. Awaited where it is to
-be: reading a text takes tens of ms, for which RPCs need not wait."""
+"""Puts a version in force at a stage. Returns "", or why it is refused and all is as it was. The result is
+awaited where it can be: reading a text takes tens of ms, and RPCs need not wait for it."""
 
-LEAVE_S = 0.5  # for the disk, as this dispatcher leaves
-UNSURE_MS = 500.0  # who is not sure looks this often whom it may ask
-MOST_GIVERS = 16  # streams that ask for content, before any of them is told anything
-MOST_SAID = 4096  # members whose last word is remembered for people
-ASK_S = 0.35  # for the words of those that are missing, where a person asks
-MOST_ASKED = 50  # of them at once
-NEVER = 1e15
+UNSURE_INTERVAL_MS = 500.0  # between two looks for members to ask, while the replica is not sure
+MAX_SERVER_CONNECTIONS = 16  # members that fetch here at once
+MAX_REASON_CHARACTERS = 500
+MAX_STATUS_CHARACTERS = 120  # of this dispatcher's trouble, in messages to members
+MIN_TIMER_CHANGE_MS = 1.0
+NEVER_MS = 1e15
 
 
 class ConfigExchange:
-    """`fetches` and `givers` end by themselves or by time; `steps` are emptied as they are on disk and in
-    force; `said`: the last first-hand words, for people, the oldest go."""
+    """Keeps one dispatcher on the fleet's configuration.
+
+    Attributes:
+        fleet: The fleet's name.
+        core: This dispatcher's membership.
+        council: The council's settings.
+        clock: The time in ms.
+        log: Writes a line with an event and facts.
+        storage: Where the configuration is kept.
+        coverage: What members reported of themselves.
+        replica: The decisions; None before `start`.
+        council_server: None before `council_ready`.
+        fetches: Fetches that have not ended; each ends by itself or by its timeout.
+        server_connections: Members that fetch here; each ends likewise.
+        joint_phase: The quotas' move that this dispatcher, as the council's leader, is to settle.
+        fetched_bytes: Content received, in all.
+        sent_bytes: Content served, in all.
+        since: When the version in force came into force (ms).
+    """
 
     def __init__(
         self,
@@ -67,259 +78,260 @@
         post: Callable[[Effects], None],
         log: Callable[..., None],
     ) -> None:
-        """`file`: "" keeps it in memory alone. `source`: the address that streams go out from."""
-        self.fleet, self.core, self.council, self.clock, self.log = fleet, core, council, clock, log
-        self._source, self._seed, self._in_force, self._post = source, seed, in_force, post
-        self.file = SealedFile(Path(file)) if file else None
+        """Take the settings and callbacks; `start` loads what is kept.
+
+        Args:
+            fleet: The fleet's name.
+            core: This dispatcher's membership.
+            council: The council's settings.
+            file: Where the configuration is kept; "" for memory alone.
+            source: The IP address that connections are made from.
+            seed: Of random choices.
+            clock: Returns the time in ms.
+            in_force: Puts a version in force.
+            post: Sends the membership's effects.
+            log: Writes a line with an event and facts.
+        """
+        self.fleet = fleet
+        self.core = core
+        self.council = council
+        self.clock = clock
+        self.log = log
+        self.storage = ConfigStorage(file, log)
+        self.coverage = ConfigCoverage(core, seed, clock, post)
         self.replica: ConfigReplica | None = None
         self.council_server: CouncilServer | None = None
         self.fetches: dict[ConfigFetch, None] = {}
-        self.givers: dict[ConfigServer, None] = {}
-        self.said: dict[str, tuple[int, int, str, float]] = {}
-        self.settling: JointPhase | None = None
-        self._left = False  # it left before, and is not sure again
-        self.kept_why = "" if file else "kept in memory alone"
-        self.fetched_bytes = self.given_bytes = self.saves = 0
-        self.since = 0.0  # when the one in force came into force, by this machine's clock
-        self._settling_of = (0, 0)  # the term and the move that `settling` is of
-        self._learned = (-1, False)  # stage of the voter's log, and whether it leads with all of it
-        self._asked = 0
-        self._steps: deque[ReplicaEffects] = deque()
-        self._disk = ThreadPoolExecutor(1, "configuration disk")
-        self._work: asyncio.Task[None] | None = None
+        self.server_connections: dict[ConfigServer, None] = {}
+        self.joint_phase: JointPhase | None = None
+        self.fetched_bytes = 0
+        self.sent_bytes = 0
+        self.since = 0.0
+        self._source = source
+        self._seed = seed
+        self._in_force = in_force
+        self._post = post
+        self._has_left = False  # it left on purpose before this start, and is not sure again
+        self._joint_phase_of = (0, 0)  # the term, and the number of the version that began the move
+        self._learned = (-1, False)  # the stage of the voter's log, and whether the voter leads
+        self._unapplied: deque[ReplicaEffects] = deque()
+        self._applying: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_at = NEVER
-        self._shown: tuple[int, str] = (0, "")
+        self._timer_at_ms = NEVER_MS
 
-    # Life.
+    # Life cycle.
 
     async def start(self) -> None:
-        """What was kept goes into force, before anything is served."""
-        kept = await self._load()
+        """Put in force what was kept, before anything is served."""
+        stored = await self.storage.load()
         core, own = self.core, self.core.roll.own
-        zone = own.facts.zone if own.facts is not None else ""
-        left = self._left = self.file is not None and self.file.left
-        me = (core.name, zone, own.seat, core.record, self.council.voters, self._seed, self.clock())
-        replica = self.replica = ConfigReplica(*me, None if left else kept)
-        does = ReplicaEffects(force=(kept.version, kept.stage)) if kept is not None else ReplicaEffects()
-        if left and kept is not None:
-            # Parts may have been dealt out anew without one that left by its own word: it goes by what it
-            # kept, and is sure of it only once others said so.
-            does = replica.learned(kept.version, kept.stage, self.clock())
-        while does.force is not None:  # what was before it, where it is refused
-            version, stage = does.force
-            does = replica.forced(stage, await self._force(version, stage), self.clock())
-        self._do(does)
-        self._show()
-
-    async def _load(self) -> StoredConfig | None:
-        if self.file is None:
-            self.log("configuration is kept in memory alone", do="Name fleet.config_file to keep it.")
-            return None
-        loop = asyncio.get_running_loop()
-        try:
-            body = await loop.run_in_executor(self._disk, self.file.load)
-            return msgspec.msgpack.decode(body, type=StoredConfig) if body else None
-        except (SealedFileError, msgspec.MsgspecError, UnicodeDecodeError, OSError) as wrong:
-            try:
-                aside: object = await loop.run_in_executor(self._disk, self.file.put_aside)
-            except OSError as held:
-                aside = f"nowhere: {held}"
-            self.log(
-                "configuration torn",
-                what=str(wrong),
-                means="This dispatcher serves on its own file until it has the fleet's version again.",
-                aside=str(aside),
-            )
-            return None
-
-    def ready(self, council_server: CouncilServer) -> None:
-        """The agent's sockets are there."""
+        has_left = self._has_left = self.storage.has_left
+        replica = self.replica = ConfigReplica(
+            core.name,
+            own.facts.zone if own.facts is not None else "",
+            own.seat,
+            core.record,
+            self.council.voters,
+            self._seed,
+            self.clock(),
+            None if has_left else stored,
+        )
+        effects = ReplicaEffects()
+        if stored is not None:
+            effects = ReplicaEffects(force=(stored.version, stored.stage))
+        if has_left and stored is not None:
+            # The quotas may have been divided anew without a dispatcher that left on purpose: it uses what it
+            # kept, and is sure of it only once others confirmed it.
+            effects = replica.learned(stored.version, stored.stage, self.clock())
+        while effects.force is not None:  # where it is refused, the version before it is next
+            version, stage = effects.force
+            why = await self._put_in_force(version, stage)
+            effects = replica.forced(stage, why, self.clock())
+        self._apply_effects(effects)
+        self._advertise()
+
+    def council_ready(self, council_server: CouncilServer) -> None:
+        """Take the council's server, once it has started."""
         self.council_server = council_server
-        self.agreed()
-        self._set()
+        self.log_advanced()
+        self._set_timer()
 
     def leave(self) -> None:
-        """Before it is told to anybody: who left is passed over as parts settle."""
-        if self.file is not None:
-            try:
-                self._disk.submit(self.file.leave).result(LEAVE_S)
-            except (OSError, TimeoutError) as full:
-                self.log("configuration not kept", what=f"that this one leaves: {full}")
+        """Write down that this dispatcher leaves, before members are told: they settle moves without it."""
+        self.storage.record_leaving()
 
     def close(self) -> None:
+        """Cancel the timer, steps and connections."""
         if self._timer is not None:
             self._timer.cancel()
-        if self._work is not None:
-            self._work.cancel()
+        if self._applying is not None:
+            self._applying.cancel()
         for fetch in [*self.fetches]:
             fetch.close()
-        for giver in [*self.givers]:
-            giver.conn.close("dispatcher leaves")
-        self._disk.shutdown(wait=False)
+        for connection in [*self.server_connections]:
+            connection.conn.close("dispatcher leaves")
+        self.storage.close()
 
-    # What comes in.
+    # Events.
 
-    def heard(self, hints: list[MemberConfigReport]) -> None:
+    def reports_received(self, reports: list[MemberConfigReport]) -> None:
+        """Learn what members say of their configuration."""
         replica, now = self.replica, self.clock()
         if replica is None:
             return
-        for one in hints:
-            config, own = one.config, self.core.config
-            if one.first:
-                self._say(one, now)
-                does = replica.answered(one.name, config.stage, config.mark, now, one.nonce, config.bits)
-                if one.nonce and self.settling is not None:
-                    self.settling.answered(one.name, one.birth, config.stage, one.nonce)
-                    self._settle()
-            elif own is not None and (own.stage, own.mark) == (config.stage, config.mark) and not config.bits:
-                continue  # nothing new, and nothing to believe
+        for report in reports:
+            advert, own = report.config, self.core.config
+            if report.first:
+                self.coverage.report_received(report, now)
+                effects = replica.answered(
+                    report.name, advert.stage, advert.mark, now, report.nonce, advert.bits
+                )
+                if report.nonce and self.joint_phase is not None:
+                    self.joint_phase.answered(report.name, report.birth, advert.stage, report.nonce)
+                    self._settle_if_complete()
+            elif own is not None and (own.stage, own.mark) == (advert.stage, advert.mark) and not advert.bits:
+                continue  # it has what this dispatcher has: nothing to learn
             else:
-                does = replica.hint(one.name, config.stage, config.mark, now, config.bits)
-            self._do(does)
-        self._set()
+                effects = replica.hint(report.name, advert.stage, advert.mark, now, advert.bits)
+            self._apply_effects(effects)
+        self._set_timer()
 
-    def agreed(self) -> None:
-        """The voter's log may have come to more, and that is on its disk."""
-        voter, replica = self.council_server.voter if self.council_server is not None else None, self.replica
+    def log_advanced(self) -> None:
+        """Learn from this dispatcher's voter, whose log may have advanced and is on disk."""
+        voter = self.council_server.voter if self.council_server is not None else None
+        replica = self.replica
         if voter is None or replica is None:
             return
-        known = voter.books.versions
-        newest, told = known.newest, (known.stage, voter.leads)
-        if told != self._learned:
-            if newest is not None and told[0] > self._learned[0]:
-                self.log("configuration agreed", number=newest.number, stage=told[0], by=newest.by)
-            self._learned = told
-            self._do(replica.learned(newest, told[0], self.clock(), proven=voter.leads))
-            self._set()
-        of = (voter.raft.term, known.moving) if voter.raft.leads and known.moving else (0, 0)
-        if of != self._settling_of:
-            self._settling_of, self.settling = of, None
-            if of[1] and known.parts is not None and newest is not None and newest.old is not None:
-                count = seats(known.parts, newest.old)
-                self.settling = JointPhase(2 * of[1], count, self._seed, self.clock())
-            self._set()
-
-    def welcome(self, conn: Connection) -> ConfigServer | None:
-        if self.replica is None or len(self.givers) >= MOST_GIVERS:
+        log = voter.books.versions
+        newest = log.newest
+        learned = (log.stage, voter.leads)
+        if learned != self._learned:
+            if newest is not None and log.stage > self._learned[0]:
+                self.log("configuration agreed", number=newest.number, stage=log.stage, by=newest.by)
+            self._learned = learned
+            self._apply_effects(replica.learned(newest, log.stage, self.clock(), proven=voter.leads))
+            self._set_timer()
+        self._update_joint_phase(voter)
+
+    def _update_joint_phase(self, voter: Voter) -> None:
+        """Begin to settle a move as this dispatcher's voter leads, or drop it as it leads no more."""
+        log = voter.books.versions
+        phase_of = (voter.raft.term, log.moving) if voter.raft.leads and log.moving else (0, 0)
+        if phase_of == self._joint_phase_of:
+            return
+        self._joint_phase_of = phase_of
+        self.joint_phase = None
+        newest = log.newest
+        if phase_of[1] and log.parts is not None and newest is not None and newest.old is not None:
+            count = seats(log.parts, newest.old)
+            self.joint_phase = JointPhase(2 * phase_of[1], count, self._seed, self.clock())
+        self._set_timer()
+
+    def accept(self, conn: Connection) -> ConfigServer | None:
+        """Take the connection of a member that fetches; None where there are too many."""
+        if self.replica is None or len(self.server_connections) >= MAX_SERVER_CONNECTIONS:
             return None
-        giver = ConfigServer(self, conn)
-        self.givers[giver] = None
-        return giver
+        connection = ConfigServer(self, conn)
+        self.server_connections[connection] = None
+        return connection
 
-    def fetched(self, by: str, gave: FetchResponse, length: int) -> None:
+    def fetch_succeeded(self, member: str, response: FetchResponse, length: int) -> None:
+        """Take what a member served, `length` bytes on the wire."""
         self.fetched_bytes += length
         if self.replica is not None:
-            self._do(self.replica.fetched(by, gave, self.clock()))
-            self._set()
+            self._apply_effects(self.replica.fetched(member, response, self.clock()))
+            self._set_timer()
 
-    def unfetched(self, by: str, why: str) -> None:
+    def fetch_failed(self, member: str, why: str) -> None:
+        """Learn that a fetch ended without content."""
         if self.replica is not None:
-            self._do(self.replica.unfetched(by, why, self.clock()))
-            self._set()
-
-    # Time.
+            self._apply_effects(self.replica.unfetched(member, why, self.clock()))
+            self._set_timer()
 
-    def _beat(self) -> None:
-        self._timer, self._timer_at = None, NEVER
+    def _timer_due(self) -> None:
+        self._timer = None
+        self._timer_at_ms = NEVER_MS
         replica, now = self.replica, self.clock()
         if replica is None or self.core.silent:
             return
         if now >= replica.due() or not replica.sure:
-            self._do(replica.beat(self._near(), now))
-        if self.settling is not None and now >= self.settling.due():
-            for name, nonce in self.settling.beat(self._claims(), now):
-                if name == self.core.name:  # it needs no page to ask itself
-                    self.settling.answered(name, self.core.birth, replica.stage, nonce)
+            self._apply_effects(replica.beat(reachable_members(self.core.roll), now))
+        if self.joint_phase is not None and now >= self.joint_phase.due():
+            for name, nonce in self.joint_phase.beat(seated_members(self.core.roll), now):
+                if name == self.core.name:  # no message is needed to ask this dispatcher itself
+                    self.joint_phase.answered(name, self.core.birth, replica.stage, nonce)
                 else:
                     self._post(self.core.which(name, nonce))
-            self._settle()
-        self._set()
+            self._settle_if_complete()
+        self._set_timer()
 
-    def _settle(self) -> None:
-        settling = self.settling
-        if settling is not None and self.council_server is not None and settling.whole(self._claims()):
-            self.settling = None
-            self.log("configuration settled", number=self._settling_of[1])
-            self.council_server.settle(self._settling_of[1])
+    def _settle_if_complete(self) -> None:
+        phase = self.joint_phase
+        if phase is None or self.council_server is None or not phase.whole(seated_members(self.core.roll)):
+            return
+        self.joint_phase = None
+        number = self._joint_phase_of[1]
+        self.log("configuration settled", number=number)
+        self.council_server.settle(number)
 
-    def _set(self) -> None:
+    def _set_timer(self) -> None:
         if self.replica is None or self.council_server is None:
             return
         due = self.replica.due()
-        if not self.replica.sure:  # as it starts it knows nobody, and whoever comes may have nothing to tell
-            due = min(due, self.clock() + UNSURE_MS)
-        if self.settling is not None:
-            due = min(due, self.settling.due())
-        if due < self._timer_at - 1.0 and due < NEVER / 2.0:
+        if not self.replica.sure:
+            # At the start no member is known yet, and those that join may have nothing to tell.
+            due = min(due, self.clock() + UNSURE_INTERVAL_MS)
+        if self.joint_phase is not None:
+            due = min(due, self.joint_phase.due())
+        if due < self._timer_at_ms - MIN_TIMER_CHANGE_MS and due < NEVER_MS / 2.0:
             if self._timer is not None:
                 self._timer.cancel()
-            self._timer_at = due
-            at = max(due, self.clock() + 1.0) / 1000.0
-            self._timer = asyncio.get_running_loop().call_at(at, self._beat)
-
-    # What comes of it.
-
-    def _do(self, does: ReplicaEffects) -> None:
-        if self._steps or does.keep is not None or does.force is not None:
-            self._steps.append(does)
-            if self._work is None:
-                self._work = asyncio.get_running_loop().create_task(self._carry())
+            self._timer_at_ms = due
+            at_s = max(due, self.clock() + 1.0) / 1000.0
+            self._timer = asyncio.get_running_loop().call_at(at_s, self._timer_due)
+
+    # Effects.
+
+    def _apply_effects(self, effects: ReplicaEffects) -> None:
+        """Carry out effects: those that wait for disk or force one after the other, others at once."""
+        if self._unapplied or effects.keep is not None or effects.force is not None:
+            self._unapplied.append(effects)
+            if self._applying is None:
+                self._applying = asyncio.get_running_loop().create_task(self._apply_in_turn())
         else:
-            self._show()  # it may have become sure, or heard who else is on it
-            self._tell(does)
+            self._advertise()  # the replica may have become sure, or learned who else has the version
+            self._send_effects(effects)
 
-    async def _carry(self) -> None:
-        """One after the other: on disk, then in force, then told."""
+    async def _apply_in_turn(self) -> None:
+        """Carry out one after the other: on disk, then in force, then told to members."""
         try:
-            while self._steps:
-                does = self._steps[0]
-                why = await self._keep(does.keep) if does.keep is not None else ""
-                after = None
-                if does.force is not None and self.replica is not None:
-                    version, stage = does.force
-                    why = why or await self._force(version, stage)
-                    after = self.replica.forced(stage, why, self.clock())
-                self._steps.popleft()
-                self._show()
-                self._tell(does)
-                if after is not None:
-                    self._steps.appendleft(after)
+            while self._unapplied:
+                effects = self._unapplied[0]
+                why = await self.storage.save(effects.keep) if effects.keep is not None else ""
+                following = None
+                if effects.force is not None and self.replica is not None:
+                    version, stage = effects.force
+                    why = why or await self._put_in_force(version, stage)
+                    following = self.replica.forced(stage, why, self.clock())
+                self._unapplied.popleft()
+                self._advertise()
+                self._send_effects(effects)
+                if following is not None:
+                    self._unapplied.appendleft(following)
         finally:
-            self._work = None
-            self._set()
-
-    async def _keep(self, kept: StoredConfig) -> str:
-        """Why it may not go into force: an older one that can be neither replaced nor removed would come back
-        with the next start."""
-        file = self.file
-        if file is None:
-            return ""
-        loop = asyncio.get_running_loop()
-        try:
-            await loop.run_in_executor(self._disk, file.save, msgspec.msgpack.encode(kept))
-            self.saves += 1
-            self.kept_why = ""
-            return ""
-        except OSError as full:
-            self.kept_why = f"{file.file} takes nothing: {full.strerror or full}"
-            means = "It goes into force here and is asked for again after a restart."
-            self.log("configuration not kept", what=self.kept_why, means=means, do="Make room there.")
-        try:
-            await loop.run_in_executor(self._disk, file.remove)
-        except OSError as held:
-            return f"can't keep it: {held.strerror or held}"
-        return ""
+            self._applying = None
+            self._set_timer()
 
-    async def _force(self, version: ConfigVersion, stage: int) -> str:
+    async def _put_in_force(self, version: ConfigVersion, stage: int) -> str:
+        """Put a version in force; return why it is refused, or ""."""
         try:
-            told = self._in_force(version, stage)
-            why = told if isinstance(told, str) else await told
-        except Exception as broke:  # a text that breaks this program's reader is refused like any other
-            why = f"reading it failed: {type(broke).__name__}: {broke}"[:500]
+            result = self._in_force(version, stage)
+            why = result if isinstance(result, str) else await result
+        except Exception as error:  # a text that breaks its reader is refused like any other
+            why = f"reading it failed: {type(error).__name__}: {error}"[:MAX_REASON_CHARACTERS]
         if not why:
             self.since = self.clock()
-        if self.replica is not None:  # the fleet of record may be another now; bits go by its seats
+        if self.replica is not None:  # the version may have changed the fleet of record
             self.replica.seats = max(self.core.record, self.core.roll.own.seat + 1)
         facts = {"number": version.number, "stage": stage, "digest": version.digest.hex()[:16]}
         if why:
@@ -329,57 +341,37 @@
             self.log("configuration in force", by=version.by, since=self.since, **facts)
         return why
 
-    def _tell(self, does: ReplicaEffects) -> None:
-        core = self.core
-        for name, nonce in does.which:
-            self._post(core.which(name, nonce))
-        if does.push:
-            self._post(core.hint(does.push))
-        if does.fetch is not None:
-            self._fetch(*does.fetch)
-
-    def _fetch(self, by: str, wanted: FetchRequest) -> None:
-        fetch = ConfigFetch(self, by, wanted)
+    def _send_effects(self, effects: ReplicaEffects) -> None:
+        for name, nonce in effects.which:
+            self._post(self.core.which(name, nonce))
+        if effects.push:
+            self._post(self.core.hint(effects.push))
+        if effects.fetch is not None:
+            self._fetch(*effects.fetch)
+
+    def _fetch(self, name: str, request: FetchRequest) -> None:
+        fetch = ConfigFetch(self, name, request)
         self.fetches[fetch] = None
-        member = self.core.roll.members.get(by)
-        to = address(member.facts.place) if member is not None and member.facts is not None else None
+        member = self.core.roll.members.get(name)
+        to = parse_address(member.facts.place) if member is not None and member.facts is not None else None
         fetch.task = asyncio.get_running_loop().create_task(fetch.connect(to, self._source))
 
-    def _show(self) -> None:
-        """What pages say from now on."""
+    def _advertise(self) -> None:
+        """Put this dispatcher's stage and trouble into the messages to members."""
         replica = self.replica
-        if replica is not None:
-            here = replica.here()
-            self.core.config = ConfigAdvert(here.stage, here.mark, here.bits)
-            self.core.config_why = replica.status()[:120]
-            if self._left and replica.sure and self.file is not None:
-                self._left = False
-                self._disk.submit(self.file.leave, False)
-
-    # What it is told and tells.
-
-    def _near(self) -> list[ReachableMember]:
-        return [
-            ReachableMember(one.name, one.facts.zone, one.seat)
-            for one in self.core.roll.others()
-            if one.facts
-        ]
-
-    def _claims(self) -> list[SeatedMember]:
-        return [
-            SeatedMember(one.seat, one.name, one.birth, one.living, one.standing is MemberState.LEFT)
-            for one in self.core.roll
-            if one.facts is not None
-        ]
-
-    def _say(self, one: MemberConfigReport, now: float) -> None:
-        self.said.pop(one.name, None)
-        self.said[one.name] = (one.birth, one.config.stage, one.why, now)
-        while len(self.said) > MOST_SAID:
-            del self.said[next(iter(self.said))]
+        if replica is None:
+            return
+        own = replica.here()
+        self.core.config = ConfigAdvert(own.stage, own.mark, own.bits)
+        self.core.config_why = replica.status()[:MAX_STATUS_CHARACTERS]
+        if self._has_left and replica.sure and self.storage.file is not None:
+            self._has_left = False
+            self.storage.forget_leaving()
+
+    # For operators.
 
     def status(self) -> dict[str, Any]:
-        """What a person on call is shown, as this one knows it."""
+        """Return what `cherrygrade fleet status` shows, as this dispatcher knows it."""
         replica = self.replica
         if replica is None:
             return {}
@@ -393,63 +385,14 @@
             "since": self.since,
             "sure": replica.sure,
             "trouble": replica.status(),
-            "kept": self.kept_why or str(self.file.file if self.file is not None else ""),
+            "kept": self.storage.location,
             "fetched_bytes": self.fetched_bytes,
-            "given_bytes": self.given_bytes,
-            "saves": self.saves,
+            "given_bytes": self.sent_bytes,
+            "saves": self.storage.saves,
         }
 
-    async def missing(self, number: int) -> list[dict[str, Any]]:
-        """Who of the fleet of record is not known to have this version or a later one in force, and why.
-        Those
-        that live are asked for it now."""
-        replica = self.replica
-        if replica is None:
+    async def missing(self, number: int) -> list[MissingMember]:
+        """Return who of the fleet of record is not known to have a version or a later one in force."""
+        if self.replica is None:
             return []
-        here, loop = replica.here(), asyncio.get_running_loop()
-        bits = here.bits if here.stage >= 2 * number else b""
-        full = here.stage >= 2 * number and not here.bits
-        wanting = []
-        for one in self.core.roll.others():
-            seat = one.seat
-            on = full or (0 <= seat < 8 * len(bits) and bits[seat // 8] >> seat % 8 & 1)
-            if not on and self._stage(one.name, one.birth) < 2 * number:
-                wanting.append(one)
-        for one in wanting[:MOST_ASKED]:
-            self._asked += 1
-            nonce = crc32(f"{self._seed}:person:{self._asked}".encode())
-            self._post(self.core.which(one.name, nonce))
-        asked = self.clock()
-        if wanting:
-            await asyncio.sleep(ASK_S)
-        found = []
-        if here.stage < 2 * number:
-            found.append(self._lacks(self.core.name, replica.stage, replica.status(), number))
-        for one in wanting:
-            _, stage, why, at = self.said.get(one.name, (0, 0, "", -NEVER))
-            if self._stage(one.name, one.birth) >= 2 * number:
-                continue
-            if one.standing is MemberState.SUSPECT or (at < asked and one in wanting[:MOST_ASKED]):
-                why = "cut off: it gave no answer"
-            found.append(self._lacks(one.name, stage, why, number) | {"seat": one.seat})
-        living = {one.seat for one in self.core.roll.living()}
-        for one in self.core.roll.dead():
-            if 0 <= one.seat < self.core.record and one.seat not in living:
-                left = one.standing is MemberState.LEFT
-                since = round((loop.time() * 1000.0 - one.since) / 1000.0)
-                why = "left" if left else "dead, or cut off from here"
-                why = f"{why}, for {since} s"
-                found.append({"name": one.name, "seat": one.seat, "why": why, "lives": False})
-        known = living | {one.seat for one in self.core.roll.dead()}
-        for seat in range(self.core.record):
-            if seat not in known:
-                found.append({"name": "", "seat": seat, "why": "nobody of it is known here", "lives": False})
-        return found
-
-    def _stage(self, name: str, birth: int) -> int:
-        known = self.said.get(name)
-        return known[1] if known is not None and known[0] == birth else -1
-
-    def _lacks(self, name: str, stage: int, why: str, number: int) -> dict[str, Any]:
-        on = f"on version {stage // 2}" if stage > 1 else "on its own file"
-        return {"name": name, "seat": -1, "why": f"{why or 'late'}; {on}", "lives": True}
+        return await self.coverage.missing(number, self.replica)
--- a/cherrygrade/fleet/runtime/config_judge.py
+++ b/cherrygrade/fleet/runtime/config_judge.py
@@ -1,29 +1,38 @@
-"""Judges the text of a proposed configuration before the council takes it."""
+"""Judges the text of a proposed configuration before the council's log takes it."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from cherrygrade.fleet.config.versions import QuotaDivisors, difference
-from cherrygrade.fleet.consensus.voter import (
-    ConfigVerdict,
-)
+from cherrygrade.fleet.consensus.voter import ConfigVerdict
+
+MAX_REASON_CHARACTERS = 500
 
 Judge = Callable[[str, str], tuple[str, QuotaDivisors | None, QuotaDivisors | None]]
-"""Of the texts before and after a change: why it is refused, or "" and the divisors of the site that comes of
-it and of the one before. Blocking; it may touch nothing of the dispatcher's."""
+"""Given the texts before and after a change: why it is refused, or "" and the quota divisors of the settings
+after and before it. It blocks and runs in a thread: it may touch nothing of the dispatcher's."""
+
+
+def judge_text(judge: Judge | None, before: str, text: str) -> ConfigVerdict:
+    """Judge the change from one configuration text to another.
 
+    Reading a text takes long: run this in a thread, so that RPCs need not wait.
 
-def judged(judge: Judge | None, before: str, text: str) -> ConfigVerdict:
-    """In a thread of its own: RPCs do not wait for a text to be read."""
+    Args:
+        judge: What reads the texts; None where this dispatcher takes no configuration, and refuses all.
+        before: The text of the newest version, "" where there is none.
+        text: The proposed text.
+    """
     if judge is None:
         return ConfigVerdict("this dispatcher takes no configuration")
     try:
         why, parts, old = judge(before, text)
-    except Exception as broke:  # whatever reads it: a text that breaks it is refused, and nothing else is
-        return ConfigVerdict(f"reading it failed: {type(broke).__name__}: {broke}"[:500])
+    except Exception as error:  # a text that breaks the reader is refused; the voter must go on
+        reason = f"reading it failed: {type(error).__name__}: {error}"
+        return ConfigVerdict(reason[:MAX_REASON_CHARACTERS])
     if why or parts is None:
         return ConfigVerdict(why or "no site comes of it")
     hunks = difference(before, text)
-    short = sum(len(one) for hunk in hunks for one in hunk.lines) < len(text)
-    return ConfigVerdict("", parts, old, hunks if short and before else None)
+    hunks_are_shorter = sum(len(line) for hunk in hunks for line in hunk.lines) < len(text)
+    return ConfigVerdict("", parts, old, hunks if hunks_are_shorter and before else None)
--- /dev/null
+++ b/cherrygrade/fleet/runtime/config_members.py
@@ -0,0 +1,31 @@
+"""The membership, as the decisions on the configuration take it."""
+
+from __future__ import annotations
+
+from cherrygrade.fleet.config.joint_phase import SeatedMember
+from cherrygrade.fleet.config.replica import ReachableMember
+from cherrygrade.fleet.membership.table import MembershipTable, MemberState
+
+
+def reachable_members(table: MembershipTable) -> list[ReachableMember]:
+    """Return the other living members whose address is known."""
+    return [
+        ReachableMember(member.name, member.facts.zone, member.seat)
+        for member in table.others()
+        if member.facts
+    ]
+
+
+def seated_members(table: MembershipTable) -> list[SeatedMember]:
+    """Return all members, dead ones among them, whose seat is known."""
+    return [
+        SeatedMember(
+            member.seat,
+            member.name,
+            member.birth,
+            member.living,
+            member.standing is MemberState.LEFT,
+        )
+        for member in table
+        if member.facts is not None
+    ]
--- a/cherrygrade/fleet/runtime/council_connections.py
+++ b/cherrygrade/fleet/runtime/council_connections.py
@@ -1,115 +1,122 @@
-"""Connections that carry the council's messages between voters and members."""
+"""Connections that carry the council's messages between voters and members.
+
+Each message is one byte that says its kind, and a msgpack body.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from collections import deque
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, ClassVar
 
 import msgspec
 
+from cherrygrade.fleet.runtime.framed_connection import FramedConnection
 from cherrygrade.transport.connection import Connection
-from cherrygrade.wire.messages import VERSION, Bye, Hello, Members, Welcome
+from cherrygrade.wire.messages import VERSION, Hello
 
 if TYPE_CHECKING:
     from cherrygrade.fleet.runtime.council_server import CouncilServer
 
-PART = 8192  # of a word in one frame
-MOST_WORD = 32 * 1024 * 1024  # a snapshot in frames
-MOST_QUEUED = 256  # words to a peer that is not connected; the oldest go: Raft says them again
-CONNECT_S, AGAIN_S = 1.0, 0.1
+RAFT_MESSAGE = b"r"  # between voters
+REQUEST = b"q"  # of a member, to a voter
+REPLY = b"n"  # of a voter, to the member
+JOIN_REQUEST = b"j"  # of a dispatcher that should be a voter and whose store is not one's
+
+MAX_MESSAGE_BYTES = 32 * 1024 * 1024  # a Raft snapshot
+MAX_QUEUED_MESSAGES = 256  # to a peer that is not connected; the oldest are dropped, Raft sends them again
+CONNECT_TIMEOUT_S = 1.0
+RECONNECT_DELAY_S = 0.1
+
 _encode = msgspec.msgpack.Encoder().encode
 
 
-class CouncilConnection:
-    """One connection for the council's words, made here (`to`) or there. Words come in frames."""
+class CouncilConnection(FramedConnection):
+    """The connection to one voter, made when the first message to it is sent.
+
+    Attributes:
+        name: The voter at the other end.
+        queue: Encoded messages that wait for the connection.
+        ready: Whether messages can be sent now.
+        connecting: Whether a connection is being made.
+        task: Makes the connection; cancelled by the server when it closes.
+    """
 
-    def __init__(self, council_server: CouncilServer, name: str = "") -> None:
-        self.council_server, self.name = council_server, name
-        self.conn = Connection(self, 0)
-        self.queue: deque[bytes] = deque(maxlen=MOST_QUEUED)
-        self.ready = self.connecting = False
-        self._within = bytearray()
+    max_message_bytes: ClassVar[int] = MAX_MESSAGE_BYTES
+    purpose: ClassVar[str] = "in council"
+
+    def __init__(self, council_server: CouncilServer, name: str, conn: Connection | None = None) -> None:
+        super().__init__(conn)
+        self.council_server = council_server
+        self.name = name
+        self.queue: deque[bytes] = deque(maxlen=MAX_QUEUED_MESSAGES)
+        self.ready = False
+        self.connecting = False
         self.task: asyncio.Task[None] | None = None
 
-    # To a voter.
+    def send(self, kind: bytes, body: Any) -> None:
+        """Send one message now, or once connected.
 
-    def say(self, kind: bytes, word: Any) -> None:
-        data = kind + _encode(word)
+        Args:
+            kind: RAFT_MESSAGE, REQUEST, REPLY or JOIN_REQUEST.
+            body: What msgpack can encode.
+        """
+        message = kind + _encode(body)
         if self.ready:
-            self._send(data)
+            self.send_message(message)
             return
-        self.queue.append(data)
+        self.queue.append(message)
         if not self.connecting:
             self.connecting = True
             self.task = asyncio.get_running_loop().create_task(self._connect())
 
     async def _connect(self) -> None:
         try:
-            to = self.council_server.place(self.name)
+            to = self.council_server.address_of(self.name)
             if to is None:
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(RECONNECT_DELAY_S)
                 return
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 loop = asyncio.get_running_loop()
                 host = self.council_server.source
                 await loop.create_connection(lambda: self.conn, *to, local_addr=(host, 0))
-        except OSError:
-            await asyncio.sleep(AGAIN_S)
+        except OSError:  # the voter is down or cut off; the next message to it tries again
+            await asyncio.sleep(RECONNECT_DELAY_S)
         finally:
             self.connecting = False
             if not self.conn.open:
-                self.council_server.lost(self)
+                self.council_server.connection_lost(self)
 
-    def _send(self, data: bytes) -> None:
-        self.council_server.said_bytes += len(data)
-        for at in range(0, len(data), PART):
-            self.conn.send(Members(data[at : at + PART], at + PART >= len(data)))
+    def send_message(self, message: bytes) -> None:
+        """Send one encoded message over the open connection."""
+        self.council_server.sent_bytes += len(message)
+        super().send_message(message)
 
-    # What the connection tells.
+    def message_received(self, message: bytes) -> None:
+        """Hand one message to the server."""
+        self.council_server.message_received(self, message)
 
     def connected(self, conn: Connection) -> None:
-        fleet = self.council_server.fleet
-        conn.send(Hello(VERSION, "council", self.council_server.name, [fleet]))
+        """Introduce this dispatcher, then send what waits."""
+        conn.send(Hello(VERSION, "council", self.council_server.name, [self.council_server.fleet]))
         self.ready = True
         while self.queue:
-            self._send(self.queue.popleft())
-
-    def room(self, conn: Connection, message: Any, length: int) -> None:
-        return None
-
-    def frame(self, conn: Connection, message: Any, body: object) -> None:
-        if isinstance(message, Members):
-            self.part(message)
-        elif not isinstance(message, Welcome | Bye):
-            conn.close(f"unexpected {type(message).__name__} in council")
-
-    def part(self, message: Members) -> None:
-        self._within += message.payload
-        if len(self._within) > MOST_WORD:
-            self.conn.close("a word without end")
-        elif message.last:
-            data, self._within = bytes(self._within), bytearray()
-            try:
-                self.council_server.came(self, data)
-            except (msgspec.MsgspecError, UnicodeDecodeError):
-                self.conn.close("a word that can't be read")
-
-    def writable(self, conn: Connection) -> None:
-        pass
+            self.send_message(self.queue.popleft())
 
     def closed(self, conn: Connection, why: str) -> None:
+        """Take the connection off the server's; a later message makes another."""
         self.ready = False
-        self.council_server.lost(self)
+        self.council_server.connection_lost(self)
 
 
 class CouncilClientConnection(CouncilConnection):
-    """One that came in: the agent's stream hands its frames on."""
+    """A connection that a member or voter made to here; its `PeerStream` passes the frames on."""
 
     def __init__(self, council_server: CouncilServer, conn: Connection, name: str) -> None:
-        super().__init__(council_server, name)
-        self.conn, self.ready = conn, True
+        super().__init__(council_server, name, conn)
+        self.ready = True
 
-    def say(self, kind: bytes, word: Any) -> None:
-        if self.ready:  # else it has gone, and asks again if it wants to know
-            self._send(kind + _encode(word))
+    def send(self, kind: bytes, body: Any) -> None:
+        """Send one message; it is dropped where the connection has ended: the member asks again."""
+        if self.ready:
+            self.send_message(kind + _encode(body))
--- a/cherrygrade/fleet/runtime/council_server.py
+++ b/cherrygrade/fleet/runtime/council_server.py
@@ -1,8 +1,8 @@
-"""The council's sockets and disk: words between voters, asks of any member, one timer.
+"""The council's sockets, disk and timer at one dispatcher, which may be a voter or not.
 
-Nothing is decided here: `council/voter.py` and `leases/holding.py` do. A step's writes are on disk before
-anything else of it, or of a later one, leaves; they are made by a thread of their own: RPCs do not wait
-for a disk. Where it takes nothing this voter is none any more.
+The decisions are `consensus/voter.py`'s; here its effects are carried out. What a step writes is on disk
+before any message of that step or a later one is sent. A thread of its own writes, so that RPCs do not wait
+for a disk. Where the disk can't be written, this dispatcher votes no more.
 """
 
 from __future__ import annotations
@@ -28,28 +28,51 @@
     Voter,
     VoterEffects,
 )
-from cherrygrade.fleet.errors import CouncilUnreachableError, VoterStoppedError
-from cherrygrade.fleet.runtime.addresses import address
-from cherrygrade.fleet.runtime.config_judge import Judge, judged
-from cherrygrade.fleet.runtime.council_connections import CouncilClientConnection, CouncilConnection
+from cherrygrade.fleet.errors import VoterStoppedError
+from cherrygrade.fleet.runtime.addresses import parse_address
+from cherrygrade.fleet.runtime.config_judge import Judge, judge_text
+from cherrygrade.fleet.runtime.council_client import CouncilClient
+from cherrygrade.fleet.runtime.council_connections import (
+    JOIN_REQUEST,
+    RAFT_MESSAGE,
+    REPLY,
+    REQUEST,
+    CouncilClientConnection,
+    CouncilConnection,
+)
+from cherrygrade.fleet.runtime.voter_status import voter_status
 from cherrygrade.fleet.runtime.voter_store import VoterStore, open_store
 from cherrygrade.settings import CouncilSettings
 from cherrygrade.transport.connection import Connection
 
-MOST_GUESTS = 512
-AGAIN_S = 0.1
-ASK_S = 1.0  # for an answer of one voter, before another is asked
-LET_IN_MS = 1000.0  # between two asks of a voter without a vote
-MOST_JUDGING = 16  # changes of the configuration at once
+MAX_CLIENT_CONNECTIONS = 512
+MAX_JUDGING = 16  # changes of the configuration at once
+JOIN_INTERVAL_MS = 1000.0  # between two requests to be admitted as a voter
 
-_word = msgspec.msgpack.Decoder(raft.AnyRaftMessage)
-_ask = msgspec.msgpack.Decoder(AnyRequest)
-_answer = msgspec.msgpack.Decoder(AnyReply)
+_raft_decoder = msgspec.msgpack.Decoder(raft.AnyRaftMessage)
+_request_decoder = msgspec.msgpack.Decoder(AnyRequest)
+_reply_decoder = msgspec.msgpack.Decoder(AnyReply)
 
 
 class CouncilServer:
-    """`lines` by voter, `guests` while they stay, `asks` until they are answered or their time is up;
-    `judging` by an ask's id, while its text is looked at."""
+    """Connects one dispatcher to the council, and runs its voter where the settings name it as one.
+
+    Attributes:
+        council: The council's settings.
+        fleet: The fleet's name.
+        name: This dispatcher's name.
+        birth: When this dispatcher started (Unix ms).
+        source: The IP address that connections are made from.
+        clock: The time in ms.
+        voter: None where this dispatcher does not vote, or no more.
+        store: The voter's, while it votes.
+        client: The requests of this dispatcher to the leader.
+        voter_connections: To other voters, by name; one that ended is taken out.
+        client_connections: Made by others to here, while they last.
+        judging: Changes whose text is being judged, by request id.
+        sent_bytes: Of messages, in all.
+        store_writes: Steps that wrote to the store, in all.
+    """
 
     def __init__(
         self,
@@ -60,308 +83,302 @@
         seed: int,
         source: str,
         clock: Callable[[], float],
-        whereabouts: Callable[[str], str | None],
+        find_address: Callable[[str], str | None],
         log: Callable[..., None],
         judge: Judge | None = None,
-        agreed: Callable[[], None] = lambda: None,
+        log_advanced: Callable[[], None] = lambda: None,
     ) -> None:
-        """`agreed` is told whenever the log may have come to more, after that is on disk."""
-        self._judge, self._agreed = judge, agreed
-        self.judging: dict[str, asyncio.Task[None]] = {}
-        self._judges = ThreadPoolExecutor(1, "configuration judge")
-        self.council, self.fleet, self.name, self.birth = council, fleet, name, birth
-        self.source, self.clock, self._whereabouts, self._log = source, clock, whereabouts, log
-        self._seed = seed
+        """Take the settings and callbacks; `start` opens the store.
+
+        Args:
+            council: The council's settings.
+            fleet: The fleet's name.
+            name: This dispatcher's name.
+            birth: When this dispatcher started (Unix ms).
+            seed: Of the voter's random choices.
+            source: The IP address that connections are made from.
+            clock: Returns the time in ms.
+            find_address: Returns a dispatcher's `IP:PORT` by its name, None where it is not known.
+            log: Writes a line with an event and facts.
+            judge: Reads the texts of proposed configurations; None refuses all.
+            log_advanced: Called whenever the council's log may have advanced, after that is on disk.
+        """
+        self.council = council
+        self.fleet = fleet
+        self.name = name
+        self.birth = birth
+        self.source = source
+        self.clock = clock
         self.voter: Voter | None = None
         self.store: VoterStore | None = None
-        self.lines: dict[str, CouncilConnection] = {}
-        self.guests: dict[CouncilClientConnection, None] = {}
-        self.asks: dict[str, asyncio.Future[AnyReply]] = {}
-        self.leader = ""
-        self.said_bytes = self.writes = 0
-        self._turn = 0
-        self._timer: asyncio.TimerHandle | None = None
-        self._let_in_at = 0.0
-        self._led = ""
-        self._disk = ThreadPoolExecutor(1, "council disk")
-        self._steps: deque[tuple[VoterEffects, int]] = deque()  # not on disk yet; emptied as they are
+        self.client = CouncilClient(council.voters, self._send_request)
+        self.voter_connections: dict[str, CouncilConnection] = {}
+        self.client_connections: dict[CouncilClientConnection, None] = {}
+        self.judging: dict[str, asyncio.Task[None]] = {}
+        self.sent_bytes = 0
+        self.store_writes = 0
+        self._seed = seed
+        self._find_address = find_address
+        self._log = log
+        self._judge = judge
+        self._log_advanced = log_advanced
+        self._judge_thread = ThreadPoolExecutor(1, "configuration judge")
+        self._disk_thread = ThreadPoolExecutor(1, "council disk")
+        self._unwritten: deque[tuple[VoterEffects, int]] = deque()  # effects, and the log's last index
         self._writing: asyncio.Task[None] | None = None
+        self._timer: asyncio.TimerHandle | None = None
+        self._next_join_ms = 0.0
+        self._logged_leader = ""
 
     async def start(self) -> None:
-        """Opens the store, where this one votes; one that can't be trusted is put aside."""
+        """Open the store where this dispatcher votes; one that can't be trusted is put aside."""
         if self.name not in self.council.voters:
             return
+        folder = Path(self.council.folder)
+        loop = asyncio.get_running_loop()
         try:
-            place = (Path(self.council.folder), self.fleet, self.name, self.birth)
-            loop = asyncio.get_running_loop()
-            self.store, stored, trouble = await loop.run_in_executor(self._disk, open_store, *place)
-        except (OSError, lmdb.Error) as wrong:
-            self._stop(wrong)
+            store, stored, trouble = await loop.run_in_executor(
+                self._disk_thread, open_store, folder, self.fleet, self.name, self.birth
+            )
+        except (OSError, lmdb.Error) as error:
+            self._stop_voting(error)
             return
+        self.store = store
         if trouble:
             self._log("council store put aside", why=trouble)
-        self._begin(stored)
+        self._start_voting(store, stored)
 
-    def _begin(self, stored: PersistentState) -> None:
-        assert self.store is not None
+    def _start_voting(self, store: VoterStore, stored: PersistentState) -> None:
         self.voter = Voter(
-            self.store.me, stored, self.council.voters, self._seed, self.clock(), self.council.drift
+            store.voter_id, stored, self.council.voters, self._seed, self.clock(), self.council.drift
+        )
+        votes = store.voter_id in self.voter.raft.voters
+        self._log(
+            "voter started", me=store.voter_id, term=stored.term, last=self.voter.raft.last, votes=votes
         )
-        votes = self.store.me in self.voter.raft.voters
-        self._log("council", me=self.store.me, term=stored.term, last=self.voter.raft.last, votes=votes)
-        self._set()
+        self._set_timer()
 
     def close(self) -> None:
+        """Close all connections, cancel what waits, and close the store behind the last write."""
         if self._timer is not None:
             self._timer.cancel()
-        for line in [*self.lines.values(), *self.guests]:
-            if line.task is not None:
-                line.task.cancel()
-            line.conn.close("dispatcher leaves")
-        for held in self.asks.values():
-            held.cancel()
+        for connection in [*self.voter_connections.values(), *self.client_connections]:
+            if connection.task is not None:
+                connection.task.cancel()
+            connection.conn.close("dispatcher leaves")
+        self.client.close()
         for task in [*self.judging.values()]:
             task.cancel()
-        self._judges.shutdown(wait=False, cancel_futures=True)
+        self._judge_thread.shutdown(wait=False, cancel_futures=True)
         if self._writing is not None:
             self._writing.cancel()
-        self._shut()
+        self._close_store()
 
-    def _shut(self) -> None:
-        """The store, behind what is being written."""
+    def _close_store(self) -> None:
         store, self.store = self.store, None
         if store is not None:
-            self._disk.submit(store.close)
-        self._disk.shutdown(wait=False)
+            self._disk_thread.submit(store.close)  # behind what is being written
+        self._disk_thread.shutdown(wait=False)
 
     def status(self) -> dict[str, Any]:
-        """What a person on call is shown; as this one knows it, which may be old where it does not lead."""
-        voter = self.voter
-        told: dict[str, Any] = {"leader": self.leader, "votes": False, "leases": []}
-        told |= {"said_bytes": self.said_bytes, "writes": self.writes}
-        if voter is not None and self.store is not None:
-            known, now = voter.raft, self.clock()
-            leads = known.leads
-            told |= {
-                "leader": voter.leader,
-                "me": self.store.me,
-                "votes": self.store.me in known.voters,
-                "voters": [*known.voters],
-                "term": known.term,
-                "agreed": known.agreed,
-                "leases": [
-                    {
-                        "task": one.task,
-                        "holder": one.holder,
-                        "number": one.number,
-                        "left_ms": round(voter.count.ends(one) - now) if leads else None,
-                    }
-                    for one in voter.books.leases.leases.values()
-                ],
-                "failed": {task: [one.times, one.why] for task, one in voter.books.leases.failed.items()},
-            }
-        return told
-
-    def place(self, name: str) -> tuple[str, int] | None:
-        found = self._whereabouts(name)
-        return address(found) if found is not None else None
-
-    # What sockets bring.
-
-    def welcome(self, conn: Connection, name: str) -> CouncilClientConnection | None:
-        if len(self.guests) >= MOST_GUESTS:
+        """Return what `cherrygrade fleet status` shows; it may be old where this voter does not lead."""
+        status: dict[str, Any] = {"leader": self.client.leader, "votes": False, "leases": []}
+        status |= {"said_bytes": self.sent_bytes, "writes": self.store_writes}
+        if self.voter is not None and self.store is not None:
+            status |= voter_status(self.voter, self.store.voter_id, self.clock())
+        return status
+
+    def address_of(self, name: str) -> tuple[str, int] | None:
+        """Return where a dispatcher listens, None where that is not known."""
+        found = self._find_address(name)
+        return parse_address(found) if found is not None else None
+
+    async def request(self, request: AnyRequest, timeout_s: float) -> AnyReply:
+        """Return the leader's reply to a request.
+
+        Raises:
+            CouncilUnreachableError: None came in time; the request may have been carried out all the same.
+        """
+        return await self.client.request(request, timeout_s)
+
+    def _send_request(self, request: AnyRequest, name: str) -> None:
+        if name == self.name and self.voter is not None:
+            self._request_received(self.voter, request, None)
+        else:
+            self._connection_to(name).send(REQUEST, request)
+
+    # Connections.
+
+    def accept(self, conn: Connection, name: str) -> CouncilClientConnection | None:
+        """Take a connection that was made to here; None where there are too many."""
+        if len(self.client_connections) >= MAX_CLIENT_CONNECTIONS:
             return None
-        guest = CouncilClientConnection(self, conn, name)
-        self.guests[guest] = None
-        return guest
-
-    def lost(self, line: CouncilConnection) -> None:
-        if isinstance(line, CouncilClientConnection):
-            self.guests.pop(line, None)
-        elif self.lines.get(line.name) is line:
-            del self.lines[line.name]
-
-    def came(self, line: CouncilConnection, data: bytes) -> None:
-        kind, body = data[:1], data[1:]
-        if kind == b"n":
-            self._answered(_answer.decode(body))
+        connection = CouncilClientConnection(self, conn, name)
+        self.client_connections[connection] = None
+        return connection
+
+    def connection_lost(self, connection: CouncilConnection) -> None:
+        """Forget a connection that ended, or that was not made."""
+        if isinstance(connection, CouncilClientConnection):
+            self.client_connections.pop(connection, None)
+        elif self.voter_connections.get(connection.name) is connection:
+            del self.voter_connections[connection.name]
+
+    def _connection_to(self, name: str) -> CouncilConnection:
+        connection = self.voter_connections.get(name)
+        if connection is None:
+            connection = self.voter_connections[name] = CouncilConnection(self, name)
+        return connection
+
+    # Events.
+
+    def message_received(self, connection: CouncilConnection, message: bytes) -> None:
+        """Act on one message.
+
+        Raises:
+            msgspec.MsgspecError: It is of no known kind, or its body can't be decoded.
+            UnicodeDecodeError: Likewise.
+        """
+        kind, body = message[:1], message[1:]
+        if kind == REPLY:
+            self.client.reply_received(_reply_decoder.decode(body))
             return
-        if kind not in (b"r", b"q", b"j"):
+        if kind not in (RAFT_MESSAGE, REQUEST, JOIN_REQUEST):
             raise msgspec.DecodeError("no such word")
         voter, now = self.voter, self.clock()
         if voter is None:
-            if kind == b"q":
-                line.say(b"n", NotLeader(_ask.decode(body).id, "", "this one does not vote"))
-        elif kind == b"r":
-            self._do(voter.hear(_word.decode(body), now))
-        elif kind == b"q":
-            self._asked(voter, _ask.decode(body), line)
+            if kind == REQUEST:
+                request_id = _request_decoder.decode(body).id
+                connection.send(REPLY, NotLeader(request_id, "", "this one does not vote"))
+        elif kind == RAFT_MESSAGE:
+            self._apply_effects(voter.hear(_raft_decoder.decode(body), now))
+        elif kind == REQUEST:
+            self._request_received(voter, _request_decoder.decode(body), connection)
         else:
-            self._do(voter.let_in(msgspec.msgpack.decode(body, type=str), now))
-
-    def _asked(self, voter: Voter, ask: AnyRequest, by: CouncilConnection | None) -> None:
-        if not (isinstance(ask, PutConfig) and voter.raft.leads):
-            self._do(voter.ask(ask, by, self.clock()))
-        elif ask.id not in self.judging:  # else it is asked again, and the first answer is on its way
-            if len(self.judging) >= MOST_JUDGING:
-                does = VoterEffects(answers=[(by, NotLeader(ask.id, "", "too many changes at once"))])
-                self._do(does)
-                return
-            task = asyncio.get_running_loop().create_task(self._put_judged(ask, by))
-            self.judging[ask.id] = task
-
-    async def _put_judged(self, ask: PutConfig, by: CouncilConnection | None) -> None:
+            self._apply_effects(voter.let_in(msgspec.msgpack.decode(body, type=str), now))
+
+    def _request_received(
+        self, voter: Voter, request: AnyRequest, connection: CouncilConnection | None
+    ) -> None:
+        """Hand a request to the voter; `connection` is None where this dispatcher itself asks."""
+        if not (isinstance(request, PutConfig) and voter.raft.leads):
+            self._apply_effects(voter.ask(request, connection, self.clock()))
+            return
+        if request.id in self.judging:
+            return  # a retry: the reply to the first attempt is on its way
+        if len(self.judging) >= MAX_JUDGING:
+            refusal = NotLeader(request.id, "", "too many changes at once")
+            self._apply_effects(VoterEffects(answers=[(connection, refusal)]))
+            return
+        put = self._judge_and_put(request, connection)
+        self.judging[request.id] = asyncio.get_running_loop().create_task(put)
+
+    async def _judge_and_put(self, request: PutConfig, connection: CouncilConnection | None) -> None:
         voter = self.voter
         try:
             assert voter is not None
             newest = voter.books.versions.newest
             before = newest.text if newest is not None else ""
             loop = asyncio.get_running_loop()
-            found = await loop.run_in_executor(self._judges, judged, self._judge, before, ask.text)
-            if newest is not None and newest.number != ask.based_on:
-                found = ConfigVerdict(
-                    found.why, found.parts, found.old
-                )  # refused by the log, whose word it is
+            verdict = await loop.run_in_executor(
+                self._judge_thread, judge_text, self._judge, before, request.text
+            )
+            if newest is not None and newest.number != request.based_on:
+                # The difference is against another text than the change's; the log refuses the change.
+                verdict = ConfigVerdict(verdict.why, verdict.parts, verdict.old)
             if self.voter is voter:
-                self._do(voter.put(ask, found, by, self.clock()))
+                self._apply_effects(voter.put(request, verdict, connection, self.clock()))
         finally:
-            self.judging.pop(ask.id, None)
+            self.judging.pop(request.id, None)
 
     def settle(self, number: int) -> None:
-        """All of record use the smaller parts of the move that began with this version."""
+        """Tell the council that all dispatchers use the joint quotas of this version's move."""
         if self.voter is not None:
-            self._do(self.voter.settle(number, self.clock()))
+            self._apply_effects(self.voter.settle(number, self.clock()))
 
-    def _beat(self) -> None:
+    def _timer_due(self) -> None:
         self._timer = None
         if self.voter is None:
             return
         now = self.clock()
-        if now >= self._let_in_at and self._outside:
-            self._let_in_at = now + LET_IN_MS
+        if now >= self._next_join_ms and self._must_join:
+            self._next_join_ms = now + JOIN_INTERVAL_MS
             for name in self.council.voters:
                 if name != self.name:
-                    self._line(name).say(b"j", self.voter.raft.me)
-        self._do(self.voter.tick(now))
+                    self._connection_to(name).send(JOIN_REQUEST, self.voter.raft.me)
+        self._apply_effects(self.voter.tick(now))
 
     @property
-    def _outside(self) -> bool:
-        """It would vote, and its store is no voter's."""
+    def _must_join(self) -> bool:
+        """Whether the settings name this dispatcher as a voter and the council does not count its store."""
         return self.voter is not None and self.voter.raft.me not in self.voter.raft.voters
 
-    def _do(self, does: VoterEffects) -> None:
+    def _set_timer(self) -> None:
+        if self.voter is None:
+            return
+        if self._timer is not None:
+            self._timer.cancel()
+        due = min(self.voter.due(), self._next_join_ms) if self._must_join else self.voter.due()
+        at_s = max(due, self.clock()) / 1000.0
+        self._timer = asyncio.get_running_loop().call_at(at_s, self._timer_due)
+
+    # Effects.
+
+    def _apply_effects(self, effects: VoterEffects) -> None:
+        """Carry out one step's effects, after those of all steps before it."""
         voter = self.voter
         assert voter is not None
-        self._steps.append((does, voter.raft.last))
+        self._unwritten.append((effects, voter.raft.last))
         if self._writing is None:
-            if any(step.writes for step in does.steps):
-                self._writing = asyncio.get_running_loop().create_task(self._write())
+            if any(step.writes for step in effects.steps):
+                self._writing = asyncio.get_running_loop().create_task(self._write_and_send())
             else:
-                self._steps.clear()
-                self._leave(does)
-        self._set()
+                self._unwritten.clear()
+                self._send_effects(effects)
+        self._set_timer()
 
-    async def _write(self) -> None:
-        """One step after the other: what comes behind one waits for it, whether it writes or not."""
+    async def _write_and_send(self) -> None:
+        """Carry out steps one after the other: a step that writes nothing waits for those before it too."""
         loop = asyncio.get_running_loop()
         try:
-            while self._steps and self.store is not None:
-                does, last = self._steps[0]
-                if any(step.writes for step in does.steps):
-                    await loop.run_in_executor(self._disk, self._put, self.store, does, last)
-                self._steps.popleft()
-                self._leave(does)
-        except (OSError, lmdb.Error) as wrong:  # nothing that rests on it may leave
-            self._stop(wrong)
+            while self._unwritten and self.store is not None:
+                effects, last_index = self._unwritten[0]
+                if any(step.writes for step in effects.steps):
+                    await loop.run_in_executor(
+                        self._disk_thread, self._write, self.store, effects, last_index
+                    )
+                self._unwritten.popleft()
+                self._send_effects(effects)
+        except (OSError, lmdb.Error) as error:
+            self._stop_voting(error)  # no message that depends on the write may be sent
         finally:
             self._writing = None
 
-    def _put(self, store: VoterStore, does: VoterEffects, last: int) -> None:
-        for step in does.steps:
-            store.write(step, last)
-            self.writes += step.writes
+    def _write(self, store: VoterStore, effects: VoterEffects, last_index: int) -> None:
+        for step in effects.steps:
+            store.write(step, last_index)
+            self.store_writes += step.writes
 
-    def _leave(self, does: VoterEffects) -> None:
-        """What rests on what is on disk."""
+    def _send_effects(self, effects: VoterEffects) -> None:
+        """Send the messages and replies of a step whose writes are on disk."""
         voter = self.voter
         if voter is None:
             return
-        for to, word in does.mail:
-            self._line(to.partition("/")[0]).say(b"r", word)
-        for by, answer in does.answers:
-            if isinstance(by, CouncilConnection):
-                by.say(b"n", answer)
+        for voter_id, message in effects.mail:
+            self._connection_to(voter_id.partition("/")[0]).send(RAFT_MESSAGE, message)
+        for connection, reply in effects.answers:
+            if isinstance(connection, CouncilConnection):
+                connection.send(REPLY, reply)
             else:
-                self._answered(answer)
-        if voter.leader != self._led:
-            self._led = self.leader = voter.leader
+                self.client.reply_received(reply)
+        if voter.leader != self._logged_leader:
+            self._logged_leader = self.client.leader = voter.leader
             self._log("council leader", leader=voter.leader, term=voter.raft.term)
-        self._agreed()
+        self._log_advanced()
 
-    def _stop(self, wrong: Exception) -> None:
+    def _stop_voting(self, cause: Exception) -> None:
         self.voter = None
-        self._steps.clear()
-        self._shut()
-        trouble = VoterStoppedError(f"the council's store takes nothing: {wrong}")
-        self._log("no voter", what=trouble.what, means=trouble.means, do=trouble.do)
-
-    def _set(self) -> None:
-        if self.voter is None:
-            return
-        if self._timer is not None:
-            self._timer.cancel()
-        due = min(self.voter.due(), self._let_in_at) if self._outside else self.voter.due()
-        at = max(due, self.clock()) / 1000.0
-        self._timer = asyncio.get_running_loop().call_at(at, self._beat)
-
-    def _line(self, name: str) -> CouncilConnection:
-        line = self.lines.get(name)
-        if line is None:
-            line = self.lines[name] = CouncilConnection(self, name)
-        return line
-
-    # What members ask.
-
-    async def ask(self, ask: AnyRequest, within_s: float) -> AnyReply:
-        """The answer of whoever leads. Unreached where none came in time: it may have been done."""
-        loop = asyncio.get_running_loop()
-        ends, why = loop.time() + within_s, "no voter answered"
-        while (left := ends - loop.time()) > 0.0:
-            name = self._whom()
-            answer = await self._ask_one(ask, name, min(left, ASK_S))
-            if answer is not None and not isinstance(answer, NotLeader):
-                self.leader = name
-                return answer
-            if answer is None:
-                self.leader = ""
-                continue
-            why = answer.why
-            self.leader = answer.leader if answer.leader != name else ""
-            if not self.leader:
-                await asyncio.sleep(AGAIN_S)
-        raise CouncilUnreachableError(f"the council gave no answer: {why}")
-
-    def _whom(self) -> str:
-        voters = self.council.voters
-        if self.leader in voters:
-            return self.leader
-        self._turn += 1
-        return voters[self._turn % len(voters)]
-
-    async def _ask_one(self, ask: AnyRequest, name: str, within_s: float) -> AnyReply | None:
-        held = self.asks[ask.id] = asyncio.get_running_loop().create_future()
-        try:
-            if name == self.name and self.voter is not None:
-                self._asked(self.voter, ask, None)
-            else:
-                self._line(name).say(b"q", ask)
-            return await asyncio.wait_for(held, within_s)
-        except TimeoutError:
-            return None
-        finally:
-            self.asks.pop(ask.id, None)
-
-    def _answered(self, answer: AnyReply) -> None:
-        held = self.asks.get(answer.id)
-        if held is not None and not held.done():
-            held.set_result(answer)
+        self._unwritten.clear()
+        self._close_store()
+        error = VoterStoppedError(f"the council's store takes nothing: {cause}")
+        self._log("voter stopped", what=error.what, means=error.means, do=error.do)
--- a/cherrygrade/fleet/runtime/fleet_agent.py
+++ b/cherrygrade/fleet/runtime/fleet_agent.py
@@ -17,7 +17,7 @@
 from cherrygrade.fleet.membership.messages import MOST_PAGE, AnyMessage, MessageCodec, Probe, letter
 from cherrygrade.fleet.membership.partition import TABLE, PartitionState
 from cherrygrade.fleet.membership.table import MemberInfo
-from cherrygrade.fleet.runtime.addresses import address
+from cherrygrade.fleet.runtime.addresses import parse_address
 from cherrygrade.fleet.runtime.datagram_receiver import DatagramReceiver
 from cherrygrade.fleet.runtime.peer_stream import MOST_STREAMS, PeerStream
 from cherrygrade.scheduling.model import Attempt, Outcome
@@ -132,11 +132,11 @@
             self._where,
             self._log,
             self._judge,
-            lambda: self.config.agreed() if self.config is not None else None,
+            lambda: self.config.log_advanced() if self.config is not None else None,
         )
         await self.council_server.start()
         if self.config is not None:
-            self.config.ready(self.council_server)
+            self.config.council_ready(self.council_server)
         self.tasks = LeaseTaskRunner(
             self.council_server,
             council,
@@ -307,7 +307,7 @@
 
     def _post(self, mail: Effects, source: tuple[str, int] | None = None, length: int = MOST_PAGE) -> None:
         for place, page in mail.pages:
-            self._send(page, address(place), MOST_PAGE)
+            self._send(page, parse_address(place), MOST_PAGE)
         for page in mail.answers:
             self._send(page, source, length)
         for name, place in mail.exchange:
@@ -315,7 +315,7 @@
         for seat, payload in mail.words:
             self._heard(seat, payload)
         if mail.hints and self.config is not None:
-            self.config.heard(mail.hints)
+            self.config.reports_received(mail.hints)
         self._show()
         at = self.core.due()
         if at < 1e14 and (self._timer is None or at < self._timer_at - 1.0):
@@ -337,7 +337,7 @@
         self.sent, self.sent_bytes = self.sent + 1, self.sent_bytes + len(data)
 
     def _exchange(self, name: str, place: str) -> None:
-        to = address(place)
+        to = parse_address(place)
         if to is not None and len(self.streams) < MOST_STREAMS:
             stream = PeerStream(self, name)
             stream.task = asyncio.get_running_loop().create_task(stream.connect(to))
--- a/cherrygrade/fleet/runtime/framed_connection.py
+++ b/cherrygrade/fleet/runtime/framed_connection.py
@@ -1,56 +1,87 @@
-"""A connection whose messages may be longer than one frame."""
+"""A connection whose messages may be longer than one frame.
+
+A message is cut into `Members` frames; the last one is marked, and the receiver joins them again.
+"""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, ClassVar
 
 import msgspec
 
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import Bye, Members, Welcome
 
-PART = 8192  # of a word in one frame
-MOST_WORD = 1024 * 1024  # a version in frames
+FRAME_BYTES = 8192  # of a message in one frame
+
+
+def send_in_frames(conn: Connection, message: bytes) -> None:
+    """Send one message, cut into frames; an empty one is sent as one empty frame."""
+    for start in range(0, max(1, len(message)), FRAME_BYTES):
+        end = start + FRAME_BYTES
+        conn.send(Members(message[start:end], end >= len(message)))
 
 
 class FramedConnection:
-    """Words in frames over one connection, each way at most MOST_WORD."""
+    """Sends and receives whole messages over one connection.
+
+    Implements the owner's side of `Connection`; subclasses say in `message_received` what a message does.
+
+    Attributes:
+        conn: The connection, of its own or of the stream that passes its frames on to `frame_received`.
+        max_message_bytes: The connection is closed when a received message is longer.
+        purpose: Ends the reason that a peer is given when it sends something else than frames.
+    """
+
+    max_message_bytes: ClassVar[int] = 1024 * 1024
+    purpose: ClassVar[str] = "of a configuration"
 
     def __init__(self, conn: Connection | None = None) -> None:
         self.conn = Connection(self, 0) if conn is None else conn
-        self._within = bytearray()
+        self._received = bytearray()
 
-    def say(self, word: bytes) -> None:
-        for at in range(0, max(1, len(word)), PART):
-            self.conn.send(Members(word[at : at + PART], at + PART >= len(word)))
+    def send_message(self, message: bytes) -> None:
+        """Send one message to the peer."""
+        send_in_frames(self.conn, message)
 
-    def part(self, message: Members) -> None:
-        self._within += message.payload
-        if len(self._within) > MOST_WORD:
+    def frame_received(self, frame: Members) -> None:
+        """Take one frame; with the last one of a message, the message is handed to `message_received`."""
+        self._received += frame.payload
+        if len(self._received) > self.max_message_bytes:
             self.conn.close("a word without end")
-        elif message.last:
-            data, self._within = bytes(self._within), bytearray()
+        elif frame.last:
+            message = bytes(self._received)
+            self._received = bytearray()
             try:
-                self.word(data)
+                self.message_received(message)
             except (msgspec.MsgspecError, UnicodeDecodeError):
                 self.conn.close("a word that can't be read")
 
-    def word(self, data: bytes) -> None:
-        raise NotImplementedError
+    def message_received(self, message: bytes) -> None:
+        """Act on one message.
 
-    # What a connection of its own tells.
+        Raises:
+            msgspec.MsgspecError: The message can't be decoded; the connection is then closed.
+            UnicodeDecodeError: Likewise.
+        """
+        raise NotImplementedError
 
-    def connected(self, conn: Connection) -> None: ...
+    def connected(self, conn: Connection) -> None:
+        """Called by the connection once it is open."""
 
     def room(self, conn: Connection, message: Any, length: int) -> None:
+        """Called by the connection for a frame's body: these messages have none."""
         return None
 
     def frame(self, conn: Connection, message: Any, body: object) -> None:
+        """Called by the connection with each frame."""
         if isinstance(message, Members):
-            self.part(message)
+            self.frame_received(message)
         elif not isinstance(message, Welcome | Bye):
-            conn.close(f"unexpected {type(message).__name__} of a configuration")
+            conn.close(f"unexpected {type(message).__name__} {self.purpose}")
 
-    def writable(self, conn: Connection) -> None: ...
+    def writable(self, conn: Connection) -> None:
+        """Called by the connection when its buffer has room again: nobody waits for that here."""
 
-    def closed(self, conn: Connection, why: str) -> None: ...
+    def closed(self, conn: Connection, why: str) -> None:
+        """Called once when the connection has ended."""
--- a/cherrygrade/fleet/runtime/lease_exercise.py
+++ b/cherrygrade/fleet/runtime/lease_exercise.py
@@ -6,7 +6,7 @@
 import json
 from typing import TYPE_CHECKING
 
-from cherrygrade.fleet.runtime.addresses import address
+from cherrygrade.fleet.runtime.addresses import parse_address
 
 if TYPE_CHECKING:
     from cherrygrade.fleet.runtime.lease_tasks import LeaseTaskRunner
@@ -28,7 +28,7 @@
     async def _run(self) -> None:
         while True:
             try:
-                to = address(self.receiver)
+                to = parse_address(self.receiver)
                 assert to is not None  # checked with the settings
                 reader, writer = await asyncio.open_connection(*to, local_addr=(self.source, 0))
                 try:
--- a/cherrygrade/fleet/runtime/lease_tasks.py
+++ b/cherrygrade/fleet/runtime/lease_tasks.py
@@ -106,7 +106,7 @@
         asked, same = self.holding.renew(self.clock())
         ask = RenewLeases(asked, self.holding.name, self.holding.birth, same)
         try:
-            answer = await self.council_server.ask(ask, WITHIN_S)
+            answer = await self.council_server.request(ask, WITHIN_S)
         except CouncilUnreachableError:
             return
         if isinstance(answer, LeasesRenewed):
@@ -119,7 +119,7 @@
 
     async def _look(self, some: list[str]) -> None:
         try:
-            answer = await self.council_server.ask(
+            answer = await self.council_server.request(
                 ListFreeTasks(self.holding.ask(self.clock()), some), WITHIN_S
             )
             if isinstance(answer, FreeTasks):
@@ -131,7 +131,7 @@
     async def _take(self, task: str) -> None:
         asked = self.holding.ask(self.clock(), task)
         ask = AcquireLease(asked, task, self.holding.name, self.holding.birth, self.council.lease_ms)
-        answer = await self.council_server.ask(ask, WITHIN_S)
+        answer = await self.council_server.request(ask, WITHIN_S)
         if isinstance(answer, LeaseAcquired) and self.holding.granted(
             asked, task, answer.told.number, self.clock()
         ):
@@ -147,6 +147,6 @@
     async def _back(self, task: str, number: int, failed: str = "") -> None:
         ask = ReleaseLease(self.holding.ask(self.clock()), task, number, failed)
         try:
-            await self.council_server.ask(ask, WITHIN_S)
+            await self.council_server.request(ask, WITHIN_S)
         except CouncilUnreachableError:
             pass  # it ends by its time, or is found again
--- a/cherrygrade/fleet/runtime/peer_directory.py
+++ b/cherrygrade/fleet/runtime/peer_directory.py
@@ -1,6 +1,6 @@
-"""The fleet as the module asks for it: who keeps a node, and whether its own parts are its own.
+"""The fleet's membership, as the scheduler's `PeerDirectory`.
 
-Free of I/O, clock and chance; `core.py` knows, this tells it in the module's terms.
+Free of I/O, clock and randomness: it translates what `membership/membership.py` knows.
 """
 
 from __future__ import annotations
@@ -10,20 +10,33 @@
 
 
 class FleetPeerDirectory(PeerDirectory):
-    """Seats are the dispatchers' numbers. `has`: False where the configuration gives this one no part."""
+    """Which dispatcher aggregates a node's load, and whether this one may use its part of the quotas.
+
+    Attributes:
+        core: The membership that answers.
+        number: This dispatcher's seat; seats are the scheduler's dispatcher numbers.
+        has: False while the configuration gives this dispatcher no part of the quotas.
+    """
 
     def __init__(self, core: Membership, number: int) -> None:
         super().__init__(core.record)
-        self.core, self.number, self.has = core, number, True
+        self.core = core
+        self.number = number
+        self.has = True
 
     @property
     def forfeits_quota(self) -> bool:  # type: ignore[override]
+        """Whether this dispatcher must leave its part of the quotas unused."""
         return self.core.yields or not self.has
 
     def aggregator(self, node: int) -> int:
+        """Return the seat of the dispatcher that aggregates the load reports of `node`."""
         return self.core.keepers.keeper(node)
 
     def publishes(self, node: int, now: float) -> bool:
-        """One that is alone, or late with everything, leaves telling to others: sides.TABLE."""
+        """Return whether this dispatcher publishes the aggregated load of `node` at `now` (ms).
+
+        One that is cut off or overloaded leaves publishing to others: see the rules in `partition.TABLE`.
+        """
         keepers = self.core.keepers
         return self.core.follows.keeps and keepers.keeper(node) == self.number and keepers.settled(node, now)
--- a/cherrygrade/fleet/runtime/peer_stream.py
+++ b/cherrygrade/fleet/runtime/peer_stream.py
@@ -82,7 +82,7 @@
                 self._council(message.name)
             elif message.role == "config" and message.features[:1] == [self.agent.fleet.name]:
                 config = self.agent.config
-                self._stays(config.welcome(conn) if config is not None else None, message.name)
+                self._stays(config.accept(conn) if config is not None else None, message.name)
             elif message.role == "operator":
                 self._stays(self._desk(), message.name)
             else:
@@ -90,7 +90,7 @@
         elif isinstance(message, Welcome) and self.to and not self.peer:
             self.peer = message.name
         elif isinstance(message, Members) and self.guest is not None:
-            self.guest.part(message)
+            self.guest.frame_received(message)
         elif isinstance(message, Members) and self.peer:
             self._members(message)
         elif not isinstance(message, Bye):
@@ -116,7 +116,7 @@
 
     def _council(self, name: str) -> None:
         council_server = self.agent.council_server
-        self._stays(council_server.welcome(self.conn, name) if council_server is not None else None, name)
+        self._stays(council_server.accept(self.conn, name) if council_server is not None else None, name)
 
     def _desk(self) -> AdminServer | None:
         from cherrygrade.fleet.runtime.admin_server import MOST_OPERATORS, AdminServer
--- a/cherrygrade/fleet/runtime/sealed_file.py
+++ b/cherrygrade/fleet/runtime/sealed_file.py
@@ -1,9 +1,9 @@
-"""The configuration that a dispatcher keeps on disk over its end: whole, sealed, or taken for none.
+"""The file in which a dispatcher keeps its configuration across restarts.
 
-It is written beside and synced, renamed over the one before, and the folder synced: at whatever point the
-machine stops, the file under the name is the one before or the new one. The seal (SHA-256, FIPS 180-4) is
-over the form and all behind it; a file that does not fit its seal is put aside for people and never read
-again.
+A new version is written to a second file and synced, renamed over the one before, and the folder is synced:
+at whatever point the machine stops, the file under the name is the old version or the new one. The file
+starts with a format tag and a SHA-256 digest (FIPS 180-4) over the tag and the body. A file that does not
+match its digest is put aside for people to look at and never read again.
 """
 
 from __future__ import annotations
@@ -12,93 +12,119 @@
 import os
 from pathlib import Path
 
-FORM = b"cgK1"
-SEAL = hashlib.sha256().digest_size
-MOST = 4 * 1024 * 1024  # bytes of such a file; more is none of ours
+FORMAT_TAG = b"cgK1"
+DIGEST_BYTES = hashlib.sha256().digest_size
+MAX_FILE_BYTES = 4 * 1024 * 1024  # a longer file was not written by this program
+MAX_FILES_ASIDE = 10**6
 
 
 class SealedFileError(Exception):
-    """What is on disk can't be trusted; says why."""
+    """The file's content can't be trusted; the message says why.
 
+    The caller puts the file aside and goes on as if there were none.
+    """
 
-def sealed(body: bytes) -> bytes:
-    return FORM + hashlib.sha256(FORM + body).digest() + body
 
+def seal(body: bytes) -> bytes:
+    """Return the content of a file that holds `body`."""
+    return FORMAT_TAG + hashlib.sha256(FORMAT_TAG + body).digest() + body
 
-def opened(data: bytes) -> bytes:
-    """KeptTornError where anything of it is not as it was written."""
-    if len(data) < len(FORM) + SEAL:
+
+def unseal(data: bytes) -> bytes:
+    """Return the body that a file's content holds.
+
+    Raises:
+        SealedFileError: The content is not exactly what `seal` returned.
+    """
+    header_bytes = len(FORMAT_TAG) + DIGEST_BYTES
+    if len(data) < header_bytes:
         raise SealedFileError(f"cut short at {len(data)} bytes")
-    if data[: len(FORM)] != FORM:
+    if data[: len(FORMAT_TAG)] != FORMAT_TAG:
         raise SealedFileError("of another form")
-    body = data[len(FORM) + SEAL :]
-    if data[len(FORM) : len(FORM) + SEAL] != hashlib.sha256(FORM + body).digest():
+    body = data[header_bytes:]
+    if data[len(FORMAT_TAG) : header_bytes] != hashlib.sha256(FORMAT_TAG + body).digest():
         raise SealedFileError("its seal does not fit what it holds")
     return body
 
 
 class SealedFile:
-    """One dispatcher's. Blocking: called by a thread of its own."""
+    """One dispatcher's file, and beside it the marker that the dispatcher left the fleet on purpose.
+
+    All methods block on the disk: call them in a thread.
 
-    def __init__(self, file: Path) -> None:
-        self.file = file
-        self._beside = file.with_name(file.name + ".new")
-        self._left = file.with_name(file.name + ".left")
+    Attributes:
+        path: The file; `.new`, `.left` and `.aside-N` are appended for the files beside it.
+    """
+
+    def __init__(self, path: Path) -> None:
+        self.path = path
+        self._new_path = path.with_name(path.name + ".new")
+        self._left_marker = path.with_name(path.name + ".left")
 
     def load(self) -> bytes:
-        """What was kept; b"" where nothing was. KeptTornError, OSError."""
+        """Return the body that was saved last, or b"" where there is no file.
+
+        Raises:
+            SealedFileError: There is a file, and it can't be trusted.
+            OSError: The disk could not be read.
+        """
         try:
-            with self.file.open("rb") as held:
-                data = held.read(MOST + 1)
+            with self.path.open("rb") as file:
+                data = file.read(MAX_FILE_BYTES + 1)
         except FileNotFoundError:
             return b""
-        if len(data) > MOST:
-            raise SealedFileError(f"longer than {MOST} bytes")
-        return opened(data)
+        if len(data) > MAX_FILE_BYTES:
+            raise SealedFileError(f"longer than {MAX_FILE_BYTES} bytes")
+        return unseal(data)
 
     def save(self, body: bytes) -> None:
-        """On disk when it returns; OSError where the disk takes nothing: then the one before is there."""
-        self.file.parent.mkdir(parents=True, exist_ok=True)
-        with self._beside.open("wb") as held:
-            held.write(sealed(body))
-            held.flush()
-            os.fsync(held.fileno())
-        os.replace(self._beside, self.file)
-        self._sync()
+        """Replace the file's body; it is on disk when this returns.
+
+        Raises:
+            OSError: The disk could not be written; the file is as it was.
+        """
+        self.path.parent.mkdir(parents=True, exist_ok=True)
+        with self._new_path.open("wb") as file:
+            file.write(seal(body))
+            file.flush()
+            os.fsync(file.fileno())
+        os.replace(self._new_path, self.path)
+        self._sync_folder()
 
     @property
-    def left(self) -> bool:
-        """Whether it left by its own word since it was last sure of what is kept."""
-        return self._left.exists()
+    def has_left(self) -> bool:
+        """Whether the dispatcher left on purpose and has not been sure of its configuration since."""
+        return self._left_marker.exists()
+
+    def set_left(self, left: bool = True) -> None:
+        """Write or remove the marker that the dispatcher left; it is on disk when this returns.
 
-    def leave(self, left: bool = True) -> None:
-        """On disk when it returns. OSError."""
+        Raises:
+            OSError: The disk could not be written.
+        """
         if left:
-            self.file.parent.mkdir(parents=True, exist_ok=True)
-            self._left.touch()
+            self.path.parent.mkdir(parents=True, exist_ok=True)
+            self._left_marker.touch()
         else:
-            self._left.unlink(missing_ok=True)
-        self._sync()
+            self._left_marker.unlink(missing_ok=True)
+        self._sync_folder()
 
-    def _sync(self) -> None:
-        folder = os.open(self.file.parent, os.O_RDONLY)
+    def _sync_folder(self) -> None:
+        folder = os.open(self.path.parent, os.O_RDONLY)
         try:
             os.fsync(folder)
         finally:
             os.close(folder)
 
     def remove(self) -> None:
-        """What is kept is of no use any more, and must not come back."""
-        self.file.unlink(missing_ok=True)
+        """Delete the file: what it holds is outdated and must not come back after a restart."""
+        self.path.unlink(missing_ok=True)
 
     def put_aside(self) -> Path | None:
-        """Out of the way, for people to look at; where it is now."""
-        if not self.file.exists():
+        """Rename the file for people to look at; return its new path, or None where there is no file."""
+        if not self.path.exists():
             return None
-        at = next(
-            place
-            for turn in range(10**6)
-            if not (place := self.file.with_name(f"{self.file.name}.aside-{turn}")).exists()
-        )
-        self.file.rename(at)
-        return at
+        numbered = (self.path.with_name(f"{self.path.name}.aside-{turn}") for turn in range(MAX_FILES_ASIDE))
+        aside = next(path for path in numbered if not path.exists())
+        self.path.rename(aside)
+        return aside
--- a/cherrygrade/fleet/runtime/status_query.py
+++ b/cherrygrade/fleet/runtime/status_query.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from cherrygrade.fleet.runtime.addresses import address
+from cherrygrade.fleet.runtime.addresses import parse_address
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, Bye, Hello, Members, Welcome
 
@@ -46,7 +46,7 @@
 
 async def ask(place: str) -> dict[str, Any]:
     """What the dispatcher at this place knows of its fleet. OSError where nobody tells."""
-    to = address(place)
+    to = parse_address(place)
     if to is None:
         raise OSError(f"{place}: no place")
     async with asyncio.timeout(PATIENCE_S):
--- a/cherrygrade/lab/rig/run.py
+++ b/cherrygrade/lab/rig/run.py
@@ -16,7 +16,7 @@
 
 import psutil
 
-from cherrygrade.fleet.runtime.voter_store import found
+from cherrygrade.fleet.runtime.voter_store import create_founding_store
 from cherrygrade.lab.rig.scenario import Scenario, Trouble, read_scenario, write_site
 from cherrygrade.standin.control import Controller
 from cherrygrade.standin.record import Record
@@ -244,7 +244,7 @@
         await self.receiver.start("cherrygrade", "standin", "receiver", record, numbered, wait="receiver")
         voters = [f"d{number}" for number in range(sitting.voters)]
         for name in voters:
-            found(self.folder / f"council-{name}", FLEET, name, voters)
+            create_founding_store(self.folder / f"council-{name}", FLEET, name, voters)
 
     def _council(self, number: int) -> dict[str, object]:
         sitting = self.scenario.council
--- a/cherrygrade/lab/scale/follow.py
+++ b/cherrygrade/lab/scale/follow.py
@@ -64,7 +64,7 @@
         "asked_voters": replica.asked_voters,
         "asked_members": replica.asked_members,
         "fetched_bytes": config.fetched_bytes,
-        "given_bytes": config.given_bytes,
+        "given_bytes": config.sent_bytes,
     }
 
 
--- a/cherrygrade/lab/scale/host.py
+++ b/cherrygrade/lab/scale/host.py
@@ -179,7 +179,7 @@
         counts = {number: list(self.between.counts.get(number, [0] * len(COUNTS))) for number in self.members}
         for number, agent in self.members.items():
             tasks, council_server = agent.tasks, agent.council_server
-            counts[number].append(council_server.said_bytes if council_server is not None else 0)
+            counts[number].append(council_server.sent_bytes if council_server is not None else 0)
             counts[number].append(len(tasks.holding.held) if tasks is not None else 0)
             self.follow.look(number, self.lives[number], agent)
         self.samples.append(
@@ -238,8 +238,11 @@
     for stream in [*agent.streams]:
         stream.conn.abort("killed")
     if agent.council_server is not None:
-        for line in [*agent.council_server.lines.values(), *agent.council_server.guests]:
-            line.conn.abort("killed")
+        for connection in [
+            *agent.council_server.voter_connections.values(),
+            *agent.council_server.client_connections,
+        ]:
+            connection.conn.abort("killed")
     agent.close()
 
 
--- a/cherrygrade/lab/scale/run.py
+++ b/cherrygrade/lab/scale/run.py
@@ -23,7 +23,7 @@
 import psutil
 
 from cherrygrade.fleet.runtime.status_query import ask
-from cherrygrade.fleet.runtime.voter_store import found
+from cherrygrade.fleet.runtime.voter_store import create_founding_store
 from cherrygrade.lab.rig.run import empty, free_places
 from cherrygrade.lab.scale import changes, judge, report, sums
 from cherrygrade.lab.scale.errors import HostEnded, NotWhole
@@ -226,7 +226,7 @@
             self.receives = line.split()[1]
         voters = [f"d{number}" for number in range(scale.voters)]
         for name in voters:
-            found(folder / f"council-{name}", FLEET, name, voters)
+            create_founding_store(folder / f"council-{name}", FLEET, name, voters)
         self.told("hosts")
         for index, numbers in enumerate(hosts(scale)):
             child = Child(f"host-{index}", folder)
--- a/tests/fleet/runtime/test_config_in_force.py
+++ b/tests/fleet/runtime/test_config_in_force.py
@@ -16,7 +16,7 @@
 from cherrygrade.fleet.config.replica import StoredConfig
 from cherrygrade.fleet.config.versions import NO_DIGEST, ConfigVersion, QuotaDivisors
 from cherrygrade.fleet.runtime.sealed_file import SealedFile
-from cherrygrade.fleet.runtime.voter_store import found
+from cherrygrade.fleet.runtime.voter_store import create_founding_store
 from cherrygrade.gateway import inforce
 from cherrygrade.gateway.overlay import Overlay
 from cherrygrade.gateway.process import Gateway
@@ -68,7 +68,7 @@
         if not self.house.nodes:
             await self.house.node(0)
             await self.house.register.start()
-            found(self.folder / "store", "one", "d0", ["d0"])
+            create_founding_store(self.folder / "store", "one", "d0", ["d0"])
         self.file = self.folder / f"d{number}.rec"
         place = f"127.0.0.1:{free_ports(1)[0]}"
         more = {"number": number, "register": self.house.register.address, "place": place}
--- a/tests/fleet/runtime/test_council_processes.py
+++ b/tests/fleet/runtime/test_council_processes.py
@@ -14,7 +14,7 @@
 from fleet.runtime.test_fleet_processes import ROOT, Company
 from support.gateway_site import GatewaySite, run
 
-from cherrygrade.fleet.runtime.voter_store import found
+from cherrygrade.fleet.runtime.voter_store import create_founding_store
 from cherrygrade.standin.receiver import judge
 
 pytestmark = pytest.mark.alone
@@ -39,7 +39,7 @@
         assert self.receiver.stdout is not None
         self.place = (await self.receiver.stdout.readline()).decode().split()[1]
         for name in VOTERS:
-            found(self.folder / name, "processes", name, VOTERS)
+            create_founding_store(self.folder / name, "processes", name, VOTERS)
         await self.all_start()
 
     def more(self, number: int) -> str:
--- a/tests/fleet/runtime/test_sealed_file.py
+++ b/tests/fleet/runtime/test_sealed_file.py
@@ -55,9 +55,9 @@
                 file.save(NEW)
             except StoppedError:
                 pass
-        found.append(SealedFile(file.file).load())
+        found.append(SealedFile(file.path).load())
         file.save(NEW)  # and what a stop left beside is in nobody's way
-        assert SealedFile(file.file).load() == NEW
+        assert SealedFile(file.path).load() == NEW
     assert steps == ["fsync", "replace", "fsync"]
     assert found == [OLD, OLD, NEW, NEW, NEW]
 
@@ -65,7 +65,7 @@
 def test_a_write_that_stops_within_its_bytes_leaves_the_old(tmp_path):
     file = SealedFile(tmp_path / "kept")
     file.save(OLD)
-    whole = sealed_file.sealed(NEW)
+    whole = sealed_file.seal(NEW)
     for length in range(len(whole) + 1):
         (tmp_path / "kept.new").write_bytes(whole[:length])
         assert file.load() == OLD
@@ -73,12 +73,12 @@
 
 def test_each_byte_that_is_wrong_and_each_length_that_is_short_is_torn(tmp_path):
     file = SealedFile(tmp_path / "kept")
-    whole = sealed_file.sealed(OLD)
+    whole = sealed_file.seal(OLD)
     spoilt = [whole[:length] for length in range(len(whole))]
     spoilt += [whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1 :] for at in range(len(whole))]
-    spoilt += [whole + b"\0", b"\0" * (sealed_file.MOST + 1)]
+    spoilt += [whole + b"\0", b"\0" * (sealed_file.MAX_FILE_BYTES + 1)]
     for data in spoilt:
-        file.file.write_bytes(data)
+        file.path.write_bytes(data)
         with pytest.raises(SealedFileError):
             file.load()
     assert file.put_aside() == tmp_path / "kept.aside-0" and file.load() == b""
@@ -97,11 +97,11 @@
 
 def test_that_it_left_is_known_after_a_start_until_it_is_taken_back(tmp_path):
     place = tmp_path / "deep" / "kept"
-    assert not SealedFile(place).left
-    SealedFile(place).leave()
-    assert SealedFile(place).left and SealedFile(place).load() == b""
+    assert not SealedFile(place).has_left
+    SealedFile(place).set_left()
+    assert SealedFile(place).has_left and SealedFile(place).load() == b""
     SealedFile(place).save(OLD)
-    assert SealedFile(place).left and SealedFile(place).load() == OLD
-    SealedFile(place).leave(False)
-    SealedFile(place).leave(False)
-    assert not SealedFile(place).left and SealedFile(place).load() == OLD
+    assert SealedFile(place).has_left and SealedFile(place).load() == OLD
+    SealedFile(place).set_left(False)
+    SealedFile(place).set_left(False)
+    assert not SealedFile(place).has_left and SealedFile(place).load() == OLD
--- a/tests/fleet/runtime/test_voter_store.py
+++ b/tests/fleet/runtime/test_voter_store.py
@@ -46,7 +46,7 @@
     store.write(RaftEffects(base=Snapshot(2, 1, ("a", "b"), b"state")), 4)
     store.close()
     store = VoterStore(tmp_path, "f", "a", "another mark")
-    assert store.me == "a/m"
+    assert store.voter_id == "a/m"
     held = store.load()
     assert held == PersistentState(
         2, "", Snapshot(2, 1, ("a", "b"), b"state"), [LogEntry(1, b"2"), LogEntry(2, b"other")]
@@ -96,7 +96,7 @@
     code = (
         "import sys; from pathlib import Path; from cherrygrade.fleet.runtime.voter_store import open_store\n"
         "store, held, why = open_store(Path(sys.argv[1]), 'f', 'a', 5)\n"
-        "print(store.me, held.term, held.vote, [e.payload for e in held.entries], bool(why))"
+        "print(store.voter_id, held.term, held.vote, [e.payload for e in held.entries], bool(why))"
     )
     done = subprocess.run(
         [sys.executable, "-c", code, str(tmp_path)], cwd=ROOT, capture_output=True, text=True
@@ -114,7 +114,7 @@
     with pytest.raises(VoterStoreError, match="of a of fleet f"):
         VoterStore(tmp_path, "f", "b", "m")
     store, held, why = open_store(tmp_path, "f", "b", 7)
-    assert held == PersistentState() and "of a of fleet f" in why and store.me.startswith("b/")
+    assert held == PersistentState() and "of a of fleet f" in why and store.voter_id.startswith("b/")
     assert [*tmp_path.glob("aside-*.mdb")]
     store.close()
 
--- a/tests/golden/test_disk.py
+++ b/tests/golden/test_disk.py
@@ -49,14 +49,14 @@
     (tmp_path / "council.mdb").write_bytes((golden.FOLDER / "council.mdb").read_bytes())
     store = voter_store.VoterStore(tmp_path, FLEET, VOTER, "not used")
     try:
-        assert store.me == "voter-1/5eed"
+        assert store.voter_id == "voter-1/5eed"
         assert golden.plain(store.load()) == RECORDED["stored"]
     finally:
         store.close()
 
 
 def test_founding_store_is_written_as_recorded(tmp_path):
-    voter_store.found(tmp_path, FLEET, VOTER, ["voter-0", "voter-1", "voter-2"])
+    voter_store.create_founding_store(tmp_path, FLEET, VOTER, ["voter-0", "voter-1", "voter-2"])
     assert records(tmp_path) == RECORDED["founded"]
 
 
@@ -81,9 +81,9 @@
 
 def file_names(folder: Path) -> list[Any]:
     kept, found = SealedFile(folder / "kept"), list[Any]()
-    kept.leave()
+    kept.set_left()
     found.append(sorted(one.name for one in folder.iterdir()))
-    kept.leave(False)
+    kept.set_left(False)
     kept.save(b"one")
     kept.put_aside()
     kept.save(b"two")
--- a/tests/support/configured_fleet.py
+++ b/tests/support/configured_fleet.py
@@ -22,7 +22,7 @@
 from cherrygrade.fleet.runtime.admin_messages import MissingRequest, PutRequest, ShowRequest
 from cherrygrade.fleet.runtime.operator_commands import fresh_id
 from cherrygrade.fleet.runtime.status_query import ask
-from cherrygrade.fleet.runtime.voter_store import found
+from cherrygrade.fleet.runtime.voter_store import create_founding_store
 from cherrygrade.standin.ways import BOUND, TOLD, Ways, host, number_of
 
 VOTERS = ["d0", "d1", "d2"]
@@ -114,7 +114,7 @@
     async def open(self) -> None:
         await self.ways.start("127.0.0.1:0")
         for name in VOTERS:
-            found(self.folder / name, FLEET, name, VOTERS)
+            create_founding_store(self.folder / name, FLEET, name, VOTERS)
         await asyncio.gather(*(self.start(number) for number in range(self.count)))
         await self.leader()
 
