--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -39,7 +39,7 @@
     VoterEffects,
 )
 from cherrygrade.fleet.leases.lease_table import digest
-from cherrygrade.fleet.runtime.status_query import ask
+from cherrygrade.fleet.runtime.status_query import query_status
 from cherrygrade.fleet.runtime.voter_store import VoterStore, create_founding_store
 from cherrygrade.scheduling.model import (
     Attempt,
@@ -978,7 +978,7 @@
     """Counts of all members; a machine that is busy may need a second try."""
     for _ in range(3):
         try:
-            return [one["counts"] for one in await asyncio.gather(*(ask(place) for place in places))]
+            return [one["counts"] for one in await asyncio.gather(*(query_status(place) for place in places))]
         except (OSError, TimeoutError, EOFError):
             await asyncio.sleep(0.5)
     raise SystemExit("members do not tell their counts")
--- a/benchmarks/fleet_config.py
+++ b/benchmarks/fleet_config.py
@@ -33,10 +33,10 @@
 from cherrygrade.client import Client, Ok
 from cherrygrade.fleet.errors import ConfigRefusedError, ConfigUnreachableError
 from cherrygrade.fleet.membership.messages import letter
-from cherrygrade.fleet.runtime.admin_client import visit
+from cherrygrade.fleet.runtime.admin_client import send_admin_request
 from cherrygrade.fleet.runtime.admin_messages import PutRequest
-from cherrygrade.fleet.runtime.operator_commands import fresh_id
-from cherrygrade.fleet.runtime.status_query import ask
+from cherrygrade.fleet.runtime.operator_commands import new_request_id
+from cherrygrade.fleet.runtime.status_query import query_status
 from cherrygrade.fleet.runtime.voter_store import create_founding_store
 from cherrygrade.lab.rig.run import Child, free_places
 from cherrygrade.standin.control import Controller
@@ -165,8 +165,8 @@
             turn += 1
             through = [at for at in range(self.count) if at not in self.dead][-1 - turn % 3]
             try:
-                told = await visit(
-                    self.at(through), PutRequest(fresh_id(), text(self.rate), "the benchmark"), 5.0
+                told = await send_admin_request(
+                    self.at(through), PutRequest(new_request_id(), text(self.rate), "the benchmark"), 5.0
                 )
                 self.number = told["number"]
                 return asked
@@ -177,7 +177,7 @@
 
     async def statuses(self) -> dict[int, dict[str, Any]]:
         on = [at for at in range(self.count) if at not in self.dead]
-        told = await asyncio.gather(*(ask(self.at(at)) for at in on))
+        told = await asyncio.gather(*(query_status(self.at(at)) for at in on))
         return dict(zip(on, told, strict=True))
 
     async def _whole(self) -> bool:
--- a/benchmarks/fleet_config_service.py
+++ b/benchmarks/fleet_config_service.py
@@ -18,10 +18,10 @@
 
 from bench import SITE, Rig, Tally, cpu_s, open_loop, read_rpc
 
-from cherrygrade.fleet.runtime.admin_client import visit
+from cherrygrade.fleet.runtime.admin_client import send_admin_request
 from cherrygrade.fleet.runtime.admin_messages import PutRequest
-from cherrygrade.fleet.runtime.operator_commands import fresh_id
-from cherrygrade.fleet.runtime.status_query import ask
+from cherrygrade.fleet.runtime.operator_commands import new_request_id
+from cherrygrade.fleet.runtime.status_query import query_status
 from cherrygrade.fleet.runtime.voter_store import create_founding_store
 
 NAMES = ["d0", "d1", "d2"]
@@ -88,7 +88,9 @@
             if self.goes:
                 self.turn += 1
                 try:
-                    await visit(self.place, PutRequest(fresh_id(), text(self.turn), "benchmark"), 5.0)
+                    await send_admin_request(
+                        self.place, PutRequest(new_request_id(), text(self.turn), "benchmark"), 5.0
+                    )
                     self.made += 1
                 except Exception as wrong:  # counted, told, and the window goes on
                     self.failed += 1
@@ -99,7 +101,7 @@
 async def whole(place: str, number: int) -> dict[str, Any]:
     """Once it knows the others and a leader, and has this version in force."""
     for _ in range(200):
-        told = await ask(place)
+        told = await query_status(place)
         if told["living"] == 3 and told["council"]["leader"] and told["config"]["number"] >= number:
             return told
         await asyncio.sleep(0.1)
@@ -116,7 +118,7 @@
         led = [(await whole(place, 0))["council"]["leader"] for *_, place in fleet][-1]
         leads = next(one for one in fleet if one[0] == led)
         follows = next(one for one in fleet if one[0] != led)
-        await visit(leads[3], PutRequest(fresh_id(), text(0), "benchmark"), 5.0)
+        await send_admin_request(leads[3], PutRequest(new_request_id(), text(0), "benchmark"), 5.0)
         for *_, place in fleet:
             await whole(place, 1)
         changes = Changes(leads[3])
@@ -141,7 +143,7 @@
                 print(f"{name} {turn + 1}: " + "; ".join(line), flush=True)
             mean = {goes: statistics.mean(found) for goes, found in p99s.items()}
             print(f"{name}: p99 {mean[True]:.2f} ms with changes, {mean[False]:.2f} with none", flush=True)
-            status = (await ask(place))["config"]
+            status = (await query_status(place))["config"]
             print(
                 f"{name}: on version {status['number']} of {1 + changes.made}, {status['trouble'] or 'well'}"
             )
--- a/benchmarks/fleet_leases.py
+++ b/benchmarks/fleet_leases.py
@@ -20,7 +20,7 @@
 from bench import ROOT
 
 from cherrygrade.fleet.leases.lease_client import LATELY_MS
-from cherrygrade.fleet.runtime.status_query import ask
+from cherrygrade.fleet.runtime.status_query import query_status
 from cherrygrade.fleet.runtime.voter_store import create_founding_store
 from cherrygrade.standin.receiver import judge
 
@@ -101,7 +101,7 @@
             process.wait()
 
     async def told(self, numbers: list[int]) -> list[dict[str, Any]]:
-        return [*await asyncio.gather(*(ask(self.place(number)) for number in numbers))]
+        return [*await asyncio.gather(*(query_status(self.place(number)) for number in numbers))]
 
     async def all_held(self, within_s: float) -> None:
         ends = time.monotonic() + within_s
--- a/cherrygrade/cli.py
+++ b/cherrygrade/cli.py
@@ -158,17 +158,17 @@
 
     Exit code 0: all of the fleet of record live and are known alike here; 1: not so; 3: nobody told.
     """
-    from cherrygrade.fleet.runtime.status_view import status
+    from cherrygrade.fleet.runtime.status_view import show_status
 
-    return status(place, as_json)
+    return show_status(place, as_json)
 
 
 @fleet.command(name="watch")
 def fleet_watch(place: str = "127.0.0.1:7500", *, every_s: float = 1.0, times: int = 0) -> int:
     """Show it again and again, until interrupted or so many times."""
-    from cherrygrade.fleet.runtime.status_view import watch
+    from cherrygrade.fleet.runtime.status_view import watch_status
 
-    return watch(place, every_s, times)
+    return watch_status(place, every_s, times)
 
 
 @fleet.command(name="found")
@@ -206,9 +206,9 @@
     Exit code 0: agreed, and told by its number; 1: refused, with why; 2: FILE or arguments are wrong, nobody
     was asked; 3: no dispatcher answers at AT (its fleet.place), or no majority of the council does.
     """
-    from cherrygrade.fleet.runtime.operator_commands import put
+    from cherrygrade.fleet.runtime.operator_commands import put_config
 
-    return put(file, at)
+    return put_config(file, at)
 
 
 @config.command(name="show")
@@ -218,9 +218,9 @@
     Exit code 0: as the council has it; 1: NUMBER is not kept; 2: arguments are wrong; 3: nobody answers at
     AT, or no majority of the council (what is in force at AT is shown then too).
     """
-    from cherrygrade.fleet.runtime.operator_commands import show
+    from cherrygrade.fleet.runtime.operator_commands import show_config
 
-    return show(number, at)
+    return show_config(number, at)
 
 
 @config.command(name="wait")
@@ -230,17 +230,17 @@
 
     Exit code 0: it is; 1: not within so many seconds; 2: arguments are wrong; 3: nobody answers at AT.
     """
-    from cherrygrade.fleet.runtime.operator_commands import wait
+    from cherrygrade.fleet.runtime.operator_commands import wait_for_version
 
-    return wait(number, at, within_s)
+    return wait_for_version(number, at, within_s)
 
 
 @config.command(name="back")
 def config_back(number: int, *, at: At = "127.0.0.1:7500") -> int:
     """Put the text of version NUMBER again, as a new version. Exit codes as for put."""
-    from cherrygrade.fleet.runtime.operator_commands import back
+    from cherrygrade.fleet.runtime.operator_commands import put_version_again
 
-    return back(number, at)
+    return put_version_again(number, at)
 
 
 @standin.command(name="receiver")
--- a/cherrygrade/fleet/runtime/admin_messages.py
+++ b/cherrygrade/fleet/runtime/admin_messages.py
@@ -1,4 +1,4 @@
-"""What an operator's command asks of a dispatcher."""
+"""What an operator's command asks of a dispatcher, as JSON over a stream."""
 
 from __future__ import annotations
 
@@ -6,11 +6,18 @@
 
 
 class AdminRequest(msgspec.Struct, frozen=True, tag_field="do", tag="Request"):
-    """What a person asks."""
+    """The base of all requests."""
 
 
 class PutRequest(AdminRequest, frozen=True, tag="put"):
-    """`based_on` -1: whatever is the newest. `id`: the command's own; asked again, nothing is done twice."""
+    """Make a text the fleet's configuration.
+
+    Attributes:
+        id: The command's own; a request that is sent again under it is carried out once.
+        text: The configuration's records.
+        by: Who asks, and when, for people.
+        based_on: The number of the version that the text is a change of; -1 for whatever is the newest.
+    """
 
     id: str
     text: str
@@ -19,11 +26,27 @@
 
 
 class ShowRequest(AdminRequest, frozen=True, tag="show"):
+    """Show the versions that are kept; with a number other than 0 that version's text too."""
+
     number: int = 0
 
 
 class MissingRequest(AdminRequest, frozen=True, tag="missing"):
+    """Show who does not have a version or a later one in force."""
+
     number: int
 
 
-_request = msgspec.json.Decoder(PutRequest | ShowRequest | MissingRequest)
+AnyAdminRequest = PutRequest | ShowRequest | MissingRequest
+
+_decoder = msgspec.json.Decoder(AnyAdminRequest)
+
+
+def decode_request(message: bytes) -> AnyAdminRequest:
+    """Return the request that a message holds.
+
+    Raises:
+        msgspec.MsgspecError: It holds none.
+        UnicodeDecodeError: Likewise.
+    """
+    return _decoder.decode(message)
--- a/cherrygrade/fleet/runtime/admin_server.py
+++ b/cherrygrade/fleet/runtime/admin_server.py
@@ -1,4 +1,4 @@
-"""Answers operators' commands at the dispatcher."""
+"""Answers operators' commands at the dispatcher: it asks the council and the members on their behalf."""
 
 from __future__ import annotations
 
@@ -19,127 +19,146 @@
     CouncilUnreachableError,
 )
 from cherrygrade.fleet.runtime.admin_messages import (
-    MissingRequest,
+    AnyAdminRequest,
     PutRequest,
     ShowRequest,
-    _request,
+    decode_request,
 )
 from cherrygrade.fleet.runtime.config_exchange import ConfigExchange
 from cherrygrade.fleet.runtime.council_server import CouncilServer
 from cherrygrade.fleet.runtime.framed_connection import FramedConnection
 from cherrygrade.transport.connection import Connection
 
-COUNCIL_S = 0.7  # for each of at most two asks of the council: `put` is told within 2 s in all
-MOST_OPERATORS = 8  # at once, at one dispatcher
-JUDGE_S = 30.0  # that a text may take to be judged, while a majority goes on answering
-LEAVE_S = 40.0  # in which a person's stream has to end
+COUNCIL_TIMEOUT_S = 0.7  # for each of at most two requests to the council: a put is answered within 2 s
+JUDGE_TIMEOUT_S = 30.0  # that a text may take to be judged, while a majority goes on answering
+STREAM_TIMEOUT_S = 40.0  # in which an operator's stream has to end
+MAX_OPERATORS = 8  # at once, at one dispatcher
+KEEP_ALIVE = b"{}"  # tells a command that its request is still being worked on
 
 
 class AdminServer(FramedConnection):
-    """One person's stream; the agent's stream hands its frames on."""
+    """Serves one operator's command; its `PeerStream` passes the frames on.
+
+    Attributes:
+        config: The configuration at this dispatcher.
+        council_server: The way to the council.
+        task: Works on the command's one request.
+    """
 
     def __init__(
         self,
         config: ConfigExchange,
         council_server: CouncilServer,
         conn: Connection,
-        gone: Callable[[], object],
+        on_closed: Callable[[], object],
     ) -> None:
         super().__init__(conn)
-        self.config, self.council_server, self._gone = config, council_server, gone
+        self.config = config
+        self.council_server = council_server
         self.task: asyncio.Task[None] | None = None
-        self._timer = asyncio.get_running_loop().call_later(LEAVE_S, conn.abort, "a person in no hurry")
+        self._on_closed = on_closed
+        loop = asyncio.get_running_loop()
+        self._timer = loop.call_later(STREAM_TIMEOUT_S, conn.abort, "a person in no hurry")
 
     def message_received(self, message: bytes) -> None:
-        request = _request.decode(message)
+        """Begin to work on the request; a second one on the same stream is not looked at."""
+        request = decode_request(message)
         if self.task is None:
             self.task = asyncio.get_running_loop().create_task(self._answer(request))
 
-    async def _answer(self, request: PutRequest | ShowRequest | MissingRequest) -> None:
+    async def _answer(self, request: AnyAdminRequest) -> None:
         try:
             if isinstance(request, PutRequest):
-                told = await self._put(request)
+                answer = await self._put(request)
             elif isinstance(request, ShowRequest):
-                told = await self._show(request.number)
+                answer = await self._show(request.number)
             else:
-                told = await self._missing(request.number)
-        except OperatorError as trouble:
-            told = {"what": trouble.what, "means": trouble.means, "do": trouble.do}
-            told["nobody"] = isinstance(trouble, ConfigUnreachableError)
-        self.send_message(json.dumps(told).encode())
+                answer = await self._missing(request.number)
+        except OperatorError as error:
+            answer = {"what": error.what, "means": error.means, "do": error.do}
+            answer["nobody"] = isinstance(error, ConfigUnreachableError)
+        self.send_message(json.dumps(answer).encode())
         self.conn.close("told")
 
-    async def _shown(self, ask_id: str, number: int = 0) -> ConfigStatus:
+    async def _config_status(self, request_id: str, number: int = 0) -> ConfigStatus:
+        """Return the council's versions, with the text of version `number`.
+
+        Raises:
+            ConfigUnreachableError: The council gave no answer in time.
+        """
         try:
-            found = await self.council_server.request(ShowConfig(ask_id, number), COUNCIL_S)
-        except CouncilUnreachableError as trouble:
-            raise ConfigUnreachableError(trouble.what) from trouble
-        assert isinstance(found, ConfigStatus)
-        return found
+            reply = await self.council_server.request(ShowConfig(request_id, number), COUNCIL_TIMEOUT_S)
+        except CouncilUnreachableError as error:
+            raise ConfigUnreachableError(error.what) from error
+        assert isinstance(reply, ConfigStatus)
+        return reply
 
     async def _put(self, request: PutRequest) -> dict[str, Any]:
         based_on = request.based_on
         if based_on < 0:
-            shown = await self._shown(f"{request.id}/newest")
-            based_on = shown.lines[-1].number if shown.lines else 0
-        ask = PutConfig(request.id, request.text, based_on, request.by)
-        asking = asyncio.get_running_loop().create_task(self.council_server.request(ask, JUDGE_S))
+            status = await self._config_status(f"{request.id}/newest")
+            based_on = status.lines[-1].number if status.lines else 0
+        put = PutConfig(request.id, request.text, based_on, request.by)
+        put_task = asyncio.get_running_loop().create_task(self.council_server.request(put, JUDGE_TIMEOUT_S))
         try:
-            while not (await asyncio.wait({asking}, timeout=COUNCIL_S))[0]:
-                await self._shown(f"{request.id}/leads")  # a long text: does it still lead?
-                self.send_message(b"{}")
-            found = asking.result()
-        except (CouncilUnreachableError, ConfigUnreachableError) as trouble:
+            while not (await asyncio.wait({put_task}, timeout=COUNCIL_TIMEOUT_S))[0]:
+                # A long text takes long to be judged: as long as the leader still leads, the command waits.
+                await self._config_status(f"{request.id}/leads")
+                self.send_message(KEEP_ALIVE)
+            reply = put_task.result()
+        except (CouncilUnreachableError, ConfigUnreachableError) as error:
             raise ConfigUnreachableError(
-                trouble.what,
+                error.what,
                 "It may yet have become a version; all dispatchers serve on with what they have.",
                 "See `cherrygrade fleet config show` once more than half of the voters live, then put again.",
-            ) from trouble
+            ) from error
         finally:
-            asking.cancel()
-        assert isinstance(found, ConfigPut)
-        if found.told.waits:
-            raise ConfigRefusedError(found.told.waits)
-        return {"number": found.told.number, "stage": found.told.stage, "mark": f"{found.told.mark:016x}"}
+            put_task.cancel()
+        assert isinstance(reply, ConfigPut)
+        outcome = reply.told
+        if outcome.waits:
+            raise ConfigRefusedError(outcome.waits)
+        return {"number": outcome.number, "stage": outcome.stage, "mark": f"{outcome.mark:016x}"}
 
     async def _show(self, number: int) -> dict[str, Any]:
         here = self.config.status()
+        server = self.council_server
         try:
-            shown = await self._shown(
-                f"{self.council_server.name}/{self.council_server.birth}/show/{id(self)}", number
-            )
-        except ConfigUnreachableError as trouble:
+            status = await self._config_status(f"{server.name}/{server.birth}/show/{id(self)}", number)
+        except ConfigUnreachableError as error:
             if number:
                 raise
-            return {"here": here, "council": trouble.what, "lines": []}
-        if number and shown.text is None:
-            kept = [one.number for one in shown.lines]
-            told = f"{kept[0]} to {kept[-1]}" if kept else "none yet"
-            raise ConfigNotFoundError(f"version {number} is not kept: {told}")
+            # Without a council, what is in force here can still be shown.
+            return {"here": here, "council": error.what, "lines": []}
+        if number and status.text is None:
+            kept = [line.number for line in status.lines]
+            kept_text = f"{kept[0]} to {kept[-1]}" if kept else "none yet"
+            raise ConfigNotFoundError(f"version {number} is not kept: {kept_text}")
         return {
             "here": here,
             "council": "",
-            "text": shown.text,
-            "settled": shown.settled,
-            "moving": shown.moving,
-            "lines": [msgspec.structs.asdict(one) for one in shown.lines],
+            "text": status.text,
+            "settled": status.settled,
+            "moving": status.moving,
+            "lines": [msgspec.structs.asdict(line) for line in status.lines],
         }
 
     async def _missing(self, number: int) -> dict[str, Any]:
         config = self.config
-        found = await config.missing(number)
+        missing = await config.missing(number)
         here = config.status()
         replica = config.replica
         settled = replica is not None and replica.stage > 2 * number and bool(replica.stage % 2)
         return {
             "here": here,
             "settled": settled,
-            "missing": [asdict(member) for member in found],
-            "record": config.core.record,
+            "missing": [asdict(member) for member in missing],
+            "record": config.membership.record,
         }
 
     def closed(self, conn: Connection, why: str) -> None:
-        self._gone()
+        """Drop the request where the command went away before its answer."""
+        self._on_closed()
         self._timer.cancel()
         if self.task is not None and not self.task.done():
             self.task.cancel()
--- a/cherrygrade/fleet/runtime/config_connections.py
+++ b/cherrygrade/fleet/runtime/config_connections.py
@@ -8,6 +8,7 @@
 import msgspec
 
 from cherrygrade.fleet.config.replica import FetchRequest, FetchResponse
+from cherrygrade.fleet.runtime import stream_roles
 from cherrygrade.fleet.runtime.framed_connection import FramedConnection
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, Hello
@@ -50,7 +51,7 @@
 
     def connected(self, conn: Connection) -> None:
         """Introduce this dispatcher, and ask."""
-        conn.send(Hello(VERSION, "config", self.config.core.name, [self.config.fleet]))
+        conn.send(Hello(VERSION, stream_roles.CONFIG, self.config.membership.name, [self.config.fleet]))
         self.send_message(msgspec.msgpack.encode(self._request))
 
     def message_received(self, message: bytes) -> None:
--- a/cherrygrade/fleet/runtime/config_coverage.py
+++ b/cherrygrade/fleet/runtime/config_coverage.py
@@ -52,11 +52,11 @@
     """
 
     def __init__(
-        self, core: Membership, seed: int, clock: Callable[[], float], post: Callable[[Effects], None]
+        self, membership: Membership, seed: int, clock: Callable[[], float], post: Callable[[Effects], None]
     ) -> None:
         """Take the membership, the seed of queries' nonces, a clock in ms, and what sends effects."""
         self.reports: dict[str, FirsthandReport] = {}
-        self._core = core
+        self._membership = membership
         self._seed = seed
         self._clock = clock
         self._post = post
@@ -80,13 +80,13 @@
         for member in asked:
             self._queries += 1
             nonce = crc32(f"{self._seed}:person:{self._queries}".encode())
-            self._post(self._core.which(member.name, nonce))
+            self._post(self._membership.which(member.name, nonce))
         asked_ms = self._clock()
         if lacking:
             await asyncio.sleep(REPLY_TIMEOUT_S)
         found: list[MissingMember] = []
         if own.stage < 2 * number:
-            found.append(_late(self._core.name, -1, replica.stage, replica.status()))
+            found.append(_late(self._membership.name, -1, replica.stage, replica.status()))
         for member in lacking:
             if self._stage(member) < 2 * number:
                 found.append(self._late_member(member, asked_ms, member in asked))
@@ -97,7 +97,7 @@
         bits = own.bits if own.stage >= 2 * number else b""
         everybody_has_it = own.stage >= 2 * number and not own.bits
         lacking = []
-        for member in self._core.roll.others():
+        for member in self._membership.roll.others():
             seat = member.seat
             has_it = everybody_has_it or (0 <= seat < 8 * len(bits) and bits[seat // 8] >> seat % 8 & 1)
             if not has_it and self._stage(member) < 2 * number:
@@ -117,15 +117,15 @@
         return _late(member.name, member.seat, report.stage, why)
 
     def _living_seats(self) -> set[int]:
-        return {member.seat for member in self._core.roll.living()}
+        return {member.seat for member in self._membership.roll.living()}
 
     def _dead_members(self) -> list[MissingMember]:
         """Return those of record that left or failed and whose seat no living member has."""
         found = []
         living = self._living_seats()
         now_ms = asyncio.get_running_loop().time() * 1000.0
-        for member in self._core.roll.dead():
-            if 0 <= member.seat < self._core.record and member.seat not in living:
+        for member in self._membership.roll.dead():
+            if 0 <= member.seat < self._membership.record and member.seat not in living:
                 left = member.standing is MemberState.LEFT
                 why = "left" if left else "dead, or cut off from here"
                 since_s = round((now_ms - member.since) / 1000.0)
@@ -133,10 +133,10 @@
         return found
 
     def _unknown_seats(self) -> list[MissingMember]:
-        known = self._living_seats() | {member.seat for member in self._core.roll.dead()}
+        known = self._living_seats() | {member.seat for member in self._membership.roll.dead()}
         return [
             MissingMember("", seat, "nobody of it is known here", False)
-            for seat in range(self._core.record)
+            for seat in range(self._membership.record)
             if seat not in known
         ]
 
--- a/cherrygrade/fleet/runtime/config_exchange.py
+++ b/cherrygrade/fleet/runtime/config_exchange.py
@@ -27,6 +27,7 @@
 from cherrygrade.fleet.runtime.config_connections import ConfigFetch, ConfigServer
 from cherrygrade.fleet.runtime.config_coverage import ConfigCoverage, MissingMember
 from cherrygrade.fleet.runtime.config_members import reachable_members, seated_members
+from cherrygrade.fleet.runtime.config_status import config_status
 from cherrygrade.fleet.runtime.config_storage import ConfigStorage
 from cherrygrade.fleet.runtime.council_server import CouncilServer
 from cherrygrade.settings import CouncilSettings
@@ -49,7 +50,7 @@
 
     Attributes:
         fleet: The fleet's name.
-        core: This dispatcher's membership.
+        membership: This dispatcher's membership.
         council: The council's settings.
         clock: The time in ms.
         log: Writes a line with an event and facts.
@@ -68,7 +69,7 @@
     def __init__(
         self,
         fleet: str,
-        core: Membership,
+        membership: Membership,
         council: CouncilSettings,
         file: str,
         source: str,
@@ -82,7 +83,7 @@
 
         Args:
             fleet: The fleet's name.
-            core: This dispatcher's membership.
+            membership: This dispatcher's membership.
             council: The council's settings.
             file: Where the configuration is kept; "" for memory alone.
             source: The IP address that connections are made from.
@@ -93,12 +94,12 @@
             log: Writes a line with an event and facts.
         """
         self.fleet = fleet
-        self.core = core
+        self.membership = membership
         self.council = council
         self.clock = clock
         self.log = log
         self.storage = ConfigStorage(file, log)
-        self.coverage = ConfigCoverage(core, seed, clock, post)
+        self.coverage = ConfigCoverage(membership, seed, clock, post)
         self.replica: ConfigReplica | None = None
         self.council_server: CouncilServer | None = None
         self.fetches: dict[ConfigFetch, None] = {}
@@ -124,13 +125,13 @@
     async def start(self) -> None:
         """Put in force what was kept, before anything is served."""
         stored = await self.storage.load()
-        core, own = self.core, self.core.roll.own
+        membership, own = self.membership, self.membership.roll.own
         has_left = self._has_left = self.storage.has_left
         replica = self.replica = ConfigReplica(
-            core.name,
+            membership.name,
             own.facts.zone if own.facts is not None else "",
             own.seat,
-            core.record,
+            membership.record,
             self.council.voters,
             self._seed,
             self.clock(),
@@ -180,7 +181,7 @@
         if replica is None:
             return
         for report in reports:
-            advert, own = report.config, self.core.config
+            advert, own = report.config, self.membership.config
             if report.first:
                 self.coverage.report_received(report, now)
                 effects = replica.answered(
@@ -252,22 +253,24 @@
         self._timer = None
         self._timer_at_ms = NEVER_MS
         replica, now = self.replica, self.clock()
-        if replica is None or self.core.silent:
+        if replica is None or self.membership.silent:
             return
         if now >= replica.due() or not replica.sure:
-            self._apply_effects(replica.beat(reachable_members(self.core.roll), now))
+            self._apply_effects(replica.beat(reachable_members(self.membership.roll), now))
         if self.joint_phase is not None and now >= self.joint_phase.due():
-            for name, nonce in self.joint_phase.beat(seated_members(self.core.roll), now):
-                if name == self.core.name:  # no message is needed to ask this dispatcher itself
-                    self.joint_phase.answered(name, self.core.birth, replica.stage, nonce)
+            for name, nonce in self.joint_phase.beat(seated_members(self.membership.roll), now):
+                if name == self.membership.name:  # no message is needed to ask this dispatcher itself
+                    self.joint_phase.answered(name, self.membership.birth, replica.stage, nonce)
                 else:
-                    self._post(self.core.which(name, nonce))
+                    self._post(self.membership.which(name, nonce))
             self._settle_if_complete()
         self._set_timer()
 
     def _settle_if_complete(self) -> None:
         phase = self.joint_phase
-        if phase is None or self.council_server is None or not phase.whole(seated_members(self.core.roll)):
+        if phase is None or self.council_server is None:
+            return
+        if not phase.whole(seated_members(self.membership.roll)):
             return
         self.joint_phase = None
         number = self._joint_phase_of[1]
@@ -332,7 +335,7 @@
         if not why:
             self.since = self.clock()
         if self.replica is not None:  # the version may have changed the fleet of record
-            self.replica.seats = max(self.core.record, self.core.roll.own.seat + 1)
+            self.replica.seats = max(self.membership.record, self.membership.roll.own.seat + 1)
         facts = {"number": version.number, "stage": stage, "digest": version.digest.hex()[:16]}
         if why:
             means = "This dispatcher stays on what it has."
@@ -343,16 +346,16 @@
 
     def _send_effects(self, effects: ReplicaEffects) -> None:
         for name, nonce in effects.which:
-            self._post(self.core.which(name, nonce))
+            self._post(self.membership.which(name, nonce))
         if effects.push:
-            self._post(self.core.hint(effects.push))
+            self._post(self.membership.hint(effects.push))
         if effects.fetch is not None:
             self._fetch(*effects.fetch)
 
     def _fetch(self, name: str, request: FetchRequest) -> None:
         fetch = ConfigFetch(self, name, request)
         self.fetches[fetch] = None
-        member = self.core.roll.members.get(name)
+        member = self.membership.roll.members.get(name)
         to = parse_address(member.facts.place) if member is not None and member.facts is not None else None
         fetch.task = asyncio.get_running_loop().create_task(fetch.connect(to, self._source))
 
@@ -362,8 +365,8 @@
         if replica is None:
             return
         own = replica.here()
-        self.core.config = ConfigAdvert(own.stage, own.mark, own.bits)
-        self.core.config_why = replica.status()[:MAX_STATUS_CHARACTERS]
+        self.membership.config = ConfigAdvert(own.stage, own.mark, own.bits)
+        self.membership.config_why = replica.status()[:MAX_STATUS_CHARACTERS]
         if self._has_left and replica.sure and self.storage.file is not None:
             self._has_left = False
             self.storage.forget_leaving()
@@ -372,24 +375,7 @@
 
     def status(self) -> dict[str, Any]:
         """Return what `cherrygrade fleet status` shows, as this dispatcher knows it."""
-        replica = self.replica
-        if replica is None:
-            return {}
-        version = replica.version
-        return {
-            "stage": replica.stage,
-            "number": version.number if version is not None else 0,
-            "digest": version.digest.hex() if version is not None else "",
-            "by": version.by if version is not None else "",
-            "settled": bool(replica.stage % 2),
-            "since": self.since,
-            "sure": replica.sure,
-            "trouble": replica.status(),
-            "kept": self.storage.location,
-            "fetched_bytes": self.fetched_bytes,
-            "given_bytes": self.sent_bytes,
-            "saves": self.storage.saves,
-        }
+        return config_status(self)
 
     async def missing(self, number: int) -> list[MissingMember]:
         """Return who of the fleet of record is not known to have a version or a later one in force."""
--- /dev/null
+++ b/cherrygrade/fleet/runtime/config_status.py
@@ -0,0 +1,30 @@
+"""The configuration's part of the answer to `cherrygrade fleet status`."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+if TYPE_CHECKING:
+    from cherrygrade.fleet.runtime.config_exchange import ConfigExchange
+
+
+def config_status(exchange: ConfigExchange) -> dict[str, Any]:
+    """Return the configuration as one dispatcher knows it, in JSON's terms; empty before its start."""
+    replica = exchange.replica
+    if replica is None:
+        return {}
+    version = replica.version
+    return {
+        "stage": replica.stage,
+        "number": version.number if version is not None else 0,
+        "digest": version.digest.hex() if version is not None else "",
+        "by": version.by if version is not None else "",
+        "settled": bool(replica.stage % 2),
+        "since": exchange.since,
+        "sure": replica.sure,
+        "trouble": replica.status(),
+        "kept": exchange.storage.location,
+        "fetched_bytes": exchange.fetched_bytes,
+        "given_bytes": exchange.sent_bytes,
+        "saves": exchange.storage.saves,
+    }
--- a/cherrygrade/fleet/runtime/council_connections.py
+++ b/cherrygrade/fleet/runtime/council_connections.py
@@ -11,6 +11,7 @@
 
 import msgspec
 
+from cherrygrade.fleet.runtime import stream_roles
 from cherrygrade.fleet.runtime.framed_connection import FramedConnection
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, Hello
@@ -98,7 +99,7 @@
 
     def connected(self, conn: Connection) -> None:
         """Introduce this dispatcher, then send what waits."""
-        conn.send(Hello(VERSION, "council", self.council_server.name, [self.council_server.fleet]))
+        conn.send(Hello(VERSION, stream_roles.COUNCIL, self.council_server.name, [self.council_server.fleet]))
         self.ready = True
         while self.queue:
             self.send_message(self.queue.popleft())
--- a/cherrygrade/fleet/runtime/council_server.py
+++ b/cherrygrade/fleet/runtime/council_server.py
@@ -137,16 +137,16 @@
         folder = Path(self.council.folder)
         loop = asyncio.get_running_loop()
         try:
-            store, stored, trouble = await loop.run_in_executor(
+            opened = await loop.run_in_executor(
                 self._disk_thread, open_store, folder, self.fleet, self.name, self.birth
             )
         except (OSError, lmdb.Error) as error:
             self._stop_voting(error)
             return
-        self.store = store
-        if trouble:
-            self._log("council store put aside", why=trouble)
-        self._start_voting(store, stored)
+        self.store = opened.store
+        if opened.why_put_aside:
+            self._log("council store put aside", why=opened.why_put_aside)
+        self._start_voting(opened.store, opened.state)
 
     def _start_voting(self, store: VoterStore, stored: PersistentState) -> None:
         self.voter = Voter(
--- a/cherrygrade/fleet/runtime/datagram_receiver.py
+++ b/cherrygrade/fleet/runtime/datagram_receiver.py
@@ -10,11 +10,14 @@
 
 
 class DatagramReceiver(asyncio.DatagramProtocol):
+    """The asyncio protocol of the agent's UDP socket."""
+
     def __init__(self, agent: FleetAgent) -> None:
         self.agent = agent
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.agent.came(data, (addr[0], addr[1]))
+        """Called by asyncio with each datagram; `addr` begins with the sender's IP address and port."""
+        self.agent.datagram_received(data, (addr[0], addr[1]))
 
     def error_received(self, exc: Exception) -> None:
-        pass  # a place where nobody listens: found out by silence, as everywhere
+        """Called by asyncio where nobody listens at a member's address: its silence is noticed anyway."""
--- a/cherrygrade/fleet/runtime/fleet_agent.py
+++ b/cherrygrade/fleet/runtime/fleet_agent.py
@@ -1,6 +1,7 @@
-"""The fleet's sockets: datagrams for pages, streams for whole rolls and for people who ask, one timer.
+"""One dispatcher's part in the fleet: its UDP socket, its streams and its timer.
 
-Nothing is decided here; `core.py` says what goes where. A datagram that can't be sent is lost, as on any way.
+The decisions are `membership/membership.py`'s; here its effects are carried out. A datagram that can't be
+sent is lost, as the network may lose any.
 """
 
 from __future__ import annotations
@@ -8,20 +9,21 @@
 import asyncio
 import select
 from collections.abc import Callable
-from dataclasses import asdict
 from typing import TYPE_CHECKING, Any
 from zlib import crc32
 
 from cherrygrade.fleet.membership.inbound_budget import InboundBudget
 from cherrygrade.fleet.membership.membership import Effects, Membership
 from cherrygrade.fleet.membership.messages import MOST_PAGE, AnyMessage, MessageCodec, Probe, letter
-from cherrygrade.fleet.membership.partition import TABLE, PartitionState
+from cherrygrade.fleet.membership.partition import PartitionState
 from cherrygrade.fleet.membership.table import MemberInfo
 from cherrygrade.fleet.runtime.addresses import parse_address
+from cherrygrade.fleet.runtime.agent_status import agent_counts, agent_status
 from cherrygrade.fleet.runtime.datagram_receiver import DatagramReceiver
-from cherrygrade.fleet.runtime.peer_stream import MOST_STREAMS, PeerStream
+from cherrygrade.fleet.runtime.peer_stream import MAX_STREAMS, PeerStream
 from cherrygrade.scheduling.model import Attempt, Outcome
 from cherrygrade.settings import CouncilSettings, FleetSettings, StartReference
+from cherrygrade.transport.connection import Connection
 from cherrygrade.transport.listening import listen
 
 if TYPE_CHECKING:
@@ -31,9 +33,13 @@
     from cherrygrade.fleet.runtime.council_server import CouncilServer
     from cherrygrade.fleet.runtime.lease_tasks import LeaseTaskRunner
 
-GRAIN_S = 0.005  # a beat may come so late; what is due within it goes with it
+TIMER_GRAIN_MS = 5.0  # the timer may be so late; what is due within it is done with it
+MIN_TIMER_CHANGE_MS = 1.0
+NEVER_MS = 1e14
+NODE_MARK_BITS = 0xFFFF
 
-MET = {
+# What an attempt's outcome says of its node; outcomes that say nothing of it are not here.
+CONTACT_BY_OUTCOME = {
     Outcome.OK: "answered",
     Outcome.REJECTED: "answered",
     Outcome.FAILED: "errored",
@@ -44,7 +50,27 @@
 
 
 class FleetAgent:
-    """One dispatcher's part. `streams` end by themselves or by time; nothing else here grows."""
+    """Takes part in the fleet for one dispatcher.
+
+    Attributes:
+        fleet: The fleet's settings.
+        name: This dispatcher's name.
+        clock: The time in ms.
+        membership: The membership's decisions.
+        codec: Reads and writes the fleet's datagrams.
+        inbound_budget: Received datagrams that wait to be read; those beyond the budget are dropped.
+        streams: Exchanges and status queries that have not ended; each ends by itself or by its timeout.
+        operator_connections: Of operators' commands that have not ended.
+        node_addresses: Of the nodes that attempts went to, by mark; bounded by the number of marks.
+        config: The shared configuration; None where it is off.
+        council_server: None where the settings name no council.
+        lease_tasks: None where the settings name no council.
+        sent: Datagrams sent, in all.
+        sent_bytes: Bytes of them.
+        received: Datagrams received, in all.
+        received_bytes: Bytes of them.
+        unsent: Datagrams that could not be sent, in all.
+    """
 
     def __init__(
         self,
@@ -53,83 +79,111 @@
         seat: int,
         record: int,
         seed: int,
-        origin: StartReference,
+        start: StartReference,
         clock: Callable[[], float],
-        heard: Callable[[int, bytes], None],
+        on_scheduler_message: Callable[[int, bytes], None],
         log: Callable[..., None],
         in_force: InForce | None = None,
         judge: Judge | None = None,
     ) -> None:
-        """`in_force`, where there is a council: configuration is on, and put in force by this. `judge`: of a
-        change that somebody asks for."""
-        self._in_force, self._judge = in_force, judge
-        self.config: ConfigExchange | None = None
-        self.desks: dict[AdminServer, None] = {}
-        self.fleet, self.name, self.clock = fleet, name, clock
-        self._heard, self._log, self._seed = heard, log, seed
-        self.book = MessageCodec(fleet.name)
-        own = MemberInfo(fleet.place, fleet.zone, origin.version, origin.settings, seat)
-        self.core = Membership(
-            name, origin.birth, own, record, fleet.contacts, seed, clock(), fleet.period_ms, fleet.keep_ms
+        """Take the settings and callbacks; `start` opens the sockets.
+
+        Args:
+            fleet: The fleet's settings.
+            name: This dispatcher's name.
+            seat: This dispatcher's seat.
+            record: How many dispatchers the fleet of record has.
+            seed: Of random choices.
+            start: When this dispatcher started, with its version and settings.
+            clock: Returns the time in ms.
+            on_scheduler_message: Called with another scheduler's message and its seat.
+            log: Writes a line with an event and facts.
+            in_force: Puts a configuration in force; None keeps the shared configuration off.
+            judge: Reads the texts of proposed configurations; None refuses all.
+        """
+        self.fleet = fleet
+        self.name = name
+        self.clock = clock
+        self.codec = MessageCodec(fleet.name)
+        own = MemberInfo(fleet.place, fleet.zone, start.version, start.settings, seat)
+        self.membership = Membership(
+            name, start.birth, own, record, fleet.contacts, seed, clock(), fleet.period_ms, fleet.keep_ms
         )
-        self.sent = self.sent_bytes = self.got = self.got_bytes = self.unsent = 0
-        self.ration: InboundBudget[tuple[bytes, tuple[str, int]]] = InboundBudget(clock())
+        self.inbound_budget: InboundBudget[tuple[bytes, tuple[str, int]]] = InboundBudget(clock())
         self.streams: dict[PeerStream, None] = {}
-        self.addresses: dict[int, str] = {}  # of nodes that sends went to, by mark: no more than marks
+        self.operator_connections: dict[AdminServer, None] = {}
+        self.node_addresses: dict[int, str] = {}
+        self.config: ConfigExchange | None = None
         self.council_server: CouncilServer | None = None
-        self.tasks: LeaseTaskRunner | None = None
+        self.lease_tasks: LeaseTaskRunner | None = None
+        self.sent = 0
+        self.sent_bytes = 0
+        self.received = 0
+        self.received_bytes = 0
+        self.unsent = 0
+        self._seed = seed
+        self._on_scheduler_message = on_scheduler_message
+        self._log = log
+        self._in_force = in_force
+        self._judge = judge
         self._transport: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_at = 0.0
-        self._work_timer: asyncio.TimerHandle | None = None
-        self._shown: tuple[object, ...] = ()
+        self._timer_at_ms = 0.0
+        self._read_timer: asyncio.TimerHandle | None = None
+        self._logged_state: tuple[object, ...] = ()
 
     async def start(self) -> None:
+        """Put the kept configuration in force, open the sockets, and start the council's part.
+
+        Raises:
+            OSError: The fleet's address can't be bound.
+        """
         host, _, port = (self.fleet.bind or self.fleet.place).rpartition(":")
         loop = asyncio.get_running_loop()
         if self.fleet.council is not None and self._in_force is not None:
-            await self._configure(self.fleet.council, host, self._in_force)
+            await self._start_config(self.fleet.council, host, self._in_force)
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: DatagramReceiver(self), local_addr=(host, int(port))
         )
-        self._server = await listen(lambda: PeerStream(self).conn, f"{host}:{port}", MOST_STREAMS)
-        self._beat()
+        self._server = await listen(lambda: PeerStream(self).conn, f"{host}:{port}", MAX_STREAMS)
+        self._timer_due()
         if self.fleet.council is not None:
-            await self._sit(self.fleet.council, host)
+            await self._start_council(self.fleet.council, host)
 
-    async def _configure(self, council: CouncilSettings, host: str, in_force: InForce) -> None:
+    # The modules of the council and the configuration are imported only where the settings name a council:
+    # a dispatcher without one does not pay for them.
+
+    async def _start_config(self, council: CouncilSettings, host: str, in_force: InForce) -> None:
         from cherrygrade.fleet.runtime.config_exchange import ConfigExchange
 
         self.config = ConfigExchange(
             self.fleet.name,
-            self.core,
+            self.membership,
             council,
             self.fleet.config_file,
             host,
             self._seed,
             self.clock,
             in_force,
-            self._post,
+            self.apply_effects,
             self._log,
         )
         await self.config.start()
 
-    async def _sit(self, council: CouncilSettings, host: str) -> None:
-        # Where no council is named, none of it is loaded.
+    async def _start_council(self, council: CouncilSettings, host: str) -> None:
         from cherrygrade.fleet.runtime.council_server import CouncilServer
         from cherrygrade.fleet.runtime.lease_tasks import LeaseTaskRunner
 
-        core = self.core
         self.council_server = CouncilServer(
             council,
             self.fleet.name,
             self.name,
-            core.birth,
+            self.membership.birth,
             self._seed,
             host,
             self.clock,
-            self._where,
+            self._address_of,
             self._log,
             self._judge,
             lambda: self.config.log_advanced() if self.config is not None else None,
@@ -137,42 +191,60 @@
         await self.council_server.start()
         if self.config is not None:
             self.config.council_ready(self.council_server)
-        self.tasks = LeaseTaskRunner(
-            self.council_server,
-            council,
-            self._seed,
-            self.clock,
-            lambda: [one.name for one in core.roll.living()] if core.side is PartitionState.MOST else [],
-            self._log,
+        self.lease_tasks = LeaseTaskRunner(
+            self.council_server, council, self._seed, self.clock, self._members_for_tasks, self._log
         )
-        self.tasks.start()
+        self.lease_tasks.start()
 
-    def _where(self, name: str) -> str | None:
-        member = self.core.roll.members.get(name)
+    def _address_of(self, name: str) -> str | None:
+        member = self.membership.roll.members.get(name)
         return member.facts.place if member is not None and member.facts is not None else None
 
-    # What the dispatcher calls.
+    def _members_for_tasks(self) -> list[str]:
+        """Return living members by name; nobody while this dispatcher is cut off or overloaded."""
+        if self.membership.side is not PartitionState.MOST:
+            return []
+        return [member.name for member in self.membership.roll.living()]
+
+    def accept_operator(self, conn: Connection) -> AdminServer | None:
+        """Take the connection of an operator's command; None where there are too many, or no council."""
+        from cherrygrade.fleet.runtime.admin_server import MAX_OPERATORS, AdminServer
+
+        if self.config is None or self.council_server is None:
+            return None
+        if len(self.operator_connections) >= MAX_OPERATORS:
+            return None
+        connection = AdminServer(
+            self.config, self.council_server, conn, lambda: self.operator_connections.pop(connection, None)
+        )
+        self.operator_connections[connection] = None
+        return connection
+
+    # For the dispatcher.
 
-    def tell(self, peer: int | None, payload: bytes) -> None:
-        self._post(self.core.tell(peer, payload))
+    def send_scheduler_message(self, peer: int | None, payload: bytes) -> None:
+        """Send a scheduler's message to the dispatcher at a seat, or to all (None)."""
+        self.apply_effects(self.membership.tell(peer, payload))
 
-    def met(self, send: Attempt) -> None:
-        """How a send ended, for what the fleet makes of its node. What never left tells nothing."""
-        how = MET.get(send.outcome) if send.outcome is not None else None
-        if how is not None:
-            mark = crc32(send.node.address.encode()) & 0xFFFF
-            self.addresses[mark] = send.node.address
-            self.core.sent(mark, how, self.clock())
+    def attempt_finished(self, attempt: Attempt) -> None:
+        """Learn from an attempt's outcome whether its node can be reached."""
+        contact = CONTACT_BY_OUTCOME.get(attempt.outcome) if attempt.outcome is not None else None
+        if contact is not None:
+            mark = crc32(attempt.node.address.encode()) & NODE_MARK_BITS
+            self.node_addresses[mark] = attempt.node.address
+            self.membership.sent(mark, contact, self.clock())
 
     def leave(self) -> None:
-        if self.tasks is not None:
-            self.tasks.leave()
+        """Give leases back and tell members that this dispatcher leaves; `close` follows."""
+        if self.lease_tasks is not None:
+            self.lease_tasks.leave()
         if self.config is not None:
             self.config.leave()
-        self._post(self.core.leave(self.clock()))
+        self.apply_effects(self.membership.leave(self.clock()))
 
     def close(self) -> None:
-        for timer in (self._timer, self._work_timer):
+        """Cancel timers and close all sockets."""
+        for timer in (self._timer, self._read_timer):
             if timer is not None:
                 timer.cancel()
         if self._transport is not None:
@@ -181,174 +253,130 @@
             self._server.close()
         for stream in [*self.streams]:
             stream.conn.close("dispatcher leaves")
-        if self.tasks is not None:
-            self.tasks.close()
+        if self.lease_tasks is not None:
+            self.lease_tasks.close()
         if self.config is not None:
             self.config.close()
-        for desk in [*self.desks]:
-            desk.conn.close("dispatcher leaves")
+        for connection in [*self.operator_connections]:
+            connection.conn.close("dispatcher leaves")
         if self.council_server is not None:
             self.council_server.close()
 
     def status(self) -> dict[str, Any]:
-        """What a person on call is shown."""
-        core, now = self.core, self.clock()
-        members = []
-        for one in sorted(core.roll, key=lambda one: one.name):
-            facts = one.facts or MemberInfo("")
-            members.append(
-                {
-                    "name": one.name,
-                    "standing": one.standing.name.lower(),
-                    "for_ms": round(now - one.since),
-                    "by": one.by,
-                    "heard_ms_ago": round(now - one.heard) if one.heard > 0.0 else None,
-                    "birth": one.birth,
-                    "turn": one.turn,
-                    "place": facts.place,
-                    "zone": facts.zone,
-                    "version": facts.version,
-                    "settings": facts.settings,
-                    "seat": facts.seat,
-                }
-            )
-        return {
-            "name": core.name,
-            "fleet": self.fleet.name,
-            "side": core.side.value,
-            "does": asdict(TABLE[core.side]),
-            "record": core.record,
-            "living": len(core.roll.living()),
-            "digest": f"{core.roll.digest:016x}",
-            "doubt": core.probing.doubt,
-            "yields": core.superseded or core.yielded_to,
-            "counts": self.counts(),
-            "members": members,
-            "nodes": self._nodes(now),
-            "council": self.council_server.status() if self.council_server is not None else None,
-            "leases": self.tasks.status() if self.tasks is not None else None,
-            "config": self.config.status() if self.config is not None else None,
-        }
-
-    def _nodes(self, now: float) -> list[dict[str, Any]]:
-        """Those that anybody has trouble with, as the fleet sees them."""
-        seen, found = self.core.seen, []
-        for mark in seen.troubled(now):
-            view, bad, tried, zones = seen.view(mark, now)
-            own = seen.own.get(mark)
-            found.append(
-                {
-                    "node": self.addresses.get(mark, f"mark {mark}"),
-                    "view": view.value,
-                    "trouble_at": bad,
-                    "tried_by": tried,
-                    "zones": zones,
-                    "ours_ms": round(now - own.bad_from) if own and own.bad_from >= 0.0 else None,
-                }
-            )
-        return found
+        """Return what `cherrygrade fleet status` shows."""
+        return agent_status(self)
 
     def counts(self) -> dict[str, int]:
-        core = self.core
-        return {
-            "sent": self.sent,
-            "sent_bytes": self.sent_bytes,
-            "got": self.got,
-            "got_bytes": self.got_bytes,
-            "unsent": self.unsent,
-            "beyond_ration": self.ration.dropped,
-            "overheard": core.overheard,
-            "accusations": core.probing.accusations,
-            "deaths": core.probing.deaths,
-            "refuted": core.refuted,
-            "stalls": core.probing.stalls,
-            "nodes_troubled": len(core.seen.troubled(self.clock())),
-            **{f"dropped_{why.replace(' ', '_')}": count for why, count in sorted(self.book.wrong.items())},
-        }
-
-    # What sockets bring.
-
-    def came(self, data: bytes, source: tuple[str, int]) -> None:
-        self.got, self.got_bytes = self.got + 1, self.got_bytes + len(data)
-        self.ration.came(letter(data), len(data), (data, source), self.clock())
-        if self._work_timer is None:
-            self._work()
-
-    def _unread(self) -> bool:
-        """Whether pages wait, here or with the system. Guards against accusing somebody whose answer came
-        while this process did not run: the event loop reads one datagram a turn, and timers ring between."""
-        if any(self.ration.waiting):
+        """Return the counters of this dispatcher's part, for status and the log."""
+        return agent_counts(self)
+
+    # Events.
+
+    def datagram_received(self, data: bytes, source: tuple[str, int]) -> None:
+        """Take a datagram; it is read in its turn."""
+        self.received += 1
+        self.received_bytes += len(data)
+        self.inbound_budget.came(letter(data), len(data), (data, source), self.clock())
+        if self._read_timer is None:
+            self._read_next()
+
+    def _has_unread_datagrams(self) -> bool:
+        """Return whether datagrams wait, here or in the kernel.
+
+        The event loop reads one datagram a turn, and timers run between: without this, a member whose answer
+        waits would be accused after this process did not run for a while.
+        """
+        if any(self.inbound_budget.waiting):
             return True
         sock = self._transport.get_extra_info("socket") if self._transport is not None else None
         if sock is None:
             return False
-        look = select.poll()
-        look.register(sock.fileno(), select.POLLIN)
-        return bool(look.poll(0))
-
-    def _work(self) -> None:
-        """One page a turn of the event loop, so that RPCs go between them."""
-        self._work_timer, now = None, self.clock()
-        held = self.ration.next(now)
-        if held is not None:
-            data, source = held
-            page = self.book.read(data)
-            if page is not None:
-                mail = self.core.hear(page, f"{source[0]}:{source[1]}", now)
-                self._post(mail, source, len(data))
-        due = self.ration.due(now)
-        if due is not None and self._work_timer is None:
-            self._work_timer = asyncio.get_running_loop().call_at(due / 1000.0, self._work)
-
-    def _beat(self) -> None:
-        self._timer, self.core.short = None, self.ration.short
-        self.core.unread = self._unread()
-        self._post(self.core.beat(self.clock() + GRAIN_S * 1000.0))
-
-    def _post(self, mail: Effects, source: tuple[str, int] | None = None, length: int = MOST_PAGE) -> None:
-        for place, page in mail.pages:
-            self._send(page, parse_address(place), MOST_PAGE)
-        for page in mail.answers:
-            self._send(page, source, length)
-        for name, place in mail.exchange:
-            self._exchange(name, place)
-        for seat, payload in mail.words:
-            self._heard(seat, payload)
-        if mail.hints and self.config is not None:
-            self.config.reports_received(mail.hints)
-        self._show()
-        at = self.core.due()
-        if at < 1e14 and (self._timer is None or at < self._timer_at - 1.0):
+        poll = select.poll()
+        poll.register(sock.fileno(), select.POLLIN)
+        return bool(poll.poll(0))
+
+    def _read_next(self) -> None:
+        """Read one datagram; one a turn of the event loop, so that RPCs go between them."""
+        self._read_timer = None
+        now = self.clock()
+        waiting = self.inbound_budget.next(now)
+        if waiting is not None:
+            data, source = waiting
+            message = self.codec.read(data)
+            if message is not None:
+                effects = self.membership.hear(message, f"{source[0]}:{source[1]}", now)
+                self.apply_effects(effects, source, len(data))
+        due = self.inbound_budget.due(now)
+        if due is not None and self._read_timer is None:
+            self._read_timer = asyncio.get_running_loop().call_at(due / 1000.0, self._read_next)
+
+    def _timer_due(self) -> None:
+        self._timer = None
+        self.membership.short = self.inbound_budget.short
+        self.membership.unread = self._has_unread_datagrams()
+        self.apply_effects(self.membership.beat(self.clock() + TIMER_GRAIN_MS))
+
+    # Effects.
+
+    def apply_effects(
+        self, effects: Effects, source: tuple[str, int] | None = None, max_answer_bytes: int = MOST_PAGE
+    ) -> None:
+        """Carry out effects of the membership, and set the timer anew.
+
+        Args:
+            effects: What to carry out.
+            source: Where the datagram came from that the effects' answers go back to.
+            max_answer_bytes: An answer is no longer than the datagram: nobody can use it to flood others.
+        """
+        for place, message in effects.pages:
+            self._send(message, parse_address(place), MOST_PAGE)
+        for message in effects.answers:
+            self._send(message, source, max_answer_bytes)
+        for name, place in effects.exchange:
+            self._start_exchange(name, place)
+        for seat, payload in effects.words:
+            self._on_scheduler_message(seat, payload)
+        if effects.hints and self.config is not None:
+            self.config.reports_received(effects.hints)
+        self._log_state()
+        self._set_timer()
+
+    def _set_timer(self) -> None:
+        due = self.membership.due()
+        if due < NEVER_MS and (self._timer is None or due < self._timer_at_ms - MIN_TIMER_CHANGE_MS):
             if self._timer is not None:
                 self._timer.cancel()
-            self._timer_at = at
-            self._timer = asyncio.get_running_loop().call_at(max(at, self.clock()) / 1000.0, self._beat)
+            self._timer_at_ms = due
+            at_s = max(due, self.clock()) / 1000.0
+            self._timer = asyncio.get_running_loop().call_at(at_s, self._timer_due)
 
-    def _send(self, page: AnyMessage, to: tuple[str, int] | None, most: int) -> None:
+    def _send(self, message: AnyMessage, to: tuple[str, int] | None, max_bytes: int) -> None:
         if to is None or self._transport is None or self._transport.is_closing():
             self.unsent += 1
             return
-        data = self.book.write(page, most if not isinstance(page, Probe) else MOST_PAGE)
-        if len(data) > most:
+        data = self.codec.write(message, max_bytes if not isinstance(message, Probe) else MOST_PAGE)
+        if len(data) > max_bytes:
             self.unsent += 1
             return
         self._transport.sendto(data, to)
-        self.ration.spent(letter(data), len(data), self.clock())
-        self.sent, self.sent_bytes = self.sent + 1, self.sent_bytes + len(data)
+        self.inbound_budget.spent(letter(data), len(data), self.clock())
+        self.sent += 1
+        self.sent_bytes += len(data)
 
-    def _exchange(self, name: str, place: str) -> None:
+    def _start_exchange(self, name: str, place: str) -> None:
         to = parse_address(place)
-        if to is not None and len(self.streams) < MOST_STREAMS:
+        if to is not None and len(self.streams) < MAX_STREAMS:
             stream = PeerStream(self, name)
             stream.task = asyncio.get_running_loop().create_task(stream.connect(to))
 
-    def _show(self) -> None:
-        """A line where what this dispatcher takes itself for changed."""
-        core = self.core
-        shown = (core.side, core.superseded, core.yielded_to)
-        if shown != self._shown:
-            self._shown = shown
-            facts: dict[str, Any] = {"living": len(core.roll.living()), "record": core.record}
-            if core.superseded or core.yielded_to:
-                facts["seat_is_of"] = core.superseded or core.yielded_to
-            self._log("fleet side", side=core.side.value, **facts)
+    def _log_state(self) -> None:
+        """Log a line where this dispatcher's side of a partition, or the owner of its seat, changed."""
+        membership = self.membership
+        state = (membership.side, membership.superseded, membership.yielded_to)
+        if state == self._logged_state:
+            return
+        self._logged_state = state
+        facts: dict[str, Any] = {"living": len(membership.roll.living()), "record": membership.record}
+        if membership.superseded or membership.yielded_to:
+            facts["seat_is_of"] = membership.superseded or membership.yielded_to
+        self._log("fleet side", side=membership.side.value, **facts)
--- a/cherrygrade/fleet/runtime/lease_exercise.py
+++ b/cherrygrade/fleet/runtime/lease_exercise.py
@@ -1,4 +1,8 @@
-"""Exercises the leases: orders sequence numbers at a receiver while a lease is held."""
+"""Exercises the leases: while one is held, orders with its number go to a receiver.
+
+The receiver carries out an order only where its lease number is not lower than one before. It shows operators
+that leases are granted, renewed and taken over, and tests that no two holders act at once.
+"""
 
 from __future__ import annotations
 
@@ -11,18 +15,28 @@
 if TYPE_CHECKING:
     from cherrygrade.fleet.runtime.lease_tasks import LeaseTaskRunner
 
-DRILL_S = 0.1
+ORDER_INTERVAL_S = 0.1
 
 
 class LeaseExercise:
-    """Orders of all drills that are held, on one connection."""
+    """Sends the orders of all exercise tasks that are held, on one connection.
+
+    Attributes:
+        runner: Holds the leases.
+        receiver: `IP:PORT` of the receiver.
+        source: The IP address that the connection is made from.
+        count: Orders sent, in all.
+    """
 
-    def __init__(self, tasks: LeaseTaskRunner, receiver: str, source: str) -> None:
-        self.tasks, self.receiver, self.source = tasks, receiver, source
+    def __init__(self, runner: LeaseTaskRunner, receiver: str, source: str) -> None:
+        self.runner = runner
+        self.receiver = receiver
+        self.source = source
         self.count = 0
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self) -> None:
+        """Stop at once."""
         self._task.cancel()
 
     async def _run(self) -> None:
@@ -32,32 +46,32 @@
                 assert to is not None  # checked with the settings
                 reader, writer = await asyncio.open_connection(*to, local_addr=(self.source, 0))
                 try:
-                    await self._order(reader, writer)
+                    await self._send_orders(reader, writer)
                 finally:
                     writer.close()
             except (OSError, ValueError, asyncio.IncompleteReadError):
-                pass
-            await asyncio.sleep(DRILL_S)
+                pass  # the receiver is down, or sent no JSON: connect again
+            await asyncio.sleep(ORDER_INTERVAL_S)
 
-    async def _order(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        holding, clock = self.tasks.holding, self.tasks.clock
+    async def _send_orders(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        holder, clock = self.runner.holder, self.runner.clock
         while True:
-            for task in [*holding.held]:
-                number = holding.may(task, clock())  # right before the write
+            for task in [*holder.held]:
+                number = holder.may(task, clock())  # right before the write: the lease may have ended
                 if not number:
                     continue
                 self.count += 1
                 order = {
                     "task": task,
                     "number": number,
-                    "holder": holding.name,
-                    "birth": holding.birth,
+                    "holder": holder.name,
+                    "birth": holder.birth,
                     "count": self.count,
                 }
                 writer.write(json.dumps(order).encode() + b"\n")
-                holding.ordered(task, number, 1)
+                holder.ordered(task, number, 1)
                 line = await reader.readuntil(b"\n")
-                holding.ordered(task, number, -1)
-                if not json.loads(line)["done"]:  # a higher number was there: this one's time is over
-                    holding.held.pop(task, None)
-            await asyncio.sleep(DRILL_S)
+                holder.ordered(task, number, -1)
+                if not json.loads(line)["done"]:  # the receiver knows a later holder: this lease is over
+                    holder.held.pop(task, None)
+            await asyncio.sleep(ORDER_INTERVAL_S)
--- a/cherrygrade/fleet/runtime/lease_tasks.py
+++ b/cherrygrade/fleet/runtime/lease_tasks.py
@@ -1,13 +1,14 @@
-"""Tasks that this dispatcher does for the fleet while it holds their leases; decisions in `leases/`.
+"""Tasks that this dispatcher does for the fleet while it holds their leases.
 
-A drill is a task that does nothing but order a mark at a receiver, with its lease's number: it shows on call
-that leases are granted, renewed and taken over, and to tests that two never act at once.
+The decisions are `leases/lease_holder.py`'s (what is held and for how long) and `leases/lease_client.py`'s
+(which free tasks to take); here their requests go to the council.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
+from typing import Any
 
 from cherrygrade.fleet.consensus.voter import (
     AcquireLease,
@@ -25,13 +26,23 @@
 from cherrygrade.fleet.runtime.lease_exercise import LeaseExercise
 from cherrygrade.settings import CouncilSettings
 
-TICK_S = 0.05
-WITHIN_S = 2.0
-MOST_ASKS = 8  # at once
+TICK_INTERVAL_S = 0.05
+REQUEST_TIMEOUT_S = 2.0
+MAX_REQUESTS = 8  # at once, before another look for free tasks
 
 
 class LeaseTaskRunner:
-    """`asking` is emptied as answers come or their time is up."""
+    """Acquires, renews and releases the leases of tasks.
+
+    Attributes:
+        council_server: The way to the council.
+        council: The council's settings.
+        clock: The time in ms.
+        holder: The leases that are held here.
+        client: The tasks that this dispatcher would take.
+        requests: Requests to the council that have not ended; each ends by its reply or its timeout.
+        exercise: Sends orders for the exercise tasks, where the settings name a receiver.
+    """
 
     def __init__(
         self,
@@ -42,111 +53,135 @@
         living: Callable[[], list[str]],
         log: Callable[..., None],
     ) -> None:
-        """`living`: by name; nobody where this one is in no state to do anything for the fleet."""
-        self.council_server, self.council, self.clock = council_server, council, clock
-        self._living, self._log = living, log
-        self.holding = LeaseHolder(council_server.name, council_server.birth, council.lease_ms, council.drift)
-        self.wanting = LeaseClient(council_server.name, seed, clock())
-        self.asking: set[asyncio.Task[None]] = set()
-        self.drill: LeaseExercise | None = None
-        for task in council.drills:
-            self.wanting.want(task)
+        """Take the settings and callbacks; `start` begins.
+
+        Args:
+            council_server: The way to the council.
+            council: The council's settings.
+            seed: Of random choices.
+            clock: Returns the time in ms.
+            living: Returns living members by name; nobody while this dispatcher may do nothing for the fleet.
+            log: Writes a line with an event and facts.
+        """
+        self.council_server = council_server
+        self.council = council
+        self.clock = clock
+        self.holder = LeaseHolder(council_server.name, council_server.birth, council.lease_ms, council.drift)
+        self.client = LeaseClient(council_server.name, seed, clock())
+        self.requests: set[asyncio.Task[None]] = set()
+        self.exercise: LeaseExercise | None = None
+        self._living = living
+        self._log = log
         self._timer: asyncio.TimerHandle | None = None
+        for task in council.drills:
+            self.client.want(task)
 
     def start(self) -> None:
+        """Begin to look for free tasks."""
         if self.council.drills and self.council.receiver:
-            self.drill = LeaseExercise(self, self.council.receiver, self.council_server.source)
-        self._beat()
+            self.exercise = LeaseExercise(self, self.council.receiver, self.council_server.source)
+        self._tick()
 
     def leave(self) -> None:
-        """This dispatcher ends: what it holds goes back at once, not at its end."""
-        self.wanting.tasks.clear()
-        self._give_all()
-
-    def _give_all(self) -> None:
-        for task in [*self.holding.held]:
-            self._begin(self._give(task))
-
-    async def _give(self, task: str) -> None:
-        await self.give(task)
+        """Release all leases now, so that others need not wait for their end; take none from now on."""
+        self.client.tasks.clear()
+        self._release_all()
 
     def close(self) -> None:
+        """Cancel the timer, all requests and the exercise."""
         if self._timer is not None:
             self._timer.cancel()
-        for task in self.asking:
-            task.cancel()
-        if self.drill is not None:
-            self.drill.close()
+        for request in self.requests:
+            request.cancel()
+        if self.exercise is not None:
+            self.exercise.close()
 
     def status(self) -> dict[str, float]:
-        """Tasks that are held here, and for how many ms yet."""
+        """Return the tasks that are held here, and for how many ms yet."""
         now = self.clock()
-        return {task: round(held.ends - now) for task, held in self.holding.held.items()}
+        return {task: round(held.ends - now) for task, held in self.holder.held.items()}
 
-    def _beat(self) -> None:
+    def _tick(self) -> None:
         now = self.clock()
-        renew, over = self.holding.beat(now)
-        for task in over:
+        renew, ended = self.holder.beat(now)
+        for task in ended:
             self._log("lease over", task=task)
         if renew:
-            self._begin(self._renew())
+            self._start_request(self._renew())
         living = self._living()
-        if not living:  # among the few, alone or overloaded: others do it better
-            self._give_all()
-        elif len(self.asking) < MOST_ASKS and (some := self.wanting.poll(now, living, {*self.holding.held})):
-            self._begin(self._look(some))
-        self._timer = asyncio.get_running_loop().call_later(TICK_S, self._beat)
+        if not living:  # cut off or overloaded: others do the tasks better
+            self._release_all()
+        elif len(self.requests) < MAX_REQUESTS:
+            tasks = self.client.poll(now, living, {*self.holder.held})
+            if tasks:
+                self._start_request(self._acquire_free(tasks))
+        self._timer = asyncio.get_running_loop().call_later(TICK_INTERVAL_S, self._tick)
+
+    def _start_request(self, request: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(request)
+        self.requests.add(task)
+        task.add_done_callback(self.requests.discard)
+
+    def _release_all(self) -> None:
+        for task in [*self.holder.held]:
+            self._start_request(self._release(task))
+
+    async def _release(self, task: str) -> None:
+        await self.release(task)
+
+    async def release(self, task: str, failed: str = "") -> bool:
+        """Give a lease back to the council.
+
+        Args:
+            task: The task.
+            failed: Why the task could not be done; "" where it was.
+
+        Returns:
+            False where an order of the task is still out, or its lease is not held.
+        """
+        number = self.holder.give(task)
+        if number:
+            await self._request_release(task, number, failed)
+        return bool(number)
 
-    def _begin(self, doing: object) -> None:
-        task: asyncio.Task[None] = asyncio.get_running_loop().create_task(doing)  # type: ignore[arg-type]
-        self.asking.add(task)
-        task.add_done_callback(self.asking.discard)
+    async def _request_release(self, task: str, number: int, failed: str = "") -> None:
+        request = ReleaseLease(self.holder.ask(self.clock()), task, number, failed)
+        try:
+            await self.council_server.request(request, REQUEST_TIMEOUT_S)
+        except CouncilUnreachableError:
+            pass  # the lease ends by its time, or a renewal finds that it is not held here
 
     async def _renew(self) -> None:
-        asked, same = self.holding.renew(self.clock())
-        ask = RenewLeases(asked, self.holding.name, self.holding.birth, same)
+        asked, same = self.holder.renew(self.clock())
+        request = RenewLeases(asked, self.holder.name, self.holder.birth, same)
         try:
-            answer = await self.council_server.request(ask, WITHIN_S)
+            reply = await self.council_server.request(request, REQUEST_TIMEOUT_S)
         except CouncilUnreachableError:
+            return  # leases end by their time unless a later renewal is answered
+        if not isinstance(reply, LeasesRenewed):
             return
-        if isinstance(answer, LeasesRenewed):
-            for task in self.holding.renewed(asked, answer.numbers, self.clock(), answer.same):
-                self._log("lease lost", task=task)
-            strays, self.holding.strays = self.holding.strays, {}
-            for task, number in strays.items():
-                self._log("lease given back", task=task, number=number, why="not held here")
-                await self._back(task, number)
-
-    async def _look(self, some: list[str]) -> None:
+        for task in self.holder.renewed(asked, reply.numbers, self.clock(), reply.same):
+            self._log("lease lost", task=task)
+        strays, self.holder.strays = self.holder.strays, {}
+        for task, number in strays.items():
+            self._log("lease given back", task=task, number=number, why="not held here")
+            await self._request_release(task, number)
+
+    async def _acquire_free(self, tasks: list[str]) -> None:
+        request = ListFreeTasks(self.holder.ask(self.clock()), tasks)
         try:
-            answer = await self.council_server.request(
-                ListFreeTasks(self.holding.ask(self.clock()), some), WITHIN_S
-            )
-            if isinstance(answer, FreeTasks):
-                for task in self.wanting.told(some, answer.tasks, self._living(), self.clock()):
-                    await self._take(task)
+            reply = await self.council_server.request(request, REQUEST_TIMEOUT_S)
+            if isinstance(reply, FreeTasks):
+                for task in self.client.told(tasks, reply.tasks, self._living(), self.clock()):
+                    await self._acquire(task)
         except CouncilUnreachableError:
-            return
-
-    async def _take(self, task: str) -> None:
-        asked = self.holding.ask(self.clock(), task)
-        ask = AcquireLease(asked, task, self.holding.name, self.holding.birth, self.council.lease_ms)
-        answer = await self.council_server.request(ask, WITHIN_S)
-        if isinstance(answer, LeaseAcquired) and self.holding.granted(
-            asked, task, answer.told.number, self.clock()
+            return  # the next look asks again
+
+    async def _acquire(self, task: str) -> None:
+        asked = self.holder.ask(self.clock(), task)
+        request = AcquireLease(asked, task, self.holder.name, self.holder.birth, self.council.lease_ms)
+        reply = await self.council_server.request(request, REQUEST_TIMEOUT_S)
+        if isinstance(reply, LeaseAcquired) and self.holder.granted(
+            asked, task, reply.told.number, self.clock()
         ):
-            self._log("lease held", task=task, number=answer.told.number)
-
-    async def give(self, task: str, failed: str = "") -> bool:
-        """Back to the council; False where an order is still out, or it is not held."""
-        number = self.holding.give(task)
-        if number:
-            await self._back(task, number, failed)
-        return bool(number)
-
-    async def _back(self, task: str, number: int, failed: str = "") -> None:
-        ask = ReleaseLease(self.holding.ask(self.clock()), task, number, failed)
-        try:
-            await self.council_server.request(ask, WITHIN_S)
-        except CouncilUnreachableError:
-            pass  # it ends by its time, or is found again
+            self._log("lease held", task=task, number=reply.told.number)
--- a/cherrygrade/fleet/runtime/peer_stream.py
+++ b/cherrygrade/fleet/runtime/peer_stream.py
@@ -1,4 +1,4 @@
-"""One incoming or outgoing stream between members, or from a person."""
+"""A stream to or from another member, or from an operator's command."""
 
 from __future__ import annotations
 
@@ -10,128 +10,125 @@
 
 from cherrygrade.fleet.membership.membership import Effects
 from cherrygrade.fleet.membership.table import MemberRecord
+from cherrygrade.fleet.runtime import stream_roles
+from cherrygrade.fleet.runtime.framed_connection import FramedConnection, send_in_frames
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, Bye, Hello, Members, Welcome
 
 if TYPE_CHECKING:
-    from cherrygrade.fleet.runtime.admin_server import AdminServer
-    from cherrygrade.fleet.runtime.config_connections import ConfigServer
-    from cherrygrade.fleet.runtime.council_connections import CouncilClientConnection
     from cherrygrade.fleet.runtime.fleet_agent import FleetAgent
 
-EXCHANGE_S = 2.0
-MOST_STREAMS = 16  # that came in and have not ended
-AT_ONCE = 64  # claims in one frame
-MOST_FRAMES = 64
+EXCHANGE_TIMEOUT_S = 2.0
+MAX_STREAMS = 16  # exchanges and status queries that have not ended
+RECORDS_PER_FRAME = 64
+MAX_FRAMES = 64  # of one exchange
+MAX_REASON_CHARACTERS = 200
 
-_claims = msgspec.msgpack.Decoder(list[MemberRecord])
+_records_decoder = msgspec.msgpack.Decoder(list[MemberRecord])
 
 
 class PeerStream:
-    """One exchange of whole rolls, begun here (`to`) or there; or a person's question."""
-
-    def __init__(self, agent: FleetAgent, to: str = "") -> None:
-        self.agent, self.to = agent, to
+    """One exchange of membership tables, begun here or there, or a stream that another connection serves.
+
+    A stream that came in says in its `Hello` what it is for. All but exchanges and status queries are handed
+    over to a connection of the council, the configuration or the operator's commands.
+
+    Attributes:
+        agent: Whose table is exchanged.
+        target: The member with whom this dispatcher began an exchange; "" for a stream that came in.
+        task: Makes the connection of a stream that began here.
+        conn: The connection.
+        peer: The name that the other side gave; "" before.
+        handler: Serves the stream once it was handed over.
+    """
+
+    def __init__(self, agent: FleetAgent, target: str = "") -> None:
+        self.agent = agent
+        self.target = target
         self.task: asyncio.Task[None] | None = None
         self.conn = Connection(self, 0)
         self.peer = ""
-        self.guest: CouncilClientConnection | ConfigServer | AdminServer | None = None
-        self._claims: list[MemberRecord] = []
+        self.handler: FramedConnection | None = None
+        self._records: list[MemberRecord] = []
         self._frames = 0
         self._timer: asyncio.TimerHandle | None = None
 
     async def connect(self, to: tuple[str, int]) -> None:
+        """Connect to the member with whom this dispatcher begins an exchange."""
         host = (self.agent.fleet.bind or self.agent.fleet.place).rpartition(":")[0]
+        loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(EXCHANGE_S):
-                loop = asyncio.get_running_loop()
+            async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                 await loop.create_connection(lambda: self.conn, *to, local_addr=(host, 0))
-        except OSError:
+        except OSError:  # the member is down or cut off: the failure detector finds that out
             self.agent.streams.pop(self, None)
 
     def connected(self, conn: Connection) -> None:
-        if len(self.agent.streams) >= MOST_STREAMS:
+        """Called by the connection once it is open."""
+        if len(self.agent.streams) >= MAX_STREAMS:
             conn.close("too many at once")
             return
         self.agent.streams[self] = None
-        self._timer = asyncio.get_running_loop().call_later(EXCHANGE_S, conn.abort, "no exchange in time")
-        if self.to:
-            conn.send(Hello(VERSION, "member", self.agent.name, [self.agent.fleet.name]))
-            self._say()
-
-    def _say(self) -> None:
-        claims = self.agent.core.whole()
-        loads = [claims[at : at + AT_ONCE] for at in range(0, len(claims), AT_ONCE)]
-        for index, load in enumerate(loads):
-            self.conn.send(Members(msgspec.msgpack.encode(load), index == len(loads) - 1))
+        loop = asyncio.get_running_loop()
+        self._timer = loop.call_later(EXCHANGE_TIMEOUT_S, conn.abort, "no exchange in time")
+        if self.target:
+            conn.send(Hello(VERSION, stream_roles.MEMBER, self.agent.name, [self.agent.fleet.name]))
+            self._send_table()
+
+    def _send_table(self) -> None:
+        records = self.agent.membership.whole()
+        batches = [
+            records[start : start + RECORDS_PER_FRAME] for start in range(0, len(records), RECORDS_PER_FRAME)
+        ]
+        for index, batch in enumerate(batches):
+            self.conn.send(Members(msgspec.msgpack.encode(batch), index == len(batches) - 1))
 
     def room(self, conn: Connection, message: Any, length: int) -> None:
+        """Called by the connection for a frame's body: these messages have none."""
         return None
 
     def frame(self, conn: Connection, message: Any, body: object) -> None:
-        if isinstance(message, Hello) and not self.to and not self.peer:
-            if message.role == "person":
-                data = json.dumps(self.agent.status()).encode()
-                conn.send(Welcome(VERSION, self.agent.name))
-                for at in range(0, len(data), 8192):
-                    conn.send(Members(data[at : at + 8192], at + 8192 >= len(data)))
-            elif message.role == "member" and message.features[:1] == [self.agent.fleet.name]:
-                self.peer = message.name
-                conn.send(Welcome(VERSION, self.agent.name))
-            elif message.role == "council" and message.features[:1] == [self.agent.fleet.name]:
-                self._council(message.name)
-            elif message.role == "config" and message.features[:1] == [self.agent.fleet.name]:
-                config = self.agent.config
-                self._stays(config.accept(conn) if config is not None else None, message.name)
-            elif message.role == "operator":
-                self._stays(self._desk(), message.name)
-            else:
-                conn.close(f"not of this fleet: {message.role} {message.features[:1]}"[:200])
-        elif isinstance(message, Welcome) and self.to and not self.peer:
+        """Called by the connection with each frame."""
+        if isinstance(message, Hello) and not self.target and not self.peer:
+            self._hello_received(message)
+        elif isinstance(message, Welcome) and self.target and not self.peer:
             self.peer = message.name
-        elif isinstance(message, Members) and self.guest is not None:
-            self.guest.frame_received(message)
+        elif isinstance(message, Members) and self.handler is not None:
+            self.handler.frame_received(message)
         elif isinstance(message, Members) and self.peer:
-            self._members(message)
+            self._records_received(message)
         elif not isinstance(message, Bye):
             conn.close(f"unexpected {type(message).__name__} from a member")
 
-    def _members(self, message: Members) -> None:
-        self._frames += 1
-        try:
-            self._claims += _claims.decode(message.payload)
-        except (msgspec.MsgspecError, UnicodeDecodeError):
-            self.conn.close("claims that can't be read")
+    def _hello_received(self, hello: Hello) -> None:
+        """Serve the stream by its role; all but an operator's have to be of this fleet."""
+        agent, conn = self.agent, self.conn
+        if hello.role == stream_roles.STATUS:
+            status = json.dumps(agent.status()).encode()
+            conn.send(Welcome(VERSION, agent.name))
+            send_in_frames(conn, status)
             return
-        if self._frames > MOST_FRAMES:
-            self.conn.close("too many claims")
-        elif message.last:
-            if not self.to:
-                self._say()
-            self.agent.core.exchanged(self._claims, self.peer, self.agent.clock())
-            self.agent._post(Effects())
-            self._claims = []
-            if self.to:
-                self.conn.close("exchanged")
-
-    def _council(self, name: str) -> None:
-        council_server = self.agent.council_server
-        self._stays(council_server.accept(self.conn, name) if council_server is not None else None, name)
-
-    def _desk(self) -> AdminServer | None:
-        from cherrygrade.fleet.runtime.admin_server import MOST_OPERATORS, AdminServer
-
-        agent = self.agent
-        if agent.config is None or agent.council_server is None or len(agent.desks) >= MOST_OPERATORS:
-            return None
-        desk = AdminServer(agent.config, agent.council_server, self.conn, lambda: agent.desks.pop(desk, None))
-        agent.desks[desk] = None
-        return desk
-
-    def _stays(self, guest: CouncilClientConnection | ConfigServer | AdminServer | None, name: str) -> None:
-        """It is none of the exchanges, and has its own time or none."""
-        self.guest = guest
-        if guest is None:
+        if hello.role == stream_roles.OPERATOR:
+            self._hand_over(agent.accept_operator(conn), hello.name)
+            return
+        of_this_fleet = hello.features[:1] == [agent.fleet.name]
+        if of_this_fleet and hello.role == stream_roles.MEMBER:
+            self.peer = hello.name
+            conn.send(Welcome(VERSION, agent.name))
+        elif of_this_fleet and hello.role == stream_roles.COUNCIL:
+            server = agent.council_server
+            self._hand_over(server.accept(conn, hello.name) if server is not None else None, hello.name)
+        elif of_this_fleet and hello.role == stream_roles.CONFIG:
+            config = agent.config
+            self._hand_over(config.accept(conn) if config is not None else None, hello.name)
+        else:
+            reason = f"not of this fleet: {hello.role} {hello.features[:1]}"
+            conn.close(reason[:MAX_REASON_CHARACTERS])
+
+    def _hand_over(self, handler: FramedConnection | None, name: str) -> None:
+        """Leave the stream to `handler`, which has its own timeout or none; None refuses the stream."""
+        self.handler = handler
+        if handler is None:
             self.conn.close("nobody here for that, or too many at once")
             return
         self.peer = name
@@ -140,12 +137,31 @@
         self.agent.streams.pop(self, None)
         self.conn.send(Welcome(VERSION, self.agent.name))
 
+    def _records_received(self, message: Members) -> None:
+        self._frames += 1
+        try:
+            self._records += _records_decoder.decode(message.payload)
+        except (msgspec.MsgspecError, UnicodeDecodeError):
+            self.conn.close("claims that can't be read")
+            return
+        if self._frames > MAX_FRAMES:
+            self.conn.close("too many claims")
+        elif message.last:
+            if not self.target:
+                self._send_table()
+            self.agent.membership.exchanged(self._records, self.peer, self.agent.clock())
+            self.agent.apply_effects(Effects())
+            self._records = []
+            if self.target:
+                self.conn.close("exchanged")
+
     def writable(self, conn: Connection) -> None:
-        pass
+        """Called by the connection when its buffer has room again: nobody waits for that here."""
 
     def closed(self, conn: Connection, why: str) -> None:
-        if self.guest is not None:
-            self.guest.closed(conn, why)
+        """Called once when the connection has ended."""
+        if self.handler is not None:
+            self.handler.closed(conn, why)
         if self._timer is not None:
             self._timer.cancel()
         self.agent.streams.pop(self, None)
--- a/cherrygrade/fleet/runtime/status_view.py
+++ b/cherrygrade/fleet/runtime/status_view.py
@@ -1,118 +1,162 @@
-"""The fleet for a person on call: `cherrygrade fleet status` and `watch`."""
+"""The fleet for an operator: `cherrygrade fleet status` and `cherrygrade fleet watch`."""
 
 from __future__ import annotations
 
 import asyncio
 import json
 import time
-from typing import Any
+from typing import Any, Final
 
 from rich.console import Console, Group, RenderableType
 from rich.live import Live
 from rich.table import Table
 from rich.text import Text
 
-from cherrygrade.fleet.runtime.status_query import ask
+from cherrygrade.fleet.runtime.status_query import query_status
 
-ALL_WELL, NOT_ALL, NOBODY = 0, 1, 3
-COLUMNS = ("member", "standing", "for", "by", "heard", "seat", "zone", "version", "settings", "place")
-COLOURS = {"alive": "green", "suspect": "yellow", "failed": "red", "left": "dim"}
+EXIT_HEALTHY: Final = 0
+EXIT_DEGRADED: Final = 1
+EXIT_UNREACHABLE: Final = 3
 
+WIDTH = 150  # columns of the terminal
+MEMBER_COLUMNS = (
+    "member",
+    "standing",
+    "for",
+    "by",
+    "heard",
+    "seat",
+    "zone",
+    "version",
+    "settings",
+    "place",
+)
+NODE_COLUMNS = ("node in trouble", "it", "for members", "zones", "for us since")
+STANDING_COLOURS = {"alive": "green", "suspect": "yellow", "failed": "red", "left": "dim"}
+LIVING_STANDINGS = ("alive", "suspect")
+MS_PER_S = 1000.0
+MS_PER_MIN = 60000.0
 
-def code(told: dict[str, Any]) -> int:
-    """For scripts: the whole fleet of record lives, nobody is in doubt, no seat is given up, settings are
-    one."""
-    living = [one for one in told["members"] if one["standing"] in ("alive", "suspect")]
-    doubtful = any(one["standing"] == "suspect" for one in living)
-    whole = told["living"] == told["record"] and not doubtful and not told["yields"]
-    same = len({one["settings"] for one in living}) <= 1
-    return ALL_WELL if whole and same else NOT_ALL
 
+def exit_code(status: dict[str, Any]) -> int:
+    """Return the exit code for scripts.
 
-def span(ms: float | None) -> str:
+    The fleet is healthy where all of the fleet of record live, nobody is suspect, this dispatcher did not
+    give up its seat, and all run on the same settings.
+    """
+    living = [member for member in status["members"] if member["standing"] in LIVING_STANDINGS]
+    any_suspect = any(member["standing"] == "suspect" for member in living)
+    complete = status["living"] == status["record"] and not any_suspect and not status["yields"]
+    same_settings = len({member["settings"] for member in living}) <= 1
+    return EXIT_HEALTHY if complete and same_settings else EXIT_DEGRADED
+
+
+def format_duration(ms: float | None) -> str:
+    """Return a duration for people; None is one that never began."""
     if ms is None:
         return "never"
-    if ms < 1000.0:
+    if ms < MS_PER_S:
         return f"{ms:.0f} ms"
-    return f"{ms / 1000.0:.1f} s" if ms < 60000.0 else f"{ms / 60000.0:.0f} min"
+    return f"{ms / MS_PER_S:.1f} s" if ms < MS_PER_MIN else f"{ms / MS_PER_MIN:.0f} min"
 
 
-def draw(told: dict[str, Any]) -> RenderableType:
-    head = Text(f"{told['name']} of fleet {told['fleet']}: {told['side']}, ")
-    head.append(f"{told['living']} of {told['record']} live, roll {told['digest']}, doubt {told['doubt']}")
-    if told["yields"]:
-        head.append(f"\nits seat is of {told['yields']}: ", style="bold red")
-        head.append("it uses no part of cold nodes and limits", style="bold red")
-    seats: dict[int, int] = {}
-    settings: dict[str, int] = {}
-    table = Table(box=None, pad_edge=False)
-    for name in COLUMNS:
-        table.add_column(name, no_wrap=True)
-    for one in told["members"]:
-        lives = one["standing"] in ("alive", "suspect")
-        if lives:
-            settings[one["settings"]] = settings.get(one["settings"], 0) + 1
-            seats[one["seat"]] = seats.get(one["seat"], 0) + (one["seat"] >= 0)
-        own = one["name"] == told["name"]
-        table.add_row(
-            one["name"],
-            Text(one["standing"], style=COLOURS[one["standing"]]),
-            span(one["for_ms"]),
-            one["by"],
-            "-" if own else span(one["heard_ms_ago"]),
-            str(one["seat"]) if one["seat"] >= 0 else "none",
-            one["zone"],
-            one["version"],
-            one["settings"],
-            one["place"],
-        )
-    parts: list[RenderableType] = [head, table]
+def render_status(status: dict[str, Any]) -> RenderableType:
+    """Return the fleet as one dispatcher knows it: a head, its members, warnings and nodes in trouble."""
+    parts: list[RenderableType] = [_head(status), _member_table(status)]
+    living = [member for member in status["members"] if member["standing"] in LIVING_STANDINGS]
+    settings = _count([member["settings"] for member in living])
     if len(settings) > 1:
-        told_of = ", ".join(f"{mark} at {count}" for mark, count in sorted(settings.items()))
-        parts.append(Text(f"settings differ: {told_of}", style="bold yellow"))
-    if told["nodes"]:
-        nodes = Table(box=None, pad_edge=False)
-        for name in ("node in trouble", "it", "for members", "zones", "for us since"):
-            nodes.add_column(name, no_wrap=True)
-        for one in told["nodes"]:
-            part, ours = f"{one['trouble_at']} of {one['tried_by']}", one["ours_ms"]
-            since = span(ours) if ours is not None else "no trouble here"
-            nodes.add_row(one["node"], one["view"], part, " ".join(one["zones"]), since)
-        parts.append(nodes)
+        by_settings = ", ".join(f"{mark} at {count}" for mark, count in sorted(settings.items()))
+        parts.append(Text(f"settings differ: {by_settings}", style="bold yellow"))
+    if status["nodes"]:
+        parts.append(_node_table(status["nodes"]))
+    seats = _count([member["seat"] for member in living if member["seat"] >= 0])
     doubled = sorted(seat for seat, count in seats.items() if count > 1)
     if doubled:
         parts.append(Text(f"seats claimed twice: {doubled}", style="bold red"))
     return Group(*parts)
 
 
-def status(place: str, as_json: bool) -> int:
+def _count(values: list[Any]) -> dict[Any, int]:
+    counts: dict[Any, int] = {}
+    for value in values:
+        counts[value] = counts.get(value, 0) + 1
+    return counts
+
+
+def _head(status: dict[str, Any]) -> Text:
+    head = Text(f"{status['name']} of fleet {status['fleet']}: {status['side']}, ")
+    head.append(f"{status['living']} of {status['record']} live, ")
+    head.append(f"roll {status['digest']}, doubt {status['doubt']}")
+    if status["yields"]:
+        head.append(f"\nits seat is of {status['yields']}: ", style="bold red")
+        head.append("it uses no part of cold nodes and limits", style="bold red")
+    return head
+
+
+def _member_table(status: dict[str, Any]) -> Table:
+    table = Table(box=None, pad_edge=False)
+    for name in MEMBER_COLUMNS:
+        table.add_column(name, no_wrap=True)
+    for member in status["members"]:
+        is_own = member["name"] == status["name"]
+        table.add_row(
+            member["name"],
+            Text(member["standing"], style=STANDING_COLOURS[member["standing"]]),
+            format_duration(member["for_ms"]),
+            member["by"],
+            "-" if is_own else format_duration(member["heard_ms_ago"]),
+            str(member["seat"]) if member["seat"] >= 0 else "none",
+            member["zone"],
+            member["version"],
+            member["settings"],
+            member["place"],
+        )
+    return table
+
+
+def _node_table(nodes: list[dict[str, Any]]) -> Table:
+    table = Table(box=None, pad_edge=False)
+    for name in NODE_COLUMNS:
+        table.add_column(name, no_wrap=True)
+    for node in nodes:
+        part = f"{node['trouble_at']} of {node['tried_by']}"
+        ours = node["ours_ms"]
+        since = format_duration(ours) if ours is not None else "no trouble here"
+        table.add_row(node["node"], node["view"], part, " ".join(node["zones"]), since)
+    return table
+
+
+def show_status(place: str, as_json: bool) -> int:
+    """Print the fleet as the dispatcher at `place` (IP:PORT) knows it; return the exit code."""
     try:
-        told = asyncio.run(ask(place))
-    except (OSError, TimeoutError) as trouble:
-        Console(stderr=True).print(f"{place}: {trouble or 'no answer in time'}")
-        return NOBODY
+        status = asyncio.run(query_status(place))
+    except (OSError, TimeoutError) as error:
+        Console(stderr=True).print(f"{place}: {error or 'no answer in time'}")
+        return EXIT_UNREACHABLE
     if as_json:
-        print(json.dumps(told, indent=1))
+        print(json.dumps(status, indent=1))
     else:
-        Console(width=150).print(draw(told))
-    return code(told)
+        Console(width=WIDTH).print(render_status(status))
+    return exit_code(status)
 
 
-def watch(place: str, every_s: float, times: int) -> int:
-    found = NOBODY
+def watch_status(place: str, every_s: float, times: int) -> int:
+    """Print it again and again, `times` times or (0) until interrupted; return the last exit code."""
+    code = EXIT_UNREACHABLE
     try:
-        with Live(console=Console(width=150), auto_refresh=False) as live:
+        with Live(console=Console(width=WIDTH), auto_refresh=False) as live:
             while True:
                 try:
-                    told = asyncio.run(ask(place))
-                    found = code(told)
-                    live.update(draw(told), refresh=True)
-                except (OSError, TimeoutError) as trouble:
-                    found = NOBODY
-                    live.update(Text(f"{place}: {trouble or 'no answer in time'}", style="red"), refresh=True)
+                    status = asyncio.run(query_status(place))
+                    code = exit_code(status)
+                    live.update(render_status(status), refresh=True)
+                except (OSError, TimeoutError) as error:
+                    code = EXIT_UNREACHABLE
+                    live.update(Text(f"{place}: {error or 'no answer in time'}", style="red"), refresh=True)
                 times -= 1
                 if times == 0:
-                    return found
+                    return code
                 time.sleep(every_s)
     except KeyboardInterrupt:
-        return found
+        return code
--- a/cherrygrade/fleet/runtime/voter_store.py
+++ b/cherrygrade/fleet/runtime/voter_store.py
@@ -18,6 +18,7 @@
 import subprocess
 import sys
 from pathlib import Path
+from typing import NamedTuple
 from zlib import crc32
 
 import lmdb
@@ -245,7 +246,21 @@
     return aside
 
 
-def open_store(folder: Path, fleet: str, name: str, birth: int) -> tuple[VoterStore, PersistentState, str]:
+class OpenedStore(NamedTuple):
+    """What `open_store` found.
+
+    Attributes:
+        store: The store, open.
+        state: What it holds.
+        why_put_aside: Why an old store was put aside; "" where none was.
+    """
+
+    store: VoterStore
+    state: PersistentState
+    why_put_aside: str
+
+
+def open_store(folder: Path, fleet: str, name: str, birth: int) -> OpenedStore:
     """Open a voter's store; one that can't be trusted is put aside and replaced by an empty one.
 
     Args:
@@ -254,14 +269,15 @@
         name: The voter's name.
         birth: When this dispatcher started (Unix ms); the identity of a new store is derived from it.
 
-    Returns:
-        The store, what it holds, and why an old store was put aside ("" where none was).
+    Raises:
+        VoterStoreError: The store can't be trusted, though the process that checked it could read it.
+        OSError: The disk could not be read or written; lmdb.Error likewise.
     """
     why = check_store(folder, fleet, name)
     if why:
         put_aside(folder)
     store = VoterStore(folder, fleet, name, f"{crc32(f'{fleet}:{name}:{birth}'.encode()):08x}")
-    return store, store.load(), why
+    return OpenedStore(store, store.load(), why)
 
 
 def create_founding_store(folder: Path, fleet: str, name: str, voters: list[str]) -> None:
--- a/cherrygrade/gateway/inforce.py
+++ b/cherrygrade/gateway/inforce.py
@@ -69,7 +69,7 @@
     grows = yielded or not {*company.dispatcher_counts} <= {*into.counts}
     blank = grows or gate.cold.window_ms != bearings.cold.window_ms
     before = module.earnings, module.tight
-    company.dispatcher_counts, company.dispatchers, company.has = into.counts, into.counts[-1], into.has
+    company.dispatcher_counts, company.dispatchers, company.has_quota = into.counts, into.counts[-1], into.has
     module.earnings, module.permits = bearings.earnings, bearings.permits
     module.top, module.tight = into.top, into.tight
     module.ask_spread = max(1000.0, 25.0 * into.counts[-1])
--- a/cherrygrade/gateway/process.py
+++ b/cherrygrade/gateway/process.py
@@ -110,7 +110,7 @@
                 self.in_force if overlay is not None else None,
                 overlay.judge if overlay is not None else None,
             )
-            self.company = FleetPeerDirectory(self.agent.core, seat)
+            self.company = FleetPeerDirectory(self.agent.membership, seat)
         dispatcher = make(
             seed=place.seed,
             number=place.number,
@@ -167,7 +167,7 @@
             await self.agent.start()
             if self.agent.config is not None and self.company is not None:
                 self._unsure = not self._sure()
-                self.company.has = self.company.has and not self._unsure
+                self.company.has_quota = self.company.has_quota and not self._unsure
         self._server = await listen(lambda: Session(self).conn, self.place.listen, BACKLOG, ABREAST)
         self.register_watch.start()
         if self.watch.pace.watch:
@@ -201,7 +201,7 @@
         self.ranges.tell()
         self.rooms.tell()
         if self.agent is not None:
-            self.log("fleet", side=self.agent.core.side.value, **self.agent.counts())
+            self.log("fleet", side=self.agent.membership.side.value, **self.agent.counts())
         if self.words is not None:
             words, module = self.words, self.rounds.module
             counts = {"said": words.said, "lost": words.lost, "dropped": words.dropped}
@@ -470,7 +470,7 @@
         self._in_force, self._unsure = (site, version, stage), not sure
         self.trade, self.bounds = into.trade, site.bounds
         self.come_back_ms = self.watch.come_back_ms = into.bearings.permits.max_retry_after_ms
-        self.agent.core.record = max(into.counts)
+        self.agent.membership.record = max(into.counts)
         self.rounds.stir()
 
     def _held(self) -> list[InflightRequest]:
@@ -499,7 +499,7 @@
             self._go_over(*self._in_force)
         if self.agent is not None:
             for send in self.rounds.inputs.outcomes:
-                self.agent.met(send)
+                self.agent.attempt_finished(send)
         for out in self.wheel.due(now):
             self.links[out.node].give_up(out, Outcome.TIMED_OUT)
 
@@ -576,7 +576,7 @@
 
     def tell(self, peer: int | None, payload: bytes) -> None:
         if self.agent is not None:
-            self.agent.tell(peer, payload)
+            self.agent.send_scheduler_message(peer, payload)
         elif self.words is not None:
             self.words.tell(peer, payload)
 
--- a/cherrygrade/lab/audits/broken.py
+++ b/cherrygrade/lab/audits/broken.py
@@ -113,7 +113,7 @@
     usual = scheduler.Scheduler.decide
 
     def decide(self: scheduler.Scheduler, now: float, writer: Any, **came: Any) -> None:
-        membership = getattr(self.company, "core", None)
+        membership = getattr(self.company, "membership", None)
         if membership is not None:
             for volume in self.volumes.values():
                 volume.hosts = max(1, len(membership.roll.living()))
--- a/cherrygrade/lab/scale/host.py
+++ b/cherrygrade/lab/scale/host.py
@@ -135,7 +135,7 @@
         known = self._first_claims()
         for number in self.told.numbers:
             agent = self.members[number] = self._make(number, self.told.born + number)
-            agent.core.exchanged(_claims.decode(known), "", self.now())  # each its own copy of it
+            agent.membership.exchanged(_claims.decode(known), "", self.now())  # each its own copy of it
             await agent.start()
         self.follow.broken(self.members[self.told.numbers[0]])
         gc.collect()
@@ -161,13 +161,13 @@
         """What members take themselves for; for pacing the run and for sides."""
         found: dict[str, Any] = {}
         for number, agent in self.members.items():
-            core = agent.core
+            core = agent.membership
             found[str(number)] = {
                 "digest": f"{core.roll.digest:016x}",
                 "living": len(core.roll.living()),
                 "side": core.side.value,
                 "entries": len(core.roll.members),
-                "held": len(agent.tasks.holding.held) if agent.tasks is not None else 0,
+                "held": len(agent.lease_tasks.holder.held) if agent.lease_tasks is not None else 0,
                 **followed(agent),
             }
         return found
@@ -178,9 +178,9 @@
         late, self.lateness.second = sorted(self.lateness.second), []
         counts = {number: list(self.between.counts.get(number, [0] * len(COUNTS))) for number in self.members}
         for number, agent in self.members.items():
-            tasks, council_server = agent.tasks, agent.council_server
+            tasks, council_server = agent.lease_tasks, agent.council_server
             counts[number].append(council_server.sent_bytes if council_server is not None else 0)
-            counts[number].append(len(tasks.holding.held) if tasks is not None else 0)
+            counts[number].append(len(tasks.holder.held) if tasks is not None else 0)
             self.follow.look(number, self.lives[number], agent)
         self.samples.append(
             {
@@ -226,7 +226,7 @@
                 self.between.ways.cuts.pop(str(line["name"]), None)
         elif do == "round":  # those of the first were shuffled before real members were known
             for agent in self.members.values():
-                agent.core.probing.order.clear()
+                agent.membership.probing.order.clear()
         elif do == "state":
             return self.state()
         else:
--- a/cherrygrade/lab/scale/putting.py
+++ b/cherrygrade/lab/scale/putting.py
@@ -10,11 +10,11 @@
 from typing import Any, Protocol
 
 from cherrygrade.fleet.errors import ConfigRefusedError, ConfigUnreachableError
-from cherrygrade.fleet.runtime.admin_client import visit
+from cherrygrade.fleet.runtime.admin_client import send_admin_request
 from cherrygrade.fleet.runtime.admin_messages import PutRequest as AskedPut
 from cherrygrade.fleet.runtime.admin_messages import ShowRequest
-from cherrygrade.fleet.runtime.operator_commands import fresh_id
-from cherrygrade.fleet.runtime.status_query import ask
+from cherrygrade.fleet.runtime.operator_commands import new_request_id
+from cherrygrade.fleet.runtime.status_query import query_status
 from cherrygrade.lab.scale import changes
 from cherrygrade.lab.scale.changes import Gap, Put, Story
 from cherrygrade.lab.scale.plan import Scale, Step, address_of, seats
@@ -57,7 +57,7 @@
 
     async def put(self, part: str) -> Put:
         """One change, until it is agreed."""
-        run, name = self.run, fresh_id()
+        run, name = self.run, new_request_id()
         self._count += 1
         begun = run.now()
         but = frozenset({*run.dead, *self.cut})
@@ -65,7 +65,7 @@
         found, turn = Put(part, begun, NEVER, but=but), self._count
         while found.agreed >= NEVER and run.now() - begun < PUT_S * 1000.0:
             try:
-                told = await visit(self._at(turn), request, PATIENCE_S)
+                told = await send_admin_request(self._at(turn), request, PATIENCE_S)
                 found = Put(part, begun, run.now(), int(told["number"]), str(told["mark"]), but)
                 self.story.agreed[found.number] = found.mark
             except (ConfigRefusedError, ConfigUnreachableError) as trouble:
@@ -103,7 +103,7 @@
         """The leader, and back."""
         await asyncio.sleep(after_s)
         run = self.run
-        told = await ask(self._at(0))
+        told = await query_status(self._at(0))
         number = int(told["council"]["leader"].removeprefix("d").partition("/")[0] or -1)
         if not 0 <= number < run.scale.voters or number in run.dead:
             run.told("no leader is known, none was killed")
@@ -117,7 +117,7 @@
     async def agreed(self) -> None:
         """Versions as the council has them."""
         try:
-            shown = await visit(self._at(0), ShowRequest(), PATIENCE_S)
+            shown = await send_admin_request(self._at(0), ShowRequest(), PATIENCE_S)
         except ConfigUnreachableError:
             return
         for line in shown["lines"]:
--- a/cherrygrade/lab/scale/run.py
+++ b/cherrygrade/lab/scale/run.py
@@ -22,7 +22,7 @@
 import msgspec
 import psutil
 
-from cherrygrade.fleet.runtime.status_query import ask
+from cherrygrade.fleet.runtime.status_query import query_status
 from cherrygrade.fleet.runtime.voter_store import create_founding_store
 from cherrygrade.lab.rig.run import empty, free_places
 from cherrygrade.lab.scale import changes, judge, report, sums
@@ -412,7 +412,7 @@
             if number in self.dead:
                 continue
             try:
-                one = await ask(f"{address_of(number)}:{self.port}")
+                one = await query_status(f"{address_of(number)}:{self.port}")
             except (OSError, TimeoutError):
                 continue
             del one["members"]
--- a/cherrygrade/lab/virtual/virtual_fleet.py
+++ b/cherrygrade/lab/virtual/virtual_fleet.py
@@ -75,7 +75,7 @@
         self.network.deaf.clear()
 
     def cores(self) -> dict[int, Any]:
-        return {number: agent.core for number, (_, agent) in self.agents.items()}
+        return {number: agent.membership for number, (_, agent) in self.agents.items()}
 
     def equal(self) -> bool:
         cores = self.cores().values()
--- a/tests/fleet/membership/test_reachability.py
+++ b/tests/fleet/membership/test_reachability.py
@@ -3,7 +3,7 @@
 from rich.console import Console
 
 from cherrygrade.fleet.membership.reachability import FRESH_MS, NodeContact, Reachability, ReachabilityView
-from cherrygrade.fleet.runtime.status_view import draw
+from cherrygrade.fleet.runtime.status_view import render_status
 
 
 def told(seen: ReachabilityView, now: float, *troubled: bool, node: int = 7) -> None:
@@ -60,7 +60,7 @@
     status = {"name": "d0", "fleet": "f", "side": "alone", "living": 1, "record": 1, "digest": "0"}
     status |= {"doubt": 0, "yields": "", "members": [member], "nodes": [node | {"ours_ms": 1500}]}
     console = Console(width=150, record=True)
-    console.print(draw(status))
+    console.print(render_status(status))
     shown = console.export_text()
     assert "10.0.0.9:7" in shown and "answers others: our own link" in shown and "1 of 4" in shown
     assert "1.5 s" in shown
--- a/tests/fleet/membership/test_virtual_fleet.py
+++ b/tests/fleet/membership/test_virtual_fleet.py
@@ -28,8 +28,8 @@
             lambda: virtual_fleet.called("d7", MemberState.FAILED) == {*virtual_fleet.agents}, KNOWN_MS
         )
         assert not any(7 in core.keepers.seats for core in virtual_fleet.cores().values())
-        born = (await virtual_fleet.start(7)).core.birth
-        assert born > dead.core.birth
+        born = (await virtual_fleet.start(7)).membership.birth
+        assert born > dead.membership.birth
         await virtual_fleet.until(
             lambda: virtual_fleet.called("d7", MemberState.ALIVE, born) == {*virtual_fleet.agents}, 3000.0
         )
@@ -152,7 +152,7 @@
         await virtual_fleet.until(virtual_fleet.equal, 8000.0)
         newer = await virtual_fleet.start(9, name="d2", seat=2)
         await virtual_fleet.until(lambda: virtual_fleet.cores()[2].silent, 3000.0)
-        assert not newer.core.silent and virtual_fleet.cores()[2].yields
+        assert not newer.membership.silent and virtual_fleet.cores()[2].yields
 
     play(story, 8, 1, ROUGH)
 
@@ -161,8 +161,8 @@
     async def story(virtual_fleet: VirtualFleet) -> None:
         await virtual_fleet.all_start()
         await virtual_fleet.until(virtual_fleet.equal, 8000.0)
-        virtual_fleet.agents[1][1].tell(4, b"to one")
-        virtual_fleet.agents[2][1].tell(None, b"to all")
+        virtual_fleet.agents[1][1].send_scheduler_message(4, b"to one")
+        virtual_fleet.agents[2][1].send_scheduler_message(None, b"to all")
         await asyncio.sleep(0.1)
         to_all = [(number, 2, b"to all") for number in range(6) if number != 2]
         assert sorted(virtual_fleet.words) == sorted([(4, 1, b"to one"), *to_all])
@@ -175,11 +175,11 @@
         await virtual_fleet.all_start()
         await virtual_fleet.until(virtual_fleet.equal, 8000.0)
         agent = virtual_fleet.agents[0][1]
-        stranger = type(agent.book)("another")
+        stranger = type(agent.codec)("another")
         from cherrygrade.fleet.membership.messages import Probe
 
-        agent.came(stranger.write(Probe("x0", 1, 1, 1)), ("10.0.0.99", 7500))
-        assert agent.book.wrong == {"another fleet": 1} and len(agent.core.roll.living()) == 4
+        agent.datagram_received(stranger.write(Probe("x0", 1, 1, 1)), ("10.0.0.99", 7500))
+        assert agent.codec.wrong == {"another fleet": 1} and len(agent.membership.roll.living()) == 4
 
     play(story, 4)
 
--- a/tests/fleet/runtime/test_config_processes.py
+++ b/tests/fleet/runtime/test_config_processes.py
@@ -14,9 +14,9 @@
 
 from cherrygrade.fleet.errors import ConfigRefusedError, ConfigUnreachableError
 from cherrygrade.fleet.membership.messages import ConfigAdvert
-from cherrygrade.fleet.runtime.admin_client import PATIENCE_S, visit
+from cherrygrade.fleet.runtime.admin_client import REQUEST_TIMEOUT_S, send_admin_request
 from cherrygrade.fleet.runtime.admin_messages import PutRequest
-from cherrygrade.fleet.runtime.status_query import ask
+from cherrygrade.fleet.runtime.status_query import query_status
 
 pytestmark = pytest.mark.few
 
@@ -116,7 +116,7 @@
             assert (tmp_path / f"d{number}" / "kept.aside-0").exists()
 
         async def votes() -> bool:
-            return bool((await ask(fleet.at(voter)))["council"]["votes"])
+            return bool((await query_status(fleet.at(voter)))["council"]["votes"])
 
         await fleet.until(votes, 10.0)
         other = next(number for number in range(3) if number not in (leader, voter))
@@ -354,11 +354,13 @@
 def test_a_text_that_takes_long_to_judge_is_waited_for_while_a_majority_answers(tmp_path):
     async def story(fleet: Fleet) -> None:
         begun = time.monotonic()
-        told = await visit(fleet.at(3), PutRequest("one", limit(20202), "a story"))
-        assert told["number"] == 1 and time.monotonic() - begun > PATIENCE_S
+        told = await send_admin_request(fleet.at(3), PutRequest("one", limit(20202), "a story"))
+        assert told["number"] == 1 and time.monotonic() - begun > REQUEST_TIMEOUT_S
         await fleet.all_on(1, 10.0)
         leader = await fleet.leader()
-        asked = asyncio.create_task(visit(fleet.at(3), PutRequest("two", limit(20202) + "\n", "a story")))
+        asked = asyncio.create_task(
+            send_admin_request(fleet.at(3), PutRequest("two", limit(20202) + "\n", "a story"))
+        )
         await asyncio.sleep(0.5)
         begun = time.monotonic()
         for number in {0, 1, 2} - {leader}:
--- a/tests/fleet/runtime/test_fleet_processes.py
+++ b/tests/fleet/runtime/test_fleet_processes.py
@@ -16,7 +16,7 @@
 from support.port_reservation import release, reserve
 
 from cherrygrade.client import Client, Ok
-from cherrygrade.fleet.runtime.status_query import ask
+from cherrygrade.fleet.runtime.status_query import query_status
 
 pytestmark = pytest.mark.alone
 
@@ -80,7 +80,7 @@
         await process.wait()
 
     async def told(self) -> list[dict[str, Any]]:
-        return [*await asyncio.gather(*(ask(self.places[number]) for number in self.running))]
+        return [*await asyncio.gather(*(query_status(self.places[number]) for number in self.running))]
 
     async def equal(self) -> bool:
         told = await self.told()
@@ -181,7 +181,7 @@
             took.append(asyncio.get_running_loop().time() - begun)
         client.close()
         assert sorted(took)[10] < 0.2
-        assert (await ask(company.places[2]))["side"] == "alone"
+        assert (await query_status(company.places[2]))["side"] == "alone"
 
     play(story, tmp_path)
 
--- a/tests/support/configured_fleet.py
+++ b/tests/support/configured_fleet.py
@@ -18,10 +18,10 @@
 
 from cherrygrade.fleet.errors import ConfigUnreachableError
 from cherrygrade.fleet.membership.messages import ConfigAdvert
-from cherrygrade.fleet.runtime.admin_client import visit
+from cherrygrade.fleet.runtime.admin_client import send_admin_request
 from cherrygrade.fleet.runtime.admin_messages import MissingRequest, PutRequest, ShowRequest
-from cherrygrade.fleet.runtime.operator_commands import fresh_id
-from cherrygrade.fleet.runtime.status_query import ask
+from cherrygrade.fleet.runtime.operator_commands import new_request_id
+from cherrygrade.fleet.runtime.status_query import query_status
 from cherrygrade.fleet.runtime.voter_store import create_founding_store
 from cherrygrade.standin.ways import BOUND, TOLD, Ways, host, number_of
 
@@ -169,11 +169,11 @@
     async def put(self, text: str, at: int = 0, based_on: int = -1, within_s: float = 10.0) -> int:
         """Asked again under its id while the council elects somebody: a machine that is busy costs elections.
         ConfigUnreached where nobody leads for all that time."""
-        loop, request = asyncio.get_running_loop(), PutRequest(fresh_id(), text, "a story", based_on)
+        loop, request = asyncio.get_running_loop(), PutRequest(new_request_id(), text, "a story", based_on)
         ends = loop.time() + within_s
         while True:
             try:
-                number: int = (await visit(self.at(at), request, 5.0))["number"]
+                number: int = (await send_admin_request(self.at(at), request, 5.0))["number"]
                 return number
             except ConfigUnreachableError:
                 if loop.time() > ends:
@@ -181,16 +181,16 @@
                 await asyncio.sleep(0.1)
 
     async def show(self, number: int = 0, at: int = 0) -> dict[str, Any]:
-        return await visit(self.at(at), ShowRequest(number), 5.0)
+        return await send_admin_request(self.at(at), ShowRequest(number), 5.0)
 
     async def missing(self, number: int, at: int = 0) -> dict[str, str]:
-        told = await visit(self.at(at), MissingRequest(number), 5.0)
+        told = await send_admin_request(self.at(at), MissingRequest(number), 5.0)
         return {one["name"] or f"seat {one['seat']}": one["why"] for one in told["missing"]}
 
     # What is seen of it.
 
     async def status(self, number: int) -> dict[str, Any]:
-        found: dict[str, Any] = (await ask(self.at(number)))["config"]
+        found: dict[str, Any] = (await query_status(self.at(number)))["config"]
         return found
 
     async def numbers(self, *but: int) -> dict[int, int]:
@@ -222,7 +222,11 @@
         return await self._leader()
 
     async def _leader(self) -> int:
-        told = [(await ask(self.at(number)))["council"] for number in self.running if number < len(VOTERS)]
+        told = [
+            (await query_status(self.at(number)))["council"]
+            for number in self.running
+            if number < len(VOTERS)
+        ]
         named = {one["leader"] for one in told}
         return int(named.pop()[1:]) if len(named) == 1 and named != {""} else -1
 
