--- a/tests/fleet/runtime/test_sealed_file.py
+++ b/tests/fleet/runtime/test_sealed_file.py
@@ -1,5 +1,5 @@
-"""What a dispatcher keeps of its configuration on disk: after a stop at any point of the write it is the one
-before or the new one, and what is torn is never taken for either."""
+"""The file a dispatcher keeps its configuration in: a save stopped at any point leaves the old or the new
+body, and a damaged file is never read as either."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     return steps
 
 
-def test_it_comes_back_as_it_was_and_nothing_is_nothing(tmp_path):
+def test_load_returns_the_body_saved_last_and_nothing_where_there_is_no_file(tmp_path):
     file = SealedFile(tmp_path / "deep" / "kept")
     assert file.load() == b""
     for body in (OLD, NEW, b"\0" * 300_000):
@@ -44,7 +44,7 @@
     assert [one.name for one in (tmp_path / "deep").iterdir()] == ["kept"]
 
 
-def test_stopped_at_any_step_of_the_write_the_old_or_the_new_is_there(tmp_path, monkeypatch):
+def test_a_save_stopped_at_any_step_leaves_the_old_or_the_new_body(tmp_path, monkeypatch):
     found = []
     for point in range(5):
         file = SealedFile(tmp_path / f"kept-{point}")
@@ -62,7 +62,7 @@
     assert found == [OLD, OLD, NEW, NEW, NEW]
 
 
-def test_a_write_that_stops_within_its_bytes_leaves_the_old(tmp_path):
+def test_a_save_stopped_within_its_bytes_leaves_the_old_body(tmp_path):
     file = SealedFile(tmp_path / "kept")
     file.save(OLD)
     whole = sealed_file.seal(NEW)
@@ -71,7 +71,7 @@
         assert file.load() == OLD
 
 
-def test_each_byte_that_is_wrong_and_each_length_that_is_short_is_torn(tmp_path):
+def test_any_changed_byte_or_missing_end_is_refused_and_put_aside(tmp_path):
     file = SealedFile(tmp_path / "kept")
     whole = sealed_file.seal(OLD)
     spoilt = [whole[:length] for length in range(len(whole))]
@@ -86,7 +86,7 @@
     assert file.put_aside() == tmp_path / "kept.aside-1"
 
 
-def test_a_disk_that_takes_nothing_keeps_what_it_had(tmp_path):
+def test_a_failed_save_leaves_the_old_body(tmp_path):
     file = SealedFile(tmp_path / "kept")
     file.save(OLD)
     (tmp_path / "kept.new").mkdir()
@@ -95,7 +95,7 @@
     assert file.load() == OLD
 
 
-def test_that_it_left_is_known_after_a_start_until_it_is_taken_back(tmp_path):
+def test_the_left_marker_lasts_across_restarts_until_it_is_removed(tmp_path):
     place = tmp_path / "deep" / "kept"
     assert not SealedFile(place).has_left
     SealedFile(place).set_left()
--- a/tests/fleet/runtime/test_voter_store.py
+++ b/tests/fleet/runtime/test_voter_store.py
@@ -1,4 +1,4 @@
-"""A voter's store: what was written is there after a kill at any point, and what is torn is put aside."""
+"""A voter's store: what was written is there after a kill at any point, and a damaged store is put aside."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     return store
 
 
-def test_what_was_written_is_read_back_and_what_it_replaced_is_gone(tmp_path: Path) -> None:
+def test_load_returns_what_was_written_without_what_it_replaced(tmp_path: Path) -> None:
     store = filled(tmp_path)
     store.write(RaftEffects(hard=(2, ""), since=4, entries=[LogEntry(2, b"other")]), 4)
     store.write(RaftEffects(base=Snapshot(2, 1, ("a", "b"), b"state")), 4)
@@ -53,7 +53,7 @@
     )
 
 
-def test_killed_at_any_moment_all_that_was_acknowledged_is_there(tmp_path: Path) -> None:
+def test_after_a_kill_at_any_moment_all_acknowledged_writes_are_there(tmp_path: Path) -> None:
     random, told = Random(1), (0, 0)
     for _ in range(12):
         line = [sys.executable, "-c", WRITER, str(tmp_path)]
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("seed", [*range(30), 61, 83])  # the last two: wrong bytes in a page's head
-def test_a_torn_store_is_put_aside_or_is_whole(tmp_path: Path, seed: int) -> None:
+def test_a_damaged_store_is_put_aside_unless_it_reads_complete(tmp_path: Path, seed: int) -> None:
     filled(tmp_path).close()
     before = VoterStore(tmp_path, "f", "a", "m")
     whole = before.load()
@@ -109,7 +109,7 @@
         assert [*tmp_path.glob("aside-*.mdb")]
 
 
-def test_a_foreign_store_is_put_aside_and_its_voter_has_another_mark(tmp_path: Path) -> None:
+def test_another_voters_store_is_put_aside_and_replaced_under_a_new_store_id(tmp_path: Path) -> None:
     filled(tmp_path).close()
     with pytest.raises(VoterStoreError, match="of a of fleet f"):
         VoterStore(tmp_path, "f", "b", "m")
@@ -119,7 +119,7 @@
     store.close()
 
 
-def test_a_lost_record_condemns_the_store(tmp_path: Path) -> None:
+def test_a_gap_in_the_log_condemns_the_store(tmp_path: Path) -> None:
     store = filled(tmp_path)
     with store._env.begin(write=True) as txn:
         txn.delete(b"e" + (3).to_bytes(8, "big"))
