--- a/benchmarks/fleet_config.py
+++ b/benchmarks/fleet_config.py
@@ -33,9 +33,11 @@
 from cherrygrade.client import Client, Ok
 from cherrygrade.fleet.errors import ConfigRefusedError, ConfigUnreachableError
 from cherrygrade.fleet.membership.messages import letter
-from cherrygrade.fleet.runtime.operator_commands import PutRequest, fresh_id, visit
-from cherrygrade.fleet.runtime.status_query import ask
-from cherrygrade.fleet.runtime.voter_store import found
+from cherrygrade.fleet.runtime.admin_client import send_admin_request
+from cherrygrade.fleet.runtime.admin_messages import PutRequest
+from cherrygrade.fleet.runtime.operator_commands import new_request_id
+from cherrygrade.fleet.runtime.status_query import query_status
+from cherrygrade.fleet.runtime.voter_store import create_founding_store
 from cherrygrade.lab.rig.run import Child, free_places
 from cherrygrade.standin.control import Controller
 from cherrygrade.standin.ways import BOUND, ENTRY, FLEET, TOLD, host
@@ -101,7 +103,7 @@
         far = {at for at in range(self.count) if at % 2}
         await self.control.say("slow", on=" ".join(map(str, sorted(far))), size=ONE_WAY_MS)
         for name in VOTERS:
-            found(self.folder / name, FLEET, name, VOTERS)
+            create_founding_store(self.folder / name, FLEET, name, VOTERS)
         for at in range(0, self.count, 8):
             await asyncio.gather(*(self.start(one) for one in range(at, min(at + 8, self.count))))
         await self.until(self._whole)
@@ -163,8 +165,8 @@
             turn += 1
             through = [at for at in range(self.count) if at not in self.dead][-1 - turn % 3]
             try:
-                told = await visit(
-                    self.at(through), PutRequest(fresh_id(), text(self.rate), "the benchmark"), 5.0
+                told = await send_admin_request(
+                    self.at(through), PutRequest(new_request_id(), text(self.rate), "the benchmark"), 5.0
                 )
                 self.number = told["number"]
                 return asked
@@ -175,7 +177,7 @@
 
     async def statuses(self) -> dict[int, dict[str, Any]]:
         on = [at for at in range(self.count) if at not in self.dead]
-        told = await asyncio.gather(*(ask(self.at(at)) for at in on))
+        told = await asyncio.gather(*(query_status(self.at(at)) for at in on))
         return dict(zip(on, told, strict=True))
 
     async def _whole(self) -> bool:
--- a/cherrygrade/gateway/inforce.py
+++ b/cherrygrade/gateway/inforce.py
@@ -73,7 +73,7 @@
     grows = forfeited or not {*company.dispatcher_counts} <= {*into.counts}
     blank = grows or slow_start.settings.window_ms != bearings.cold.window_ms
     old_utility, old_objective_ms = settings.utility, settings.tightest_objective_ms
-    company.dispatcher_counts, company.dispatchers, company.has = into.counts, into.counts[-1], into.has
+    company.dispatcher_counts, company.dispatchers, company.has_quota = into.counts, into.counts[-1], into.has
     settings.utility, settings.policy = bearings.earnings, bearings.permits
     settings.highest_weight, settings.tightest_objective_ms = into.top, into.tight
     scheduler.polling.spread_ms = poll_spread_ms(into.counts[-1])
--- a/cherrygrade/lab/audits/broken.py
+++ b/cherrygrade/lab/audits/broken.py
@@ -113,7 +113,7 @@
     usual = scheduler.Scheduler.decide
 
     def decide(self: scheduler.Scheduler, now: float, writer: Any, **came: Any) -> None:
-        membership = getattr(self.peers, "core", None)
+        membership = getattr(self.peers, "membership", None)
         if membership is not None:
             for volume in self.volumes.values():
                 volume.dispatchers = max(1, len(membership.roll.living()))
