--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -262,7 +262,7 @@
     env = {"BALANCER_CONFIG": str(file), "PATH": "/usr/bin:/bin"}
     process = stand.start(["-m", "cherrygrade", "platform"], 0, env=env, stderr=log.open("w"))
     for _ in range(200):
-        if '"sighted"' in log.read_text():
+        if '"endpoints known"' in log.read_text():
             return process, port
         time.sleep(0.05)
     raise SystemExit("the platform's dispatcher did not start")
--- a/benchmarks/platform_door.py
+++ b/benchmarks/platform_door.py
@@ -46,8 +46,21 @@
 # Where a sample's innermost frame of ours stands.
 PARTS = (
     ("module", ("policy.py", "rounds.py", "door.py")),
-    ("reading and writing HTTP", ("http/reader.py", "http/writer.py", "platform/clients.py")),
-    ("links and finals", ("platform/nodes.py", "platform/process.py", "wheel.py", "life.py", "held.py")),
+    (
+        "reading and writing HTTP",
+        ("http/reader.py", "http/writer.py", "platform/clients.py", "platform/request_parsing.py"),
+    ),
+    (
+        "links and finals",
+        (
+            "platform/nodes.py",
+            "platform/process.py",
+            "platform/round_carrier.py",
+            "wheel.py",
+            "life.py",
+            "held.py",
+        ),
+    ),
     ("sockets", ("selector_events.py",)),
     ("event loop", ("base_events.py", "events.py", "selectors.py", "runners.py")),
 )
@@ -337,7 +350,7 @@
     for name, count in parts.most_common():
         print(f"  {name}: {count / whole:.0%}, {count / whole * statistics.median(ours):.1f} us")
     print(f"in the windows measured: {sends} sends seen by nodes, {finals} finals")
-    told = {key: counts[key] for key in ("ok", "rejected", "errored", "left")}
+    told = {key: counts[key] for key in ("ok", "rejected", "errored", "abandoned")}
     print(f"finals that the dispatcher counts: {json.dumps(told)}")
     print(f"sends that none of them stands for: {unknown}")
     print(f"memory, MiB: {at_start:.1f} at start, {first:.1f} after clients and nodes came and went")
--- a/cherrygrade/platform/clients.py
+++ b/cherrygrade/platform/clients.py
@@ -124,7 +124,7 @@
         """Clients may come."""
 
     @property
-    def long_requests(self) -> Room:
+    def request_budget(self) -> Room:
         """What long bodies share."""
 
     @property
@@ -133,22 +133,22 @@
 
     def clock(self) -> float: ...
 
-    def enter(self, client: ClientConnection) -> bool: ...
+    def admit(self, client: ClientConnection) -> bool: ...
 
-    def spoke(self, client: ClientConnection) -> None: ...
+    def mark_active(self, client: ClientConnection) -> None: ...
 
-    def rests(self, client: ClientConnection) -> None:
+    def mark_idle(self, client: ClientConnection) -> None:
         """Nothing of it is open any more."""
 
-    def left(self, pending: PendingRequest) -> None:
+    def abandon(self, pending: PendingRequest) -> None:
         """Its client does not wait for the answer any more."""
 
-    def lingers(self, client: ClientConnection) -> None:
+    def linger(self, client: ClientConnection) -> None:
         """Our side of it has ended, or the client's: it goes once the other has, or in time."""
 
-    def exit(self, client: ClientConnection) -> None: ...
+    def remove(self, client: ClientConnection) -> None: ...
 
-    def ask(self, client: ClientConnection, message: Message) -> PendingRequest:
+    def submit(self, client: ClientConnection, message: Message) -> PendingRequest:
         """To the module; Fault where the message holds no RPC."""
 
 
@@ -164,7 +164,7 @@
         """When it came, or when the last answer went, or when the message within began."""
         self.ended = False
         """Nothing of it is begun any more: what comes is dropped."""
-        self._reader = Reader(answers=False, room=owner.long_requests)
+        self._reader = Reader(answers=False, room=owner.request_budget)
         self._asked: Message | None = None  # what is open; its body has room until the answer
         self._queue: deque[Message] = deque()
         self._kept: deque[tuple[float, bytearray]] = deque()
@@ -183,7 +183,7 @@
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.set_write_buffer_limits(high=HIGH)
-        if not self.owner.enter(self):
+        if not self.owner.admit(self):
             self.ended = True
             transport.close()
 
@@ -212,29 +212,29 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = self._poll = None
         self._leave()
-        self.owner.exit(self)
+        self.owner.remove(self)
 
     def _leave(self) -> None:
         """The client has gone: nothing more is begun for it."""
         if not self.ended:
             self._stop()
             if self.unsent:  # else it is gone by the next turn, and takes nobody's place among who linger
-                self.owner.lingers(self)
+                self.owner.linger(self)
         pending, self.open = self.open, None
         if pending is not None:
-            self.owner.left(pending)
+            self.owner.abandon(pending)
         self._let_go()
 
     def _let_go(self) -> None:
         """What was open holds no body any more."""
         if self._asked is not None:
-            self.owner.long_requests.let_go(self._asked)
+            self.owner.request_budget.let_go(self._asked)
             self._asked = None
 
     def _stop(self) -> None:
         self.ended = True
         for message in self._queue:
-            self.owner.long_requests.let_go(message)
+            self.owner.request_budget.let_go(message)
         self._queue.clear()
         self._reader.let_go()
         self._kept.clear()
@@ -300,14 +300,14 @@
             return
         self._look()
         if self.open is None and not self.ended:
-            self.owner.rests(self)
+            self.owner.mark_idle(self)
 
     def end(self) -> None:
         """End our side behind what was written, and let the client end its own: a lingering close."""
         if self.ended or self._transport is None:
             return
         self._stop()
-        self.owner.lingers(self)
+        self.owner.linger(self)
         if not self._transport.is_closing():
             self._transport.resume_reading()
             try:
@@ -386,12 +386,12 @@
 
     def _begin(self, message: Message) -> None:
         self.spoken = True
-        self.owner.spoke(self)
+        self.owner.mark_active(self)
         self._asked, self._closes = message, closes(message)
         if message.target == b"/ready" and message.method == b"GET":
             self.answer(200 if self.owner.ready else 503)
             return
         try:
-            self.open = self.owner.ask(self, message)
+            self.open = self.owner.submit(self, message)
         except Fault as fault:
             self._refuse(fault)
--- /dev/null
+++ b/cherrygrade/platform/periodic_tasks.py
@@ -0,0 +1,107 @@
+"""What the platform's dispatcher does by the clock: closing silent connections, logging its counts."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from cherrygrade.http.reader import Room
+from cherrygrade.platform.client_registry import ClientRegistry
+from cherrygrade.platform.clients import ClientConnection
+from cherrygrade.platform.listing import Listing
+from cherrygrade.platform.round_carrier import RoundCarrier
+from cherrygrade.scheduling.model import Node, NodeState
+
+SILENT_MS = 2000.0  # idle limit of a client with no whole request yet, or with half of one
+CROWDED_IDLE_MS = 2000.0  # idle limit of an answered client while most places are taken
+IDLE_MS = 60000.0  # idle limit of an answered client otherwise
+LINGER_MS = 1000.0  # for a client to close its side after this process has closed its own
+SWEEP_INTERVAL_S = 0.25
+COUNTS_INTERVAL_S = 10.0
+
+
+class PeriodicTasks:
+    """Two timers of the event loop: the sweep and the log line of counts."""
+
+    def __init__(
+        self,
+        clients: ClientRegistry,
+        round_carrier: RoundCarrier,
+        endpoint_list: Listing,
+        answer_budget: Room,
+        log_counts: Callable[[], None],
+    ) -> None:
+        self._clients = clients
+        self._round_carrier = round_carrier
+        self._endpoint_list = endpoint_list
+        self._answer_budget = answer_budget
+        self._log_counts = log_counts
+        self._sweep_timer: asyncio.TimerHandle | None = None
+        self._counts_timer: asyncio.TimerHandle | None = None
+
+    def start(self) -> None:
+        """Run both tasks now and then at their intervals."""
+        self.sweep()
+        self._log_and_reschedule()
+
+    def stop(self) -> None:
+        """No task runs any more."""
+        for timer in (self._sweep_timer, self._counts_timer):
+            if timer is not None:
+                timer.cancel()
+
+    def sweep(self) -> None:
+        """Close connections that have been silent for too long; forget nodes that are gone."""
+        now = self._round_carrier.rounds.clock()
+        crowded = len(self._clients.connections) > self._clients.max_connections * 3 // 4
+        self._abort_slowest_readers()
+        self._abort_lingering(now)
+        self._close_silent_clients(now, crowded)
+        for pool in [*self._round_carrier.pools.values()]:
+            pool.close_idle(now)
+        for node in [*self._endpoint_list.dials]:
+            if node.state is NodeState.GONE:
+                self._forget(node)
+        self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self.sweep)
+
+    def _abort_slowest_readers(self) -> None:
+        """Bound the memory of answers that clients do not read: beyond it the process would be killed."""
+        clients: list[ClientConnection] = [*self._clients.connections, *self._clients.lingering]
+        unsent = {client: client.unsent for client in clients if client.unsent}
+        while sum(unsent.values()) > self._answer_budget.most:
+            slowest = max(unsent, key=unsent.__getitem__)
+            del unsent[slowest]
+            slowest.cut()
+
+    def _abort_lingering(self, now: float) -> None:
+        for client in [*self._clients.lingering]:
+            limit_ms = SILENT_MS if client.unsent else LINGER_MS
+            if now - client.quiet_from >= limit_ms:
+                client.cut()
+
+    def _close_silent_clients(self, now: float, crowded: bool) -> None:
+        for client in [*self._clients.connections]:
+            if not client.idle:
+                continue
+            if not client.spoken or client.within:
+                limit_ms = SILENT_MS
+            else:
+                limit_ms = CROWDED_IDLE_MS if crowded else IDLE_MS
+            # Unread bytes may be a request, which is owed an answer.
+            if now - client.quiet_from >= limit_ms and not client.unread:
+                client.turn_out()
+
+    def _forget(self, node: Node) -> None:
+        """Drop a node that discovery has removed, once nothing is open on it."""
+        pool = self._round_carrier.pools.get(node)
+        if pool is not None and not pool.quiet:
+            return
+        if pool is not None:
+            del self._round_carrier.pools[node]
+            pool.close()
+        self._endpoint_list.forget(node)
+
+    def _log_and_reschedule(self) -> None:
+        self._log_counts()
+        loop = asyncio.get_running_loop()
+        self._counts_timer = loop.call_later(COUNTS_INTERVAL_S, self._log_and_reschedule)
--- a/cherrygrade/platform/process.py
+++ b/cherrygrade/platform/process.py
@@ -1,455 +1,333 @@
-"""The platform's dispatcher: clients, pools, discovery and rounds, and their life from start to end."""
+"""The platform's dispatcher process: wires clients, rounds, node pools, discovery and shutdown together."""
 
 from __future__ import annotations
 
 import asyncio
 import os
-import select
 import signal
 import sys
 import time
 from collections.abc import Callable, Mapping
 
 from cherrygrade.compiled import dispatcher
-from cherrygrade.gateway.life import LEFT_BROKEN, LEFT_BY_FORCE, LEFT_CLEAN, Alarm, module_broke, serve
-from cherrygrade.gateway.rounds import Rounds
-from cherrygrade.gateway.wheel import Wheel
+from cherrygrade.gateway.life import LEFT_BROKEN, LEFT_BY_FORCE, module_broke, serve
 from cherrygrade.http.reader import Fault, Message, Room
-from cherrygrade.inflight import InflightAttempt, InflightRequest
 from cherrygrade.logs import plain_log
-from cherrygrade.peers.arrivals import Arrivals
+from cherrygrade.platform.client_listener import ClientListener
+from cherrygrade.platform.client_registry import ClientRegistry
 from cherrygrade.platform.clients import ClientConnection, PendingRequest, read_rpc
 from cherrygrade.platform.config import Config, ConfigError, read_config
 from cherrygrade.platform.discovery import DiscoveryClient
 from cherrygrade.platform.listing import Listing
-from cherrygrade.platform.nodes import ConnectionPool, Sockets
+from cherrygrade.platform.nodes import Sockets
+from cherrygrade.platform.periodic_tasks import PeriodicTasks
+from cherrygrade.platform.round_carrier import STATUS_ERRORED, STATUS_OK, STATUS_REJECTED, RoundCarrier
+from cherrygrade.platform.shutdown import FINAL_ANSWERS_MS, Shutdown, ShutdownPhase, ShutdownSchedule
 from cherrygrade.platform.watching import BLIND_MS, READY_MS
-from cherrygrade.scheduling.model import Node, NodeState, Outcome
+from cherrygrade.scheduling.model import Node
 from cherrygrade.scheduling.round_inputs import NodeTable
 from cherrygrade.scheduling.scheduler import Scheduler
-from cherrygrade.transport.listening import listen
-
-ANSWER_MS, GRAIN_MS = 4.0, 1.0  # kept back from each client's time for the answer; how late a time-out may be
-SILENT_MS, SHORT_MS, LONG_MS = 2000.0, 2000.0, 60000.0  # silence from the start; idle in a crowd, and else
-SWEEP_S, TELL_S = 0.25, 10.0
-KNOCK_MS = 700.0  # that clients still come after the order to leave
-STAY_MS = 3000.0  # the platform kills no sooner than the longest deadline, this at most, and KNOCK_MS later
-# Before that clients are sent away, and what is still held is errored. Who is sent away meets nobody.
-TURN_MS, CUT_MS = 270.0, 170.0
-FLUSH_MS = 90.0  # from then on, for clients to take their last answers and to end their side
-LINGER_MS = 1000.0  # for one client to end its side behind our end of its connection
-# Listener, discovery thrice, event loop, standard streams, what Python opens; and those accepted in one turn.
-OWN_SOCKETS = 40
-BACKLOG, ABREAST = 512, 16
-DOOR_TURNS, EMPTY_TURNS = 64, 3  # of the event loop, for whoever the system has accepted as the door closes
-BUFFER = 16 * 1024
-
 
-class Platform:
-    """One dispatcher. Pools are a node each, clients a connection each."""
+ANSWER_MS = 4.0  # kept back from each client's deadline for writing the answer
+# Listener, discovery thrice, event loop, standard streams, what Python opens; and those accepted in one turn.
+RESERVED_SOCKETS = 40
+LINGERING_SHARE = 16  # one in so many sockets is for connections that are being closed
+MIN_LINGERING = 4
+RECEIVE_BUFFER_BYTES = 16 * 1024
+BYTES_PER_MB = 1024 * 1024
+# Shares of the memory limit, as divisors: answers of nodes, with what clients have not read yet; and long
+# request bodies, each of which is held twice while it is sent to a node.
+ANSWER_MEMORY_SHARE = 4
+REQUEST_MEMORY_SHARE = 8
+REQUEST_COPIES = 2
+IDLE_POOL_SHARE = 0.6  # of the time after which nodes close idle connections
+DEFAULT_NODE_IDLE_S = 15.0
+DEFAULT_CONNECT_TIMEOUT_S = 0.25
+
+
+class PlatformDispatcher:
+    """One dispatcher. Implements `ConnectionOwner` for clients and `Life` for `serve`."""
 
     def __init__(
         self,
         config: Config,
         log: Callable[..., None],
-        make: Callable[..., Scheduler],
+        make_scheduler: Callable[..., Scheduler],
         env: Mapping[str, str] = os.environ,
     ) -> None:
-        self.config, self.log, self.env = config, log, env
-        pairs = config.pairs
-        self.workloads, self.plans = pairs.workloads(), pairs.plans()
-        self.connect_ms = pairs.ms("limits.connectTimeoutS", 0.25)
-        self.idle_ms = 0.6 * pairs.ms("limits.connIdleS", 15.0)
-        self.leaving = self.closing = self.ended = self.sighted = self.ready = False
-        """`sighted`: nodes are known. What discovery has counts from the first moment on, and the list in
-        the file may be old: nothing is sent before discovery has told its own. `ready` comes with it, or
-        after READY_MS without it: then clients are told when to come back."""
-        self._ends_at = float("inf")
-        self._code = LEFT_CLEAN
-        self.refused = self.left_count = 0
-        self.finals = {200: 0, 503: 0, 502: 0}
-        self.buffer = memoryview(bytearray(BUFFER))
-        self.clients: dict[ClientConnection, None] = {}
-        self.resting: dict[ClientConnection, None] = {}  # who has its answer, by when; until it asks
-        self.lingering: dict[ClientConnection, None] = {}  # ended by us, by when; until its end
-        self.open: dict[bytes, PendingRequest] = {}  # by call id; emptied by final answers and leavings
-        self.pools: dict[Node, ConnectionPool] = {}
-        self.nodes = NodeTable()
-        self.wheel: Wheel[InflightAttempt] = Wheel(GRAIN_MS)
+        """Wire a dispatcher; needs a running event loop, opens nothing.
+
+        Args:
+            config: What the configuration file says.
+            log: Writes one event: its name, and facts by keyword.
+            make_scheduler: The scheduler's class, compiled or not.
+            env: Where `reload` finds the configuration file's path.
+        """
+        self.config = config
+        self.log = log
+        self.env = env
+        settings = config.pairs
+        self.workloads = settings.workloads()
+        self.plans = settings.plans()
+        self.endpoints_known = False
+        """A list of endpoints was taken, from discovery or from the file: requests are sent to nodes.
+
+        The list in the file may be old: nothing is sent before discovery has sent its own or stayed silent
+        for BLIND_MS."""
+        self.ready = False
+        """`GET /ready` is answered with 200: endpoints are known, or READY_MS have passed without them.
+        Requests are then rejected with a time to come back."""
+        self.refused = 0
+        self.buffer = memoryview(bytearray(RECEIVE_BUFFER_BYTES))
         self.done: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-        spare = config.sockets - OWN_SOCKETS
-        self.most_lingering = max(4, spare // 16)
-        self.most_clients = spare // 2 - self.most_lingering
-        self.arrivals: Arrivals[ClientConnection] = Arrivals(self.most_clients, self.most_clients // 2)
-        # What nodes bring and what clients have not taken yet each get a part of the memory; so does what
-        # clients bring, which is held twice while it leaves for a node.
-        self.room = Room(config.memory_mb * 1024 * 1024 // 4)
-        self.long_requests = Room(config.memory_mb * 1024 * 1024 // 8, copies=2)
-        self.sockets = Sockets(spare - spare // 2, self.room)
-        module = pairs.dispatcher(make, config.seed)
-        self.rounds = Rounds(module, self, self._crashed, lambda text: log("module", text=text))
-        # One reading of both clocks: a node's birth is told in Unix time.
-        offset = asyncio.get_running_loop().time() * 1000.0 - time.time() * 1000.0
-        self.listing = Listing(self.nodes, lambda unix: unix + offset)
-        name = f"{config.seed}:{config.name}"
-        clock = self.rounds.clock
-        self.discovery = DiscoveryClient(config.discovery, name, self.listing, clock, self._heard, log)
-        self._alarm = Alarm(self.wheel, clock, self.before_round)
-        self._server: asyncio.Server | None = None
-        self._timers: dict[str, asyncio.TimerHandle] = {}
-
-    # Life.
+        """The exit code, once the shutdown is over."""
+        self._deadline_limit_ms = float("inf")
+        self._startup_timers: list[asyncio.TimerHandle] = []
+        self.answer_budget = Room(config.memory_mb * BYTES_PER_MB // ANSWER_MEMORY_SHARE)
+        self.request_budget = Room(
+            config.memory_mb * BYTES_PER_MB // REQUEST_MEMORY_SHARE, copies=REQUEST_COPIES
+        )
+        self._share_out_sockets(config.sockets - RESERVED_SOCKETS)
+        self.nodes = NodeTable()
+        # One reading of both clocks: discovery gives a node's start in Unix time.
+        loop_minus_unix_ms = asyncio.get_running_loop().time() * 1000.0 - time.time() * 1000.0
+        self.endpoint_list = Listing(self.nodes, lambda unix_ms: unix_ms + loop_minus_unix_ms)
+        self.round_carrier = RoundCarrier(
+            settings.dispatcher(make_scheduler, config.seed),
+            self.endpoint_list,
+            self.socket_budget,
+            self.buffer,
+            settings.ms("limits.connectTimeoutS", DEFAULT_CONNECT_TIMEOUT_S),
+            IDLE_POOL_SHARE * settings.ms("limits.connIdleS", DEFAULT_NODE_IDLE_S),
+            self._scheduler_broke,
+            self._request_answered,
+            log,
+        )
+        self.rounds = self.round_carrier.rounds
+        self.discovery = DiscoveryClient(
+            config.discovery,
+            f"{config.seed}:{config.name}",
+            self.endpoint_list,
+            self.rounds.clock,
+            self._endpoints_changed,
+            log,
+        )
+        self.periodic_tasks = PeriodicTasks(
+            self.client_registry, self.round_carrier, self.endpoint_list, self.answer_budget, self._log_counts
+        )
+        self._listener = ClientListener()
+        self._schedule = ShutdownSchedule.for_deadline(
+            max(workload.deadline_ms for workload in self.workloads.values())
+        )
+        self.shutdown = Shutdown(
+            self._schedule,
+            self._listener,
+            self.client_registry,
+            lambda: len(self.round_carrier.open_requests),
+            self._answer_all,
+            self._exited,
+        )
+
+    def _share_out_sockets(self, available: int) -> None:
+        """Half of the sockets for clients, with those that linger; the other half for nodes."""
+        for_clients = available // 2
+        max_lingering = max(MIN_LINGERING, available // LINGERING_SHARE)
+        self.client_registry = ClientRegistry(for_clients - max_lingering, max_lingering)
+        self.socket_budget = Sockets(available - for_clients, self.answer_budget)
+
+    # Start, reload and shutdown.
 
     async def start(self) -> int:
+        """Follow discovery and listen.
+
+        Returns:
+            The port bound.
+
+        Raises:
+            OSError: The listen address cannot be bound.
+        """
         loop = asyncio.get_running_loop()
         self.discovery.start()
-        self._timers["blind"] = loop.call_later(BLIND_MS / 1000.0, self._by_known)
-        self._timers["ready"] = loop.call_later(READY_MS / 1000.0, self._ready_unsighted)
+        self._startup_timers = [
+            loop.call_later(BLIND_MS / 1000.0, self._use_endpoints_of_file),
+            loop.call_later(READY_MS / 1000.0, self._ready_without_endpoints),
+        ]
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        self._sweep()
-        self._tell()
-        self._server = await listen(lambda: ClientConnection(self), self.config.listen, BACKLOG, ABREAST)
-        port: int = self._server.sockets[0].getsockname()[1]
+        self.periodic_tasks.start()
+        port = await self._listener.open(lambda: ClientConnection(self), self.config.listen)
         self.log("listening", address=self.config.listen)
         return port
 
-    def _ready_unsighted(self) -> None:
-        """Who never gets ready is not used: clients are told to come back instead, until nodes are known."""
+    def _ready_without_endpoints(self) -> None:
+        """A dispatcher that never gets ready is not used at all: clients are told to come back instead."""
         if not self.ready:
             self.ready = True
-            self.log("ready without a list: discovery is silent")
+            self.log("ready without endpoints: discovery has sent no list")
 
-    def _by_known(self) -> None:
+    def _use_endpoints_of_file(self) -> None:
         """Discovery is silent, and a list that may be old serves better than none."""
-        if not self.sighted:
-            self.log("list of the file taken: discovery is silent", version=self.config.known.get("seq"))
-            self._heard(self.listing.hear(self.config.known) or [])
+        if not self.endpoints_known:
+            version = self.config.known.get("seq")
+            self.log(
+                "endpoints of the configuration file in use: discovery has sent no list", version=version
+            )
+            self._endpoints_changed(self.endpoint_list.hear(self.config.known) or [])
 
     def reload(self) -> None:
-        """The file is read anew: a bad one changes nothing. Only discovery's address is taken."""
+        """Read the configuration again: only discovery's address is taken; a bad file changes nothing."""
         try:
             config = read_config(self.env)
-        except ConfigError as trouble:
-            self.log("reload refused", why=str(trouble))
+        except ConfigError as error:
+            self.log("configuration reload refused", error=str(error))
             return
         old, self.config = self.config, config
-        kept = [
-            key
-            for key, now, before in (
-                ("listen", config.listen, old.listen),
-                ("limits.sockets", config.sockets, old.sockets),
-                ("settings", config.pairs.same(), old.pairs.same()),
-            )
-            if now != before
-        ]
-        self.log("reloaded", discovery=config.discovery, not_taken=kept)
+        compared = (
+            ("listen", config.listen, old.listen),
+            ("limits.sockets", config.sockets, old.sockets),
+            ("settings", config.pairs.same(), old.pairs.same()),
+        )
+        needs_restart = [key for key, new_value, old_value in compared if new_value != old_value]
+        self.log("configuration reloaded", discovery=config.discovery, needs_restart=needs_restart)
         if config.discovery != self.discovery.address:
             self.discovery.move(config.discovery)
 
     def leave(self) -> None:
-        """Take what still comes for a moment, finish what is held, end; a second call ends at once."""
-        if self.leaving:
-            self._end(LEFT_BY_FORCE)
+        """Begin the orderly shutdown (SIGTERM, SIGINT); a second call ends it at once."""
+        if self.shutdown.ordered:
+            self.shutdown.end(LEFT_BY_FORCE)
             return
-        self.leaving = True
-        self.log("leaving", held=len(self.open), clients=len(self.clients))
-        # Who comes after this one comes at the platform's time, however soon this one ends: until shortly
-        # before it, clients are served on the connections that they have.
-        longest = max(workload.deadline_ms for workload in self.workloads.values())
-        stays = min(longest, STAY_MS) + KNOCK_MS
-        self._ends_at = self.rounds.clock() + stays - CUT_MS
-        loop = asyncio.get_running_loop()
-        self._timers["knock"] = loop.call_later(KNOCK_MS / 1000.0, self._knock_over)
-        self._timers["turn"] = loop.call_later((stays - TURN_MS) / 1000.0, self._shut)
-        self._timers["leave"] = loop.call_later((stays - CUT_MS) / 1000.0, self._end, LEFT_BY_FORCE)
-
-    def _knock_over(self) -> None:
-        del self._timers["knock"]
-        self._look_done()
-
-    def _close_door(self, turns: int = DOOR_TURNS, empty: int = 0) -> None:
-        """Nobody new comes any more. Closing the listener resets whoever the system has accepted and we have
-        not, and asyncio drops whom it accepted in the turn before: they are let in first."""
-        if self._server is None:
-            return
-        door = select.poll()
-        door.register(self._server.sockets[0].fileno(), select.POLLIN)
-        empty = 0 if door.poll(0) else empty + 1
-        if turns and empty <= EMPTY_TURNS:
-            asyncio.get_running_loop().call_soon(self._close_door, turns - 1, empty)
-            return
-        server, self._server = self._server, None
-        server.close()
-        self._look_done()
-
-    def _shut(self) -> None:
-        """Nobody new comes any more, and who is here goes with the next answer."""
-        self.closing = True
-        self._close_door()
-        for client in [*self.clients]:
-            if client.idle and not (client.within or client.unread):
-                client.end()
-        self._look_done()
-
-    def _look_done(self) -> None:
-        loop = asyncio.get_running_loop()
-        if self.ended:
-            if not (self.clients or self.lingering or self._server is not None):
-                loop.call_soon(self._finish)
-            return
-        comes = self._server is not None if self.closing else "knock" in self._timers
-        if self.leaving and not (comes or self.clients or self.open):
-            loop.call_soon(self._end, LEFT_CLEAN)
+        self.log(
+            "shutting down",
+            open_requests=len(self.round_carrier.open_requests),
+            clients=len(self.client_registry.connections),
+        )
+        self._deadline_limit_ms = self.rounds.clock() + self._schedule.window_ms - FINAL_ANSWERS_MS
+        self.shutdown.begin()
 
-    def _end(self, code: int) -> None:
-        """Every request gets its final answer now, and clients a moment to take it."""
-        if self.ended:
-            return
-        self.ended = self.closing = True
-        self._code = code
-        self.rounds.end()
-        for pool in self.pools.values():
-            pool.close()
-        gate, whole = self.rounds.module.gate, code != LEFT_BROKEN  # a broken module's word is not taken
-        for pending in [*self.open.values()]:
-            self._final(pending, 503 if whole and gate.may_reject(pending) else 502)
+    def _answer_all(self, exit_code: int) -> None:
+        """Final answers for all, and the end of everything that runs beside the shutdown."""
+        self.round_carrier.answer_all(exit_code)
         self.discovery.close()
-        self._alarm.close()
-        for timer in self._timers.values():
+        self.round_carrier.close()
+        for timer in self._startup_timers:
             timer.cancel()
-        for client in [*self.clients]:
-            if not client.unread:  # else it is read in the next turn, and told to come back
-                client.turn_out(503)
-        self._timers["flush"] = asyncio.get_running_loop().call_later(FLUSH_MS / 1000.0, self._finish)
-        self._close_door()
-        self._look_done()
-
-    def _finish(self) -> None:
-        if self.done.done():
-            return
-        self._timers["flush"].cancel()
-        if self._server is not None:
-            self._server.close()
-        for client in [*self.clients, *self.lingering]:
-            client.cut()
-        self._tell()
-        self._timers["tell"].cancel()
-        self.log("ended", code=self._code)
-        self.done.set_result(self._code)
-
-    def _crashed(self, trouble: Exception, round_: str) -> None:
-        module_broke(self.log, trouble, round_)
-        self._end(LEFT_BROKEN)
-
-    def _sweep(self) -> None:
-        """What has been silent for too long goes; nodes that are gone are forgotten."""
-        now = self.rounds.clock()
-        crowd = len(self.clients) > self.most_clients * 3 // 4
-        unsent = {client: client.unsent for client in [*self.clients, *self.lingering] if client.unsent}
-        while sum(unsent.values()) > self.room.most:
-            # Answers that wait for clients to take them would be the process's end, and everybody's.
-            slowest = max(unsent, key=unsent.__getitem__)
-            del unsent[slowest]
-            slowest.cut()
-        for client in [*self.lingering]:
-            if now - client.quiet_from >= (SILENT_MS if client.unsent else LINGER_MS):
-                client.cut()
-        for client in [*self.clients]:
-            if not client.idle:
-                continue
-            quiet = now - client.quiet_from
-            silent = not client.spoken or client.within
-            if quiet >= (SILENT_MS if silent else SHORT_MS if crowd else LONG_MS) and not client.unread:
-                client.turn_out()
-        for pool in [*self.pools.values()]:
-            pool.close_idle(now)
-        for node in [*self.listing.dials]:
-            if node.state is NodeState.GONE:
-                self._forget(node)
-        self._timers["sweep"] = asyncio.get_running_loop().call_later(SWEEP_S, self._sweep)
-
-    def _forget(self, node: Node) -> None:
-        pool = self.pools.get(node)
-        if pool is not None and not pool.quiet:
-            return
-        if pool is not None:
-            del self.pools[node]
-            pool.close()
-        self.listing.forget(node)
+        self.periodic_tasks.stop()
+
+    def _exited(self, exit_code: int) -> None:
+        self._log_counts()
+        self.log("stopped", code=exit_code)
+        self.done.set_result(exit_code)
+
+    def _scheduler_broke(self, error: Exception, round_kind: str) -> None:
+        module_broke(self.log, error, round_kind)
+        self.shutdown.end(LEFT_BROKEN)
+
+    def _request_answered(self) -> None:
+        self.shutdown.check_finished()
 
-    def _tell(self) -> None:
-        """A line now and then of what there is."""
+    def _log_counts(self) -> None:
+        """One line with what is open and what was answered since the start."""
+        counts = self.round_carrier.counts
         self.log(
             "counts",
-            ok=self.finals[200],
-            rejected=self.finals[503],
-            errored=self.finals[502],
-            left=self.left_count,
+            ok=counts.by_status[STATUS_OK],
+            rejected=counts.by_status[STATUS_REJECTED],
+            errored=counts.by_status[STATUS_ERRORED],
+            abandoned=counts.abandoned,
             refused=self.refused,
-            clients=len(self.clients),
-            held=len(self.open),
-            node_sockets=self.sockets.used,
-            nodes=len(self.listing.dials),
-            version=self.listing.version,
-            connects=sum(pool.made for pool in self.pools.values()),
+            clients=len(self.client_registry.connections),
+            open_requests=len(self.round_carrier.open_requests),
+            node_sockets=self.socket_budget.used,
+            nodes=len(self.endpoint_list.dials),
+            version=self.endpoint_list.version,
+            connects=sum(pool.made for pool in self.round_carrier.pools.values()),
         )
-        self._timers["tell"] = asyncio.get_running_loop().call_later(TELL_S, self._tell)
-
-    # What clients' connections call.
-
-    def enter(self, client: ClientConnection) -> bool:
-        if len(self.clients) >= self.most_clients:  # who has its answer goes before who may be about to ask
-            rests = next((one for one in self.resting if not (one.within or one.unread)), None)
-            if rests is not None:
-                rests.turn_out()
-        place, goes = self.arrivals.came(client, len(self.clients))
-        if goes is not None:
-            goes.turn_out()
-        if place:
-            self.clients[client] = None
-        return place
-
-    def spoke(self, client: ClientConnection) -> None:
-        self.arrivals.spoke(client)
-        self.resting.pop(client, None)
-
-    def rests(self, client: ClientConnection) -> None:
-        self.resting.pop(client, None)
-        self.resting[client] = None
-
-    def left(self, pending: PendingRequest) -> None:
-        self.left_count += 1
-        self.open.pop(pending.call, None)
-        pending.client = pending.body = None
-        self.rounds.leave(pending)
-        for out in pending.attempts:
-            pool = self.pools.get(out.node)
-            if out.outcome is None and pool is not None:
-                pool.client_left(out)  # type: ignore[arg-type]
-
-    def lingers(self, client: ClientConnection) -> None:
-        self._out_of_place(client)
-        self.lingering[client] = None
-        if len(self.lingering) > self.most_lingering:
-            oldest = next(iter(self.lingering))
-            del self.lingering[oldest]
-            oldest.cut()
-
-    def exit(self, client: ClientConnection) -> None:
-        self._out_of_place(client)
-        self.lingering.pop(client, None)
-        self._look_done()
-
-    def _out_of_place(self, client: ClientConnection) -> None:
-        self.arrivals.spoke(client)
-        self.resting.pop(client, None)
-        self.clients.pop(client, None)
+
+    # Called by discovery.
+
+    def _endpoints_changed(self, nodes: list[Node]) -> None:
+        if not self.endpoints_known:
+            self.endpoints_known = self.ready = True
+            for timer in self._startup_timers:
+                timer.cancel()
+            self.log(
+                "endpoints known", nodes=len(self.endpoint_list.dials), version=self.endpoint_list.version
+            )
+        self.round_carrier.endpoints_changed(nodes)
+
+    # Called by clients' connections: the protocol `ConnectionOwner`.
+
+    @property
+    def closing(self) -> bool:
+        """Connections close with their next answer."""
+        return self.shutdown.phase >= ShutdownPhase.TURNING_AWAY
 
     def clock(self) -> float:
+        """The rounds' clock, ms."""
         return self.rounds.clock()
 
-    def ask(self, client: ClientConnection, message: Message) -> PendingRequest:
-        """To the module; Fault where the message holds no RPC."""
-        if self.ended:
-            raise Fault(503, "this dispatcher has ended")
-        pending = read_rpc(message, self.workloads, self.plans, message.begun, ANSWER_MS)
-        if pending.call in self.open:
-            raise Fault(409, "X-Call-Id: open already")
-        pending.deadline_ms = min(pending.deadline_ms, self._ends_at - ANSWER_MS)
-        pending.client = client
-        self.open[pending.call] = pending
-        self.rounds.take(pending)
-        return pending
-
-    # What discovery calls.
-
-    def _heard(self, nodes: list[Node]) -> None:
-        if not self.sighted:
-            self.sighted = self.ready = True
-            for name in ("blind", "ready"):
-                self._timers.pop(name).cancel()
-            self.log("sighted", nodes=len(self.listing.dials), version=self.listing.version)
-        for node in nodes:
-            pool = self.pools.get(node)
-            if pool is not None:
-                pool.standing_heard()
-        self.rounds.inputs.endpoint_changes += nodes
-        self.rounds.stir()
-
-    # What rounds carry out.
-
-    def before_round(self, now: float) -> None:
-        for out in self.wheel.due(now):
-            self.pools[out.node].give_up(out, Outcome.TIMED_OUT)
-
-    def carry(self, out: InflightAttempt, limit_ms: float) -> None:
-        node = out.node
-        pool = self.pools.get(node)
-        if pool is None:
-            pool = self.pools[node] = ConnectionPool(
-                node,
-                self.listing.dials.__getitem__,
-                self.rounds,
-                self.wheel,
-                self.sockets,
-                self.buffer,
-                self.connect_ms,
-                self.idle_ms,
-            )
-        out.expires_ms = min(out.request.deadline_ms, out.sent_ms + limit_ms)
-        out.timer_slot = self.wheel.put(out, out.expires_ms)
-        pool.carry(out)
-        self._alarm.set()
+    def admit(self, client: ClientConnection) -> bool:
+        """Whether there is a place for a new connection."""
+        return self.client_registry.admit(client)
 
-    def withdraw(self, out: InflightAttempt) -> None:
-        pool = self.pools.get(out.node)
-        if pool is not None:
-            pool.give_up(out, Outcome.CANCELLED)
+    def mark_active(self, client: ClientConnection) -> None:
+        """The client has sent a whole request."""
+        self.client_registry.mark_active(client)
 
-    def answer_ok(self, held: InflightRequest, out: InflightAttempt) -> None:
-        assert isinstance(held, PendingRequest)
-        self._final(held, 200, bytes(held.body or b""))
+    def mark_idle(self, client: ClientConnection) -> None:
+        """The client's last request was answered."""
+        self.client_registry.mark_idle(client)
 
-    def answer_rejected(self, held: InflightRequest, come_back_ms: float) -> None:
-        assert isinstance(held, PendingRequest)
-        fields = b"Retry-After: %.3f\r\n" % (come_back_ms / 1000.0) if come_back_ms > 0.0 else b""
-        self._final(held, 503, fields=fields)
+    def linger(self, client: ClientConnection) -> None:
+        """One side of the client's connection has closed."""
+        self.client_registry.linger(client)
 
-    def answer_errored(self, held: InflightRequest) -> None:
-        assert isinstance(held, PendingRequest)
-        self._final(held, 502)
+    def remove(self, client: ClientConnection) -> None:
+        """The client's connection is closed."""
+        self.client_registry.remove(client)
+        self.shutdown.check_finished()
 
-    def _final(self, pending: PendingRequest, status: int, body: bytes = b"", fields: bytes = b"") -> None:
-        """The one final answer."""
-        self.open.pop(pending.call, None)
-        client, pending.client, pending.body = pending.client, None, None
-        self.finals[status] += 1
-        if client is not None and client.open is pending:
-            client.answer(status, body, fields)
-        self._look_done()
+    def submit(self, client: ClientConnection, message: Message) -> PendingRequest:
+        """Hand a client's request to the scheduler.
 
-    def ask_list(self, push: bool) -> None:
-        """Discovery tells by itself."""
+        Raises:
+            Fault: The message holds no request that can be taken.
+        """
+        if self.shutdown.phase is ShutdownPhase.FLUSHING:
+            raise Fault(503, "this dispatcher has ended")
+        pending = read_rpc(message, self.workloads, self.plans, message.begun, ANSWER_MS)
+        if pending.call in self.round_carrier.open_requests:
+            raise Fault(409, "X-Call-Id: open already")
+        pending.deadline_ms = min(pending.deadline_ms, self._deadline_limit_ms - ANSWER_MS)
+        pending.client = client
+        self.round_carrier.submit(pending)
+        return pending
 
-    def tell(self, peer: int | None, payload: bytes) -> None:
-        self.log("word to peers passed over: dispatchers have no way to each other here")
+    def abandon(self, pending: PendingRequest) -> None:
+        """The request's client has closed."""
+        self.round_carrier.abandon(pending)
 
 
 def main() -> int:
+    """Run the dispatcher that the environment describes.
+
+    Returns:
+        The process's exit code: that of the shutdown, or 2 where it could not start.
+    """
     try:
         config = read_config(os.environ)
-    except ConfigError as trouble:
-        print(trouble, file=sys.stderr)
+    except ConfigError as error:
+        print(error, file=sys.stderr)
         return 2
     log = plain_log(dispatcher=config.name)
-    make, compiled = dispatcher()
+    make_scheduler, compiled = dispatcher()
     log("module", compiled=compiled)
 
     async def run() -> int:
-        return await serve(Platform(config, log, make))
+        return await serve(PlatformDispatcher(config, log, make_scheduler))
 
     try:
         return asyncio.run(run())
-    except OSError as trouble:
-        print(f"listen: {config.listen}: {trouble}", file=sys.stderr)
+    except OSError as error:
+        print(f"listen: {config.listen}: {error}", file=sys.stderr)
         return 2
--- /dev/null
+++ b/cherrygrade/platform/round_carrier.py
@@ -0,0 +1,177 @@
+"""Carries out what the scheduler's rounds decide: attempts to nodes, final answers to clients."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from cherrygrade.gateway.life import LEFT_BROKEN, Alarm
+from cherrygrade.gateway.rounds import Rounds
+from cherrygrade.gateway.wheel import Wheel
+from cherrygrade.inflight import InflightAttempt, InflightRequest
+from cherrygrade.platform.clients import PendingRequest
+from cherrygrade.platform.listing import Listing
+from cherrygrade.platform.nodes import ConnectionPool, Sockets
+from cherrygrade.scheduling.model import Node, Outcome
+from cherrygrade.scheduling.scheduler import Scheduler
+
+GRAIN_MS = 1.0  # how late an attempt's time-out may be
+STATUS_OK = 200
+STATUS_ERRORED = 502
+STATUS_REJECTED = 503
+
+
+@dataclass(slots=True)
+class AnswerCounts:
+    """Final answers since the start, by how the request ended."""
+
+    by_status: dict[int, int] = field(
+        default_factory=lambda: {STATUS_OK: 0, STATUS_REJECTED: 0, STATUS_ERRORED: 0}
+    )
+    abandoned: int = 0
+    """Requests whose client closed before its answer."""
+
+
+class RoundCarrier:
+    """The I/O side of a dispatcher's rounds; implements `cherrygrade.gateway.rounds.Carrier`."""
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        endpoint_list: Listing,
+        socket_budget: Sockets,
+        receive_buffer: memoryview,
+        connect_timeout_ms: float,
+        idle_timeout_ms: float,
+        crashed: Callable[[Exception, str], None],
+        answered: Callable[[], None],
+        log: Callable[..., None],
+    ) -> None:
+        """Args: `crashed`: called when the scheduler raises; `answered`: called after each final answer."""
+        self.open_requests: dict[bytes, PendingRequest] = {}
+        """By call id; removed by the final answer, or when the client closes."""
+        self.pools: dict[Node, ConnectionPool] = {}
+        self.counts = AnswerCounts()
+        self.rounds = Rounds(scheduler, self, crashed, lambda text: log("module", text=text))
+        self._endpoint_list = endpoint_list
+        self._socket_budget = socket_budget
+        self._receive_buffer = receive_buffer
+        self._connect_timeout_ms = connect_timeout_ms
+        self._idle_timeout_ms = idle_timeout_ms
+        self._answered = answered
+        self._log = log
+        self._wheel: Wheel[InflightAttempt] = Wheel(GRAIN_MS)
+        self._timeout_alarm = Alarm(self._wheel, self.rounds.clock, self.before_round)
+
+    # Called by the dispatcher.
+
+    def submit(self, pending: PendingRequest) -> None:
+        """Hand a client's request to the next round."""
+        self.open_requests[pending.call] = pending
+        self.rounds.take(pending)
+
+    def abandon(self, pending: PendingRequest) -> None:
+        """The client has closed: nobody waits for the answer, and attempts not yet sent are withdrawn."""
+        self.counts.abandoned += 1
+        self.open_requests.pop(pending.call, None)
+        pending.client = pending.body = None
+        self.rounds.leave(pending)
+        for attempt in pending.attempts:
+            pool = self.pools.get(attempt.node)
+            if attempt.outcome is None and pool is not None:
+                pool.client_left(attempt)  # type: ignore[arg-type]
+
+    def endpoints_changed(self, nodes: list[Node]) -> None:
+        """Discovery has told something new of these nodes."""
+        for node in nodes:
+            pool = self.pools.get(node)
+            if pool is not None:
+                pool.standing_heard()
+        self.rounds.inputs.endpoint_changes += nodes
+        self.rounds.stir()
+
+    def answer_all(self, exit_code: int) -> None:
+        """End the rounds, close all node connections and give every open request its final answer."""
+        self.rounds.end()
+        for pool in self.pools.values():
+            pool.close()
+        gate = self.rounds.module.gate
+        scheduler_works = exit_code != LEFT_BROKEN  # a broken scheduler's decision is not used
+        for pending in [*self.open_requests.values()]:
+            rejected = scheduler_works and gate.may_reject(pending)
+            self._final_answer(pending, STATUS_REJECTED if rejected else STATUS_ERRORED)
+
+    def close(self) -> None:
+        """No time-out is delivered any more."""
+        self._timeout_alarm.close()
+
+    # Called by the rounds.
+
+    def before_round(self, now: float) -> None:
+        """Give up the attempts whose time is over. `now`: the rounds' clock, ms."""
+        for attempt in self._wheel.due(now):
+            self.pools[attempt.node].give_up(attempt, Outcome.TIMED_OUT)
+
+    def carry(self, out: InflightAttempt, limit_ms: float) -> None:
+        """Send an attempt to its node; it times out after `limit_ms` or at its request's deadline."""
+        node = out.node
+        pool = self.pools.get(node)
+        if pool is None:
+            pool = self.pools[node] = self._make_pool(node)
+        out.expires_ms = min(out.request.deadline_ms, out.sent_ms + limit_ms)
+        out.timer_slot = self._wheel.put(out, out.expires_ms)
+        pool.carry(out)
+        self._timeout_alarm.set()
+
+    def _make_pool(self, node: Node) -> ConnectionPool:
+        return ConnectionPool(
+            node,
+            self._endpoint_list.dials.__getitem__,
+            self.rounds,
+            self._wheel,
+            self._socket_budget,
+            self._receive_buffer,
+            self._connect_timeout_ms,
+            self._idle_timeout_ms,
+        )
+
+    def withdraw(self, out: InflightAttempt) -> None:
+        """Cancel an attempt."""
+        pool = self.pools.get(out.node)
+        if pool is not None:
+            pool.give_up(out, Outcome.CANCELLED)
+
+    def answer_ok(self, held: InflightRequest, out: InflightAttempt) -> None:
+        """Answer 200 with the body that the node sent."""
+        assert isinstance(held, PendingRequest)
+        self._final_answer(held, STATUS_OK, bytes(held.body or b""))
+
+    def answer_rejected(self, held: InflightRequest, come_back_ms: float) -> None:
+        """Answer 503; with Retry-After where `come_back_ms` is above 0."""
+        assert isinstance(held, PendingRequest)
+        fields = b"Retry-After: %.3f\r\n" % (come_back_ms / 1000.0) if come_back_ms > 0.0 else b""
+        self._final_answer(held, STATUS_REJECTED, fields=fields)
+
+    def answer_errored(self, held: InflightRequest) -> None:
+        """Answer 502: the request may have run on a node."""
+        assert isinstance(held, PendingRequest)
+        self._final_answer(held, STATUS_ERRORED)
+
+    def _final_answer(
+        self, pending: PendingRequest, status: int, body: bytes = b"", fields: bytes = b""
+    ) -> None:
+        """The one final answer of a request."""
+        self.open_requests.pop(pending.call, None)
+        client = pending.client
+        pending.client = pending.body = None
+        self.counts.by_status[status] += 1
+        if client is not None and client.open is pending:
+            client.answer(status, body, fields)
+        self._answered()
+
+    def ask_list(self, push: bool) -> None:
+        """Nothing to do: discovery pushes its changes."""
+
+    def tell(self, peer: int | None, payload: bytes) -> None:
+        """Drop a message to other dispatchers: the platform gives them no links to each other."""
+        self._log("peer message dropped: dispatchers of the platform have no links to each other")
--- a/tests/platform/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -12,16 +12,16 @@
 import socket
 import struct
 import time
-from test_platform import TARGET, Watched
 
 import pytest
 from support.fake_host import ORDERED, FakeHost
 from support.platform_site import SETTINGS, PlatformSite, ask, play
+from test_platform import TARGET, Watched
 
 from cherrygrade.gateway.life import LEFT_CLEAN
 from cherrygrade.http.reader import Reader
 from cherrygrade.http.writer import answer
-from cherrygrade.platform import clients, nodes, process
+from cherrygrade.platform import clients, nodes, periodic_tasks, shutdown
 from cherrygrade.scheduling.model import NodeState, Outcome
 from cherrygrade.standin import web
 
@@ -47,8 +47,8 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.connect(("127.0.0.1", square.port))
     platform = square.platform
-    await square.until(lambda: platform.clients)
-    theirs = next(iter(platform.clients))._transport.get_extra_info("socket")
+    await square.until(lambda: platform.client_registry.connections)
+    theirs = next(iter(platform.client_registry.connections))._transport.get_extra_info("socket")
     theirs.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     return sock
 
@@ -102,14 +102,14 @@
         node = await square.node()
         platform = await square.start()
         await barrier(square)
-        pool = next(iter(platform.pools.values()))
+        pool = next(iter(platform.round_carrier.pools.values()))
         for gone in range(1, 6):
             await square.until(lambda: pool.free)
             pool.free[0].quiet_from = 0.0  # a connection stands ready, so that nothing has to wait
             end(raw(square, ask()))
-            await square.until(lambda count=gone: platform.left_count == count)
+            await square.until(lambda count=gone: platform.round_carrier.counts.abandoned == count)
         await barrier(square)
-        assert len(node.came) == 2 and not platform.open
+        assert len(node.came) == 2 and not platform.round_carrier.open_requests
         await square.until(lambda: not platform.rounds.module.jobs)
 
     play(tmp_path, story)
@@ -130,10 +130,12 @@
         platform = await square.start()
         free = hold_connects(square)
         client = raw(square, ask())
-        await square.until(lambda: any(pool.waiting for pool in platform.pools.values()))
+        await square.until(lambda: any(pool.waiting for pool in platform.round_carrier.pools.values()))
         client.close()
-        await square.until(lambda: not platform.open)
-        assert not any(pool.waiting for pool in platform.pools.values())  # and its slot is free at once
+        await square.until(lambda: not platform.round_carrier.open_requests)
+        assert not any(
+            pool.waiting for pool in platform.round_carrier.pools.values()
+        )  # and its slot is free at once
         free.set()
         await barrier(square)
         assert len(node.came) == 1
@@ -153,7 +155,7 @@
 
         nodes.ConnectionPool.stands = stands
         try:
-            await square.until(lambda: platform.left_count)
+            await square.until(lambda: platform.round_carrier.counts.abandoned)
         finally:
             nodes.ConnectionPool.stands = real
         await barrier(square)
@@ -168,7 +170,7 @@
         platform = await square.start()
         callers = [await square.caller() for _ in range(2)]
         await asyncio.gather(*[caller.call(ask()) for caller in callers])
-        pool = next(iter(platform.pools.values()))
+        pool = next(iter(platform.round_carrier.pools.values()))
         assert len(pool.free) == 2  # one to be cut, one for the further attempt
         pool.free[0].quiet_from = pool.free[1].quiet_from = 0.0
         node.script.append(False)  # its connection is cut, and the read may go again
@@ -180,7 +182,7 @@
 
         nodes.ConnectionPool.ended = ended
         try:
-            await square.until(lambda: platform.left_count)
+            await square.until(lambda: platform.round_carrier.counts.abandoned)
         finally:
             nodes.ConnectionPool.ended = answered
         await barrier(square)
@@ -198,14 +200,14 @@
         node.script.append(None)
         client = raw(square, b"".join(ask(X_Budget_Ms="2000") for _ in range(300)))
         await square.until(lambda: node.came)
-        connection = next(iter(platform.clients))
+        connection = next(iter(platform.client_registry.connections))
         await square.until(lambda: not connection._transport.is_reading())
         end(client)
         assert len(node.came) == 1
         node._answer(node.peers[0], node.came[0])
-        await square.until(lambda: connection not in platform.clients)
+        await square.until(lambda: connection not in platform.client_registry.connections)
         await barrier(square)
-        assert len(node.came) == 2 and not platform.open
+        assert len(node.came) == 2 and not platform.round_carrier.open_requests
 
     play(tmp_path, story)
 
@@ -229,7 +231,7 @@
             real(now, writer, **came)
 
         module.decide = decide
-        await square.until(lambda: before and not platform.open)
+        await square.until(lambda: before and not platform.round_carrier.open_requests)
         await barrier(square)
         assert len(node.came) == before[0] + 1
 
@@ -240,18 +242,18 @@
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
-        platform.room.most = 10**8
+        platform.answer_budget.most = 10**8
         node.script.extend([answer(200, bytes(900_000)), None])
         client = await narrow(square)
         client.sendall(ask(X_Budget_Ms="2000"))
-        await square.until(lambda: next(iter(platform.clients)).unsent)
-        connection = next(iter(platform.clients))
+        await square.until(lambda: next(iter(platform.client_registry.connections)).unsent)
+        connection = next(iter(platform.client_registry.connections))
         connection._paused = False
         client.sendall(ask(X_Budget_Ms="2000"))
-        await square.until(lambda: platform.open and len(node.came) == 2)
+        await square.until(lambda: platform.round_carrier.open_requests and len(node.came) == 2)
         client.shutdown(socket.SHUT_WR)
-        await square.until(lambda: not platform.open)
-        assert connection.unsent and platform.left_count == 1
+        await square.until(lambda: not platform.round_carrier.open_requests)
+        assert connection.unsent and platform.round_carrier.counts.abandoned == 1
         client.close()
 
     play(tmp_path, story)
@@ -264,8 +266,8 @@
     async def story(square: PlatformSite) -> None:
         platform = await square.start()
         await square.caller()
-        await square.until(lambda: platform.clients)
-        sock = next(iter(platform.clients))._transport.get_extra_info("socket")
+        await square.until(lambda: platform.client_registry.connections)
+        sock = next(iter(platform.client_registry.connections))._transport.get_extra_info("socket")
         assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
     play(tmp_path, story)
@@ -282,35 +284,37 @@
         got = asyncio.create_task(ends(client))
         data, orderly = await got
         assert statuses(data) == [400] and orderly
-        await square.until(lambda: not platform.lingering)
+        await square.until(lambda: not platform.client_registry.lingering)
 
     play(tmp_path, story)
 
 
 def test_a_lingering_close_is_bounded_in_time_bytes_and_places(tmp_path, monkeypatch):
-    monkeypatch.setattr(process, "LINGER_MS", 300.0)
+    monkeypatch.setattr(periodic_tasks, "LINGER_MS", 300.0)
 
     async def story(square: PlatformSite) -> None:
         platform = await square.start()
         loop = asyncio.get_running_loop()
         quiet = raw(square, b"\x00 nonsense\r\n\r\n")
-        await square.until(lambda: platform.lingering)
+        await square.until(lambda: platform.client_registry.lingering)
         began = loop.time()
-        await square.until(lambda: not platform.lingering)  # it never ends its side
+        await square.until(lambda: not platform.client_registry.lingering)  # it never ends its side
         assert 0.2 < loop.time() - began < 1.5
         quiet.close()
 
         loud = raw(square, b"\x00 nonsense\r\n\r\n")
         loud.setblocking(False)
-        await square.until(lambda: platform.lingering)
+        await square.until(lambda: platform.client_registry.lingering)
         with pytest.raises(ConnectionError):
             for _ in range(1000):
                 await asyncio.wait_for(loop.sock_sendall(loud, bytes(65536)), 4.0)
         loud.close()
 
-        many = [raw(square, b"\x00 nonsense\r\n\r\n") for _ in range(platform.most_lingering + 20)]
+        many = [
+            raw(square, b"\x00 nonsense\r\n\r\n") for _ in range(platform.client_registry.max_lingering + 20)
+        ]
         await square.until(lambda: platform.refused == 2 + len(many))
-        assert len(platform.lingering) <= platform.most_lingering
+        assert len(platform.client_registry.lingering) <= platform.client_registry.max_lingering
         for one in many:
             one.close()
 
@@ -320,14 +324,16 @@
 def test_a_burst_of_leavings_cuts_nobodys_lingering_close(tmp_path):
     async def story(square: PlatformSite) -> None:
         platform = await square.start()
-        refused = [raw(square, b"\x00 nonsense\r\n\r\n") for _ in range(platform.most_lingering)]
-        await square.until(lambda: len(platform.lingering) == len(refused))
+        refused = [
+            raw(square, b"\x00 nonsense\r\n\r\n") for _ in range(platform.client_registry.max_lingering)
+        ]
+        await square.until(lambda: len(platform.client_registry.lingering) == len(refused))
         burst = [raw(square) for _ in range(40)]
-        await square.until(lambda: len(platform.clients) == 40)
+        await square.until(lambda: len(platform.client_registry.connections) == 40)
         for one in burst:
             one.close()
-        await square.until(lambda: not platform.clients)
-        assert len(platform.lingering) == len(refused)
+        await square.until(lambda: not platform.client_registry.connections)
+        assert len(platform.client_registry.lingering) == len(refused)
         for data, orderly in await asyncio.gather(*map(ends, refused)):
             assert statuses(data) == [400] and orderly
 
@@ -342,14 +348,14 @@
         caller = await square.caller()
         if idle == "rested":
             assert (await caller.call(ask())).status == 200
-        await square.until(lambda: platform.clients)
+        await square.until(lambda: platform.client_registry.connections)
         came = len(node.came)
-        for connection in [*platform.clients]:
+        for connection in [*platform.client_registry.connections]:
             connection.turn_out()
         caller.writer.write(ask())  # our end is on its way
         assert await caller.answer() is None
         await barrier(square)
-        assert len(node.came) == came + 1 and not platform.open
+        assert len(node.came) == came + 1 and not platform.round_carrier.open_requests
 
     play(tmp_path, story)
 
@@ -360,24 +366,24 @@
         await square.node()
         platform = await square.start()
         client = raw(square, ask())
-        await square.until(lambda: platform.resting)
+        await square.until(lambda: platform.client_registry.idle)
         client.sendall(ask())  # there, and the loop has not turned
         if when == "shut":
             platform.leave()
-            platform._shut()
+            platform.shutdown.turn_clients_away()
         elif when == "end":
             platform.leave()
             platform.leave()
         elif when == "crowd":
-            platform.most_clients = 1
-            platform.enter(clients.ClientConnection(platform))  # somebody fresh in the same turn
+            platform.client_registry.max_connections = 1
+            platform.admit(clients.ClientConnection(platform))  # somebody fresh in the same turn
         else:
-            next(iter(platform.clients)).quiet_from -= 1e6
-            platform._sweep()
+            next(iter(platform.client_registry.connections)).quiet_from -= 1e6
+            platform.periodic_tasks.sweep()
         got = asyncio.create_task(ends(client))
         if when in ("crowd", "sweep"):
-            await square.until(lambda: platform.finals[200] == 2)
-            next(iter(platform.resting)).turn_out()
+            await square.until(lambda: platform.round_carrier.counts.by_status[200] == 2)
+            next(iter(platform.client_registry.idle)).turn_out()
         data, orderly = await got
         assert statuses(data) == [200, told] and orderly
 
@@ -389,13 +395,13 @@
         await square.node()
         platform = await square.start()
         client, data = raw(square, ask()), ask()
-        await square.until(lambda: platform.resting)
+        await square.until(lambda: platform.client_registry.idle)
         client.sendall(data[:-9])
-        await square.until(lambda: next(iter(platform.clients)).within)
-        platform.most_clients = 1
-        platform.enter(clients.ClientConnection(platform))
+        await square.until(lambda: next(iter(platform.client_registry.connections)).within)
+        platform.client_registry.max_connections = 1
+        platform.admit(clients.ClientConnection(platform))
         client.sendall(data[-9:])
-        await square.until(lambda: platform.finals[200] == 2)
+        await square.until(lambda: platform.round_carrier.counts.by_status[200] == 2)
         client.close()
 
     play(tmp_path, story)
@@ -408,14 +414,14 @@
         node.script.append(answer(200, bytes(900_000)))
         client = await narrow(square)
         client.sendall(ask(X_Budget_Ms="2000"))
-        connection = next(iter(platform.clients))
+        connection = next(iter(platform.client_registry.connections))
         await square.until(lambda: connection.unsent)
         connection.end()
-        assert connection in platform.lingering and connection.unsent
-        platform.room.most = 1000
-        platform._sweep()
+        assert connection in platform.client_registry.lingering and connection.unsent
+        platform.answer_budget.most = 1000
+        platform.periodic_tasks.sweep()
         await asyncio.sleep(0.01)
-        assert not platform.lingering
+        assert not platform.client_registry.lingering
         client.close()
 
     play(tmp_path, story)
@@ -428,7 +434,7 @@
         await barrier(square)
         clients = [raw(square, ask()) for _ in range(40)]  # more than are accepted in one turn
         platform.leave()
-        platform._shut()
+        platform.shutdown.turn_clients_away()
         told = []
         for data, orderly in await asyncio.gather(*map(ends, clients)):
             assert orderly
@@ -450,7 +456,7 @@
         for data, orderly in await asyncio.gather(*map(ends, clients)):
             assert statuses(data) == [503] and orderly
         await asyncio.wait_for(platform.done, 1.0)
-        assert len(node.came) == 1 and not platform.open
+        assert len(node.came) == 1 and not platform.round_carrier.open_requests
 
     play(tmp_path, story)
 
@@ -469,7 +475,7 @@
         # A read may be asked again; what may have run and must not run again may not.
         assert [statuses(data) for data, _ in await asyncio.gather(ends(two), ends(once))] == [[503], [502]]
         await asyncio.wait_for(platform.done, 1.0)
-        assert not platform.open and len(node.came) == 2
+        assert not platform.round_carrier.open_requests and len(node.came) == 2
 
     play(tmp_path, story)
 
@@ -481,7 +487,7 @@
         platform = await square.start()
         client = raw(square, b"".join(ask(X_Budget_Ms="2000") for _ in range(300)))
         await square.until(lambda: node.came)
-        connection = next(iter(platform.clients))
+        connection = next(iter(platform.client_registry.connections))
         await square.until(lambda: not connection._transport.is_reading())
         platform.leave()
         platform.leave()
@@ -499,11 +505,11 @@
         platform = await square.start()
         ready = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"
         read, once, loop = raw(square, ready), raw(square, ready), asyncio.get_running_loop()
-        await square.until(lambda: len(platform.resting) == 2)
+        await square.until(lambda: len(platform.client_registry.idle) == 2)
         platform.leave()
-        kill = loop.time() + 2.0 + process.KNOCK_MS / 1000.0
-        cut = kill - process.CUT_MS / 1000.0
-        before = kill - process.TURN_MS / 1000.0 - 0.03  # idle ones are ended then
+        kill = loop.time() + 2.0 + shutdown.ACCEPTING_MS / 1000.0
+        cut = kill - shutdown.FINAL_ANSWERS_MS / 1000.0
+        before = kill - shutdown.TURNING_AWAY_MS / 1000.0 - 0.03  # idle ones are ended then
         loop.call_at(before, read.sendall, ask(X_Budget_Ms="2000"))
         loop.call_at(before, once.sendall, ask(X_Call_Class="once", X_Budget_Ms="1500", **PUT_ONCE))
         loop.call_at(cut - 0.01, time.sleep, 0.1)  # the last step is 90 ms late by this
@@ -542,11 +548,11 @@
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
-        platform.room.most, large = 10**8, bytes(900_000)
+        platform.answer_budget.most, large = 10**8, bytes(900_000)
         node.script.append(answer(200, large))
         client = await narrow(square)
         client.sendall(ask(X_Budget_Ms="2000"))
-        await square.until(lambda: next(iter(platform.clients)).unsent)
+        await square.until(lambda: next(iter(platform.client_registry.connections)).unsent)
         platform.leave()
         platform.leave()
         await asyncio.sleep(0)
@@ -565,7 +571,7 @@
         square.discovery.down = True
         platform = await square.begin()
         client = raw(square, ask(X_Budget_Ms="150"))
-        await square.until(lambda: platform.open)
+        await square.until(lambda: platform.round_carrier.open_requests)
         platform.leave()
         data, _ = await ends(client)
         assert statuses(data) == [503]
@@ -602,7 +608,7 @@
             await asyncio.sleep(0.001)
         if drains:
             square.discovery.tell(node.entry("terminating"))
-            await square.until(lambda: next(iter(platform.listing.dials)).state is NodeState.DRAINING)
+            await square.until(lambda: next(iter(platform.endpoint_list.dials)).state is NodeState.DRAINING)
         assert not client.done()
         peer.transport.close() if end == "orderly" else reset(peer.transport.get_extra_info("socket").dup())
         if end == "reset":
@@ -665,7 +671,7 @@
         node.script.append(answer(200, b"mine"))
         caller = await square.caller()
         assert (await caller.call(ask())).body == b"mine"
-        pool = next(iter(platform.pools.values()))
+        pool = next(iter(platform.round_carrier.pools.values()))
         pool.free[0].quiet_from = platform.rounds.clock() + 40.0  # as though it had come just now, all along
         caller.writer.write(ask())
         await square.until(lambda: pool.waiting)
@@ -690,7 +696,7 @@
         sent = platform.rounds.clock()
         free = hold_connects(square)
         node.peers[0].cut()
-        await square.until(lambda: any(pool.waiting for pool in platform.pools.values()))
+        await square.until(lambda: any(pool.waiting for pool in platform.round_carrier.pools.values()))
         assert platform.rounds.clock() < sent + 350.0
         await asyncio.sleep(0.45)
         free.set()  # decided within the window, there to leave behind it
@@ -706,8 +712,8 @@
         platform = await square.start(Watched)
         caller, free = await square.caller(), hold_connects(square)
         client = asyncio.create_task(caller.call(ask()))
-        await square.until(lambda: any(pool.waiting for pool in platform.pools.values()))
-        met = next(iter(platform.listing.dials))
+        await square.until(lambda: any(pool.waiting for pool in platform.round_carrier.pools.values()))
+        met = next(iter(platform.endpoint_list.dials))
         met.state = NodeState.DRAINING  # told, and nobody has looked through what waits yet
         free.set()
         assert (await client).status == 503 and not node.came
@@ -736,8 +742,8 @@
         asked = loop.time()
         assert (await caller.call(ask(X_Budget_Ms="2000"))).status == 200
         assert loop.time() - asked < 1.0 and platform.rounds.module.told == [Outcome.RESET, Outcome.OK]
-        assert sum(pool.making for pool in platform.pools.values()) == 0
-        assert platform.sockets.used == len(node.peers) or len(node.peers) == 2
+        assert sum(pool.making for pool in platform.round_carrier.pools.values()) == 0
+        assert platform.socket_budget.used == len(node.peers) or len(node.peers) == 2
 
     play(tmp_path, story)
 
@@ -766,9 +772,11 @@
         platform = await square.start()
         node._server.sockets[0]._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client = raw(square, ask(method="PUT", body=bytes(65536)))
-        await square.until(lambda: any(line.out for k in platform.pools.values() for line in k.connections))
+        await square.until(
+            lambda: any(line.out for k in platform.round_carrier.pools.values() for line in k.connections)
+        )
         client.close()
-        await square.until(lambda: not platform.open)
+        await square.until(lambda: not platform.round_carrier.open_requests)
         node.peers[0].transport.resume_reading()
         await square.until(lambda: not node.peers)
         assert not node.came
@@ -784,8 +792,10 @@
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         caller = await square.caller()
         write = asyncio.create_task(caller.call(ask(method="PUT", body=bytes(65536))))
-        await square.until(lambda: any(line.out for k in platform.pools.values() for line in k.connections))
-        line = next(line for k in platform.pools.values() for line in k.connections)
+        await square.until(
+            lambda: any(line.out for k in platform.round_carrier.pools.values() for line in k.connections)
+        )
+        line = next(line for k in platform.round_carrier.pools.values() for line in k.connections)
         assert not line.whole
         node.peers[0].write(answer(503, fields=b"X-Rejected: 1\r\n"))
         assert (await write).status == 200  # turned away unread, so it went again
@@ -801,12 +811,12 @@
         platform = await square.start(Watched)
         caller = await square.caller()
         assert (await caller.call(ask())).status == 200
-        pool = next(iter(platform.pools.values()))
+        pool = next(iter(platform.round_carrier.pools.values()))
         node.peers[0].transport.get_extra_info("socket")._sock.send(half)  # there, and not read
         pool.close_idle(platform.rounds.clock() + 1e6)
         assert not pool.free and not pool.connections
         assert (await caller.call(ask())).body == b"of " + TARGET
         assert node.made == 2 and platform.rounds.module.told == [Outcome.OK, Outcome.OK]
-        assert platform.sockets.used == 1
+        assert platform.socket_budget.used == 1
 
     play(tmp_path, story)
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -15,7 +15,7 @@
 from cherrygrade.gateway.life import LEFT_BROKEN, LEFT_CLEAN
 from cherrygrade.http.reader import MOST_BODY, MOST_LONG
 from cherrygrade.http.writer import answer
-from cherrygrade.platform import nodes, process, watching
+from cherrygrade.platform import nodes, process, round_carrier, watching
 from cherrygrade.platform.clients import ClientConnection
 from cherrygrade.platform.config import ConfigError, read_config
 from cherrygrade.scheduling.model import NodeState, Outcome
@@ -50,7 +50,7 @@
         assert first.fields[b"x-call-id"] == b"00000000000000ab"
         assert 900 < int(first.fields[b"x-budget-ms"]) <= 1000
         assert (second.method, second.body) == (b"PUT", b"\x00\xff" * 30000)
-        assert square.platform.pools and not square.platform.open
+        assert square.platform.round_carrier.pools and not square.platform.round_carrier.open_requests
 
     play(tmp_path, story)
 
@@ -293,8 +293,8 @@
         assert (await caller.call(ask(X_Budget_Ms="1100"))).status == 200
         assert platform.rounds.module.told == [Outcome.OK] and node.made == 1
         await square.until(lambda: node.made == 2)  # the late one is there for whoever comes next
-        (pool,) = platform.pools.values()
-        assert (len(pool.free), pool.making, platform.sockets.used) == (2, 0, 2)
+        (pool,) = platform.round_carrier.pools.values()
+        assert (len(pool.free), pool.making, platform.socket_budget.used) == (2, 0, 2)
 
     play(tmp_path, story)
 
@@ -335,8 +335,8 @@
         await square.until(lambda: getattr(told, "told", []))
         assert told.told[0] is Outcome.CONNECT_FAILED and time.monotonic() - begun >= 0.25
         assert (await answering).status == 503 and not node.made
-        await square.until(lambda: not platform.sockets.used)
-        (pool,) = platform.pools.values()
+        await square.until(lambda: not platform.socket_budget.used)
+        (pool,) = platform.round_carrier.pools.values()
         assert not (pool.connections or pool.waiting or pool.making)
 
     play(tmp_path, story)
@@ -351,7 +351,7 @@
         one, two = await square.caller(), await square.caller()
         both = [asyncio.create_task(caller.call(ask())) for caller in (one, two)]
         assert [answered.status for answered in await asyncio.gather(*both)] == [200, 200] and node.made == 2
-        pool = next(iter(platform.pools.values()))
+        pool = next(iter(platform.round_carrier.pools.values()))
         await asyncio.sleep(0.01)
         older, newer = pool.free
         now = platform.rounds.clock()
@@ -370,24 +370,24 @@
         node = await square.node()
         platform = await square.start(Watched)
         node.script.extend([None] * 9)
-        caller, asks, carried, real = await square.caller(), [], [], platform.carry
+        caller, asks, carried, real = await square.caller(), [], [], platform.round_carrier.carry
 
         def carry(out, limit_ms):
             real(out, limit_ms)
             carried.append(out)
 
-        platform.carry = carry
+        platform.round_carrier.carry = carry
         caller.writer.write(ask(X_Budget_Ms="300"))
-        await square.until(lambda: platform.open)
-        asks += platform.open.values()
+        await square.until(lambda: platform.round_carrier.open_requests)
+        asks += platform.round_carrier.open_requests.values()
         answered = await caller.answer()
         assert answered.status in (502, 503)
         # By its own clock, as a busy machine turns the loop late: the timer that gives it up stands in time.
         assert asks[0].deadline_ms <= carried[0].sent_ms + 300.0 - process.ANSWER_MS
-        assert carried[0].timer_slot * process.GRAIN_MS <= asks[0].deadline_ms + process.GRAIN_MS
+        assert carried[0].timer_slot * round_carrier.GRAIN_MS <= asks[0].deadline_ms + round_carrier.GRAIN_MS
         assert Outcome.TIMED_OUT in platform.rounds.module.told
         await square.until(lambda: not node.peers)
-        assert not platform.open and not platform.sockets.used
+        assert not platform.round_carrier.open_requests and not platform.socket_budget.used
 
     play(tmp_path, story)
 
@@ -400,11 +400,11 @@
         caller = await square.caller()
         for _ in range(3):
             node.script.append(answer(200, large))
-            assert (await caller.call(ask())).body == large and not platform.room.held
-        platform.room.most = 100_000
+            assert (await caller.call(ask())).body == large and not platform.answer_budget.held
+        platform.answer_budget.most = 100_000
         node.script.extend([answer(200, large)] * 9)
         assert (await caller.call(ask())).status == 503
-        assert Outcome.FAILED in platform.rounds.module.told and not platform.room.held
+        assert Outcome.FAILED in platform.rounds.module.told and not platform.answer_budget.held
 
     play(tmp_path, story)
 
@@ -416,7 +416,7 @@
     async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=100.0)
         platform = await square.start()
-        room = platform.long_requests
+        room = platform.request_budget
         one, two = await square.caller(), await square.caller()
         # A second one behind it, and one in front: its bytes are read while that one is open.
         one.writer.write(ask() + ask(method="PUT", body=LONG) + ask(method="PUT", body=LONG))
@@ -449,13 +449,13 @@
         caller = await square.caller()
         head = ask(method="PUT", Content_Length=str(len(LONG)))
         caller.writer.write(head + (LONG + ask(method="PUT", body=LONG))[:written])
-        await square.until(lambda: platform.long_requests.held and (written < len(LONG) or node.came))
+        await square.until(lambda: platform.request_budget.held and (written < len(LONG) or node.came))
         if reset:
             caller.writer.transport.abort()
         else:
             caller.writer.close()
-        await square.until(lambda: not platform.clients)
-        assert platform.long_requests.held == 0 and not platform.open
+        await square.until(lambda: not platform.client_registry.connections)
+        assert platform.request_budget.held == 0 and not platform.round_carrier.open_requests
 
     play(tmp_path, story)
 
@@ -465,15 +465,15 @@
         node = await square.node()
         platform = await square.start()
         caller = await square.caller()
-        await square.until(lambda: platform.clients)
-        (client,) = platform.clients
+        await square.until(lambda: platform.client_registry.connections)
+        (client,) = platform.client_registry.connections
         client.pause_writing()  # as one that does not take its answers: nothing more is begun for it
         caller.writer.write(ask(method="PUT", body=LONG))
         await square.until(lambda: not (client.idle or client.within))
-        assert platform.long_requests.held
+        assert platform.request_budget.held
         caller.writer.close()
-        await square.until(lambda: not platform.clients)
-        assert platform.long_requests.held == 0 and not node.came
+        await square.until(lambda: not platform.client_registry.connections)
+        assert platform.request_budget.held == 0 and not node.came
 
     play(tmp_path, story)
 
@@ -485,7 +485,7 @@
         for more in ({"Content_Length": str(MOST_LONG + 1)}, {"Content_Length": "61000000"}):
             answered = await (await square.caller()).call(ask(method="PUT", **more))
             assert answered.status == 413
-        assert not node.came and platform.long_requests.held == 0
+        assert not node.came and platform.request_budget.held == 0
 
     play(tmp_path, story)
 
@@ -494,18 +494,20 @@
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
-        platform.room.most = 4_000_000
+        platform.answer_budget.most = 4_000_000
         large, slow = bytes(900_000), [await square.caller() for _ in range(12)]
-        await square.until(lambda: len(platform.clients) == 12)
-        for connection in platform.clients:  # so that the system keeps little of the answers
+        await square.until(lambda: len(platform.client_registry.connections) == 12)
+        for (
+            connection
+        ) in platform.client_registry.connections:  # so that the system keeps little of the answers
             sock = connection._transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         for caller in slow:
             caller.writer.transport.pause_reading()
             node.script.extend([answer(200, large)] * 8)
             caller.writer.write(b"".join(ask(X_Budget_Ms="2000") for _ in range(8)))
-        await square.until(lambda: len(platform.clients) < 12, ms=4000.0)
-        assert sum(connection.unsent for connection in platform.clients) < 16_000_000
+        await square.until(lambda: len(platform.client_registry.connections) < 12, ms=4000.0)
+        assert sum(connection.unsent for connection in platform.client_registry.connections) < 16_000_000
         node.script.clear()
         assert (await (await square.caller()).call(ask())).status == 200
 
@@ -529,7 +531,7 @@
         caller.writer.write(ask())
         await square.until(lambda: node.came)
         caller.writer.close()
-        await square.until(lambda: not platform.open)
+        await square.until(lambda: not platform.round_carrier.open_requests)
         await square.until(lambda: not platform.rounds.module.jobs)
 
     play(tmp_path, story)
@@ -556,8 +558,8 @@
         node = await square.node(work_ms=30.0)
         platform = await square.start()
         caller = await square.caller()
-        await square.until(lambda: platform.clients)
-        (connection,) = platform.clients
+        await square.until(lambda: platform.client_registry.connections)
+        (connection,) = platform.client_registry.connections
         sock = connection._transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         caller.writer.transport.pause_reading()
@@ -644,7 +646,7 @@
 
         monkeypatch.setattr(nodes.ConnectionPool, "stands", stand)
         assert (await caller.call(ask(X_Budget_Ms="300"))).status in (502, 503)
-        assert not node.came and not platform.open
+        assert not node.came and not platform.round_carrier.open_requests
 
     play(tmp_path, story)
 
@@ -663,7 +665,7 @@
         caller.writer.write(second[50:])
         assert [(await caller.answer()).status for _ in range(2)] == [200, 200]
         assert told.holds(2) and told.left[1][1] < 3800.0, told.left
-        assert not platform.open
+        assert not platform.round_carrier.open_requests
 
     play(tmp_path, story)
 
@@ -676,7 +678,9 @@
         assert (await worker.call(ask())).status == 200
         half.writer.write(ask()[:-9])
         crowd = [await square.caller() for _ in range(150)]
-        await square.until(lambda: len(platform.clients) <= platform.most_clients)
+        await square.until(
+            lambda: len(platform.client_registry.connections) <= platform.client_registry.max_connections
+        )
         began = time.monotonic()
         assert (await worker.call(ask())).status == 200
         assert (await (await square.caller()).call(ask())).status == 200
@@ -693,13 +697,13 @@
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
-        platform.sockets.most = 0  # none can be made
+        platform.socket_budget.most = 0  # none can be made
         caller = await square.caller()
         caller.writer.write(ask())
-        await square.until(lambda: any(pool.waiting for pool in platform.pools.values()))
+        await square.until(lambda: any(pool.waiting for pool in platform.round_carrier.pools.values()))
         square.discovery.tell(node.entry("terminating"))
         await square.until(lambda: Outcome.NOT_SENT in platform.rounds.module.told)
-        platform.sockets.most = 9
+        platform.socket_budget.most = 9
         assert (await caller.answer()).status == 503 and not node.came
 
     play(tmp_path, story)
@@ -711,7 +715,7 @@
         platform = await square.start()
         caller = await square.caller()
         assert (await caller.call(ask())).status == 200
-        met = next(iter(platform.listing.dials))
+        met = next(iter(platform.endpoint_list.dials))
         node.close()
         node.address = "127.0.0.1:0"
         await node.open()
@@ -722,11 +726,11 @@
         await square.until(lambda: not platform.rounds.module.lanes[met].strikes)
         assert (await caller.call(ask())).status == 200
         square.discovery.tell(node.entry("terminated"))
-        await square.until(lambda: not platform.listing.dials and not platform.pools)
+        await square.until(lambda: not platform.endpoint_list.dials and not platform.round_carrier.pools)
         assert not platform.nodes.by_address
         square.discovery.tell(node.entry())
-        await square.until(lambda: platform.listing.dials)
-        assert next(iter(platform.listing.dials)) is not met
+        await square.until(lambda: platform.endpoint_list.dials)
+        assert next(iter(platform.endpoint_list.dials)) is not met
         assert (await caller.call(ask())).status == 200
 
     play(tmp_path, story)
@@ -749,7 +753,7 @@
         assert square.discovery.asked[1].endswith(b"since=2")
         square.discovery.write(square.discovery.peers[-1], 1, True, [])  # older than what is known
         await asyncio.sleep(0.05)
-        assert [node.state for node in platform.listing.dials] == [NodeState.LIVE]
+        assert [node.state for node in platform.endpoint_list.dials] == [NodeState.LIVE]
         assert (await (await square.caller()).call(ask())).status == 200
 
     play(tmp_path, story)
@@ -768,8 +772,8 @@
         data = b"\n" + b"\n\n".join(told)  # and nothing behind the last one
         for at in range(0, len(data), piece):
             square.discovery.raw(square.discovery.peers[0], data[at : at + piece])
-        await square.until(lambda: next(iter(platform.listing.dials)).state is NodeState.DRAINING)
-        assert len(square.discovery.asked) == 1 and platform.listing.version == 8
+        await square.until(lambda: next(iter(platform.endpoint_list.dials)).state is NodeState.DRAINING)
+        assert len(square.discovery.asked) == 1 and platform.endpoint_list.version == 8
 
     play(tmp_path, story)
 
@@ -781,7 +785,9 @@
         square.discovery.hush()
         square.discovery.tell(node.entry("terminating"))
         loop = asyncio.get_running_loop()
-        await square.until(lambda: next(iter(platform.listing.dials)).state is NodeState.DRAINING, 6000.0)
+        await square.until(
+            lambda: next(iter(platform.endpoint_list.dials)).state is NodeState.DRAINING, 6000.0
+        )
         assert square.discovery.told_at[node.host] - loop.time() > 2.0
         assert len(square.discovery.asked) == 2 and b"since" not in square.discovery.asked[1]
         assert not square.discovery.late(node)
@@ -805,7 +811,9 @@
         assert (await (await square.caller()).call(ask())).status == 200
         square.discovery.down = False
         square.discovery.tell(node.entry("terminating"))
-        await square.until(lambda: next(iter(platform.listing.dials)).state is NodeState.DRAINING, 250.0)
+        await square.until(
+            lambda: next(iter(platform.endpoint_list.dials)).state is NodeState.DRAINING, 250.0
+        )
 
     play(tmp_path, story)
 
@@ -837,7 +845,7 @@
         held = asyncio.ensure_future((await square.caller()).call(ask()))
         await asyncio.sleep(0.1)
         square.discovery.down = False
-        await square.until(lambda: platform.sighted)
+        await square.until(lambda: platform.endpoints_known)
         assert (await caller.call(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")).status == 200
         assert (await held).status == 503  # whoever comes before it is ready is answered in time all the same
         assert (await caller.call(ask())).status == 200
@@ -860,15 +868,15 @@
         ready = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"
         assert (await caller.call(ready)).status == 503
         await square.until(lambda: platform.ready)
-        assert (await caller.call(ready)).status == 200 and not platform.sighted
+        assert (await caller.call(ready)).status == 200 and not platform.endpoints_known
         answered = await caller.call(ask())
         assert answered.status == 503 and answered.fields[b"retry-after"] and not node.came
         square.discovery.tell(node.entry("terminating"))
         square.discovery.down = False
-        await square.until(lambda: platform.sighted)
+        await square.until(lambda: platform.endpoints_known)
         assert (await other.call(ask())).status == 503 and not node.came
         square.discovery.tell(node.entry())
-        await square.until(lambda: next(iter(platform.listing.dials)).state is NodeState.LIVE)
+        await square.until(lambda: next(iter(platform.endpoint_list.dials)).state is NodeState.LIVE)
         assert (await other.call(ask())).status == 200
 
     play(tmp_path, story)
@@ -881,10 +889,10 @@
         await square.node()
         square.discovery.down = True
         platform = await square.begin()
-        assert not platform.sighted
-        await square.until(lambda: platform.sighted)
+        assert not platform.endpoints_known
+        await square.until(lambda: platform.endpoints_known)
         assert (await (await square.caller()).call(ask())).status == 200
-        assert any(event.startswith("list of the file") for event, _ in square.logs)
+        assert any(event.startswith("endpoints of the configuration file") for event, _ in square.logs)
 
     play(tmp_path, story)
 
@@ -896,7 +904,7 @@
         await square.until(lambda: square.discovery.asked)
         (tmp_path / "config.json").write_text("{")
         os.kill(os.getpid(), signal.SIGHUP)
-        await square.until(lambda: any(event == "reload refused" for event, _ in square.logs))
+        await square.until(lambda: any(event == "configuration reload refused" for event, _ in square.logs))
         old = square.discovery
         square.discovery = type(old)()
         square.discovery.version, square.discovery.hosts = old.version, old.hosts
@@ -906,7 +914,7 @@
         await square.until(lambda: square.discovery.asked and not old.peers)
         old.close()
         square.discovery.tell(node.entry("terminating"))
-        await square.until(lambda: next(iter(platform.listing.dials)).state is NodeState.DRAINING)
+        await square.until(lambda: next(iter(platform.endpoint_list.dials)).state is NodeState.DRAINING)
         assert not platform.done.done()
 
     play(tmp_path, story)
--- a/tests/support/platform_site.py
+++ b/tests/support/platform_site.py
@@ -11,7 +11,7 @@
 
 from cherrygrade.http.reader import Message, Reader, Room
 from cherrygrade.platform.config import read_config
-from cherrygrade.platform.process import Platform
+from cherrygrade.platform.process import PlatformDispatcher
 from cherrygrade.scheduling.scheduler import Scheduler
 from cherrygrade.standin.web import WebDiscovery, WebNode
 
@@ -85,7 +85,7 @@
         self.nodes: list[WebNode] = []
         self.logs: list[tuple[str, dict[str, Any]]] = []
         self._callers: list[RawClient] = []
-        self.platform: Platform | None = None
+        self.platform: PlatformDispatcher | None = None
         self.env = {"BALANCER_CONFIG": str(folder / "config.json")}
 
     async def node(self, **build: Any) -> WebNode:
@@ -109,12 +109,12 @@
         }
         (self.folder / "config.json").write_text(json.dumps(told | other))
 
-    async def start(self, make: Callable[..., Any] = Scheduler, **other: Any) -> Platform:
+    async def start(self, make: Callable[..., Any] = Scheduler, **other: Any) -> PlatformDispatcher:
         platform = await self.begin(make, **other)
-        await self.until(lambda: platform.sighted)
+        await self.until(lambda: platform.endpoints_known)
         return platform
 
-    async def begin(self, make: Callable[..., Any] = Scheduler, **other: Any) -> Platform:
+    async def begin(self, make: Callable[..., Any] = Scheduler, **other: Any) -> PlatformDispatcher:
         """Without waiting for the first list."""
         await self.discovery.open()
         self.write_config(**other)
@@ -122,7 +122,7 @@
         def log(event: str, **facts: Any) -> None:
             self.logs.append((event, facts))
 
-        self.platform = Platform(read_config(self.env), log, make, self.env)
+        self.platform = PlatformDispatcher(read_config(self.env), log, make, self.env)
         self.port = await self.platform.start()
         return self.platform
 
