--- a/benchmarks/platform_door.py
+++ b/benchmarks/platform_door.py
@@ -21,8 +21,8 @@
 
 from bench import ROOT, cores, cpu_s, now_mib
 
-from cherrygrade.http.reader import Message, Reader
-from cherrygrade.http.writer import answer, ask
+from cherrygrade.http.reader import Message, MessageReader
+from cherrygrade.http.writer import encode_request, encode_response
 from cherrygrade.standin.web import Peer, WebDiscovery, WebNode
 
 CPU_BAR, GROWTH_BAR_MIB, NODES, DEPTH = 3.5, 2.0, 5, 32
@@ -73,7 +73,7 @@
 
     def got(self, peer: Peer, message: Message) -> None:
         Quick.total += 1
-        peer.write(answer(200, b"b" * 1024))
+        peer.write(encode_response(200, b"b" * 1024))
 
 
 async def nodes() -> None:
@@ -105,7 +105,7 @@
 
     def __init__(self, free: list[Up]) -> None:
         self.free, self.client = free, None
-        self.reader, self.buffer = Reader(answers=True), memoryview(bytearray(65536))
+        self.reader, self.buffer = MessageReader(responses=True), memoryview(bytearray(65536))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
@@ -115,16 +115,16 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         self.reader.feed(bytes(self.buffer[:nbytes]))
-        for message in self.reader.found:
+        for message in self.reader.messages:
             client, self.client = self.client, None
             self.free.append(self)
-            client.transport.write(answer(200, message.body))
-        self.reader.found.clear()
+            client.transport.write(encode_response(200, message.body))
+        self.reader.messages.clear()
 
 
 class Door(asyncio.BufferedProtocol):
     def __init__(self, ups: list[list[Up]]) -> None:
-        self.ups, self.reader, self.buffer = ups, Reader(answers=False), memoryview(bytearray(65536))
+        self.ups, self.reader, self.buffer = ups, MessageReader(responses=False), memoryview(bytearray(65536))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
@@ -134,13 +134,13 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         self.reader.feed(bytes(self.buffer[:nbytes]))
-        for message in self.reader.found:
+        for message in self.reader.messages:
             shard = int(message.fields[b"x-extent"].split(b"shard=")[1].split(b",")[0])
             up = self.ups[shard].pop()
             up.client = self
             fields = ((b"X-Call-Id", message.fields[b"x-call-id"]), *FIELDS)
-            up.transport.write(ask(b"GET", message.target, b"n", fields))
-        self.reader.found.clear()
+            up.transport.write(encode_request(b"GET", message.target, b"n", fields))
+        self.reader.messages.clear()
 
 
 async def relay(addresses: list[str]) -> None:
@@ -163,7 +163,7 @@
     stopped = False
 
     def __init__(self) -> None:
-        self.reader, self.buffer = Reader(answers=True), memoryview(bytearray(65536))
+        self.reader, self.buffer = MessageReader(responses=True), memoryview(bytearray(65536))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
@@ -177,21 +177,21 @@
             *FIELDS,
             (b"X-Extent", b"units=1,shard=%d,hosts=1" % (id_ % NODES)),
         )
-        self.transport.write(ask(b"GET", b"/api/00000000000000aa/%016x" % id_, b"app", fields))
+        self.transport.write(encode_request(b"GET", b"/api/00000000000000aa/%016x" % id_, b"app", fields))
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return self.buffer
 
     def buffer_updated(self, nbytes: int) -> None:
         self.reader.feed(bytes(self.buffer[:nbytes]))
-        for message in self.reader.found:
+        for message in self.reader.messages:
             Client.ok += message.status == 200
             Client.other += message.status != 200
             if not Client.stopped:
                 self.ask()
             else:
                 self.transport.close()
-        self.reader.found.clear()
+        self.reader.messages.clear()
 
 
 async def window(port: int, seconds: float) -> int:
--- a/cherrygrade/http/writer.py
+++ b/cherrygrade/http/writer.py
@@ -1,10 +1,10 @@
-"""Makes HTTP/1.1 heads anew from checked parts: nothing of a peer's head is copied through."""
+"""Encoder of HTTP/1.1 messages from checked parts: nothing of a peer's head is copied through."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -18,14 +18,21 @@
     503: b"Service Unavailable",
 }
 
-GO_ON = b"HTTP/1.1 100 Continue\r\n\r\n"
+CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-def answer(status: int, body: bytes = b"", fields: bytes = b"", close: bool = False) -> bytes:
-    """`fields` are whole lines."""
+def encode_response(status: int, body: bytes = b"", fields: bytes = b"", close: bool = False) -> bytes:
+    """Encode a response with its length.
+
+    Args:
+        status: The status code; unknown ones get the reason phrase "-".
+        body: The whole body.
+        fields: Further fields as whole lines, each with its line end.
+        close: Say that the connection closes behind it.
+    """
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n%b" % (
         status,
-        REASONS.get(status, b"-"),
+        REASON_PHRASES.get(status, b"-"),
         fields,
         len(body),
         b"Connection: close\r\n" if close else b"",
@@ -33,9 +40,18 @@
     )
 
 
-def ask(
+def encode_request(
     method: bytes, target: bytes, host: bytes, fields: Iterable[tuple[bytes, bytes]] = (), body: bytes = b""
 ) -> bytes:
+    """Encode a request, with its length unless it is a GET.
+
+    Args:
+        method: In upper case.
+        target: In origin form.
+        host: The value of `Host`.
+        fields: Further fields, name and value each.
+        body: The whole body; none with a GET.
+    """
     lines = b"".join(b"%b: %b\r\n" % field for field in fields)
     length = b"" if method == b"GET" else b"Content-Length: %d\r\n" % len(body)
     return b"%b %b HTTP/1.1\r\nHost: %b\r\n%b%b\r\n%b" % (method, target, host, lines, length, body)
--- a/cherrygrade/platform/client_registry.py
+++ b/cherrygrade/platform/client_registry.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from cherrygrade.peers.arrivals import Arrivals
-from cherrygrade.platform.clients import ClientConnection
+from cherrygrade.platform.client_connection import ClientConnection
 
 
 class ClientRegistry:
@@ -29,12 +29,12 @@
         """
         # An answered client is closed before one that may be about to send its first request.
         if len(self.connections) >= self.max_connections:
-            idle = next((one for one in self.idle if not (one.within or one.unread)), None)
+            idle = next((one for one in self.idle if not (one.within_message or one.has_unread_bytes)), None)
             if idle is not None:
-                idle.turn_out()
+                idle.close_idle()
         admitted, displaced = self._arrivals.came(client, len(self.connections))
         if displaced is not None:
-            displaced.turn_out()
+            displaced.close_idle()
         if admitted:
             self.connections[client] = None
         return admitted
@@ -56,7 +56,7 @@
         if len(self.lingering) > self.max_lingering:
             oldest = next(iter(self.lingering))
             del self.lingering[oldest]
-            oldest.cut()
+            oldest.abort()
 
     def remove(self, client: ClientConnection) -> None:
         """Its connection is closed on both sides."""
--- a/cherrygrade/platform/discovery.py
+++ b/cherrygrade/platform/discovery.py
@@ -1,8 +1,8 @@
-"""Follows discovery: one watch, begun anew whenever it ends, falls silent or tells nonsense.
+"""Follows discovery: one watch, begun anew whenever it ends, falls silent or sends nonsense.
 
-A watch that is silent is broken and asked anew, beside it: the silent one stays until another has told
-something, since a discovery that is down answers whom it answers first. A silent discovery leaves the last
-list standing.
+A silent watch is broken, and another is begun beside it: the silent one stays until another has received
+something, since a discovery that is down answers first whom it knows. While discovery is silent, the last
+list stands.
 """
 
 from __future__ import annotations
@@ -11,217 +11,122 @@
 from collections.abc import Callable
 from typing import Any
 
-import httptools
-
 from cherrygrade.gateway.backoff import Backoff
-from cherrygrade.http.writer import ask
-from cherrygrade.platform.listing import Listing, place
-from cherrygrade.platform.watching import AGAIN_MS, Objects, Silence
+from cherrygrade.platform.endpoint_list import NO_VERSION, EndpointList
+from cherrygrade.platform.endpoint_watch import EndpointWatch, WatchCallbacks
 from cherrygrade.scheduling.model import Node
 
-BUFFER = 64 * 1024
-
-
-class Watch(asyncio.BufferedProtocol):
-    """One connection to discovery. `told` is given each object, `over` once why it ended, `silent` that it
-    said nothing for too long; it stays open then. `since` under 0 asks for the whole list."""
-
-    def __init__(
-        self,
-        address: str,
-        since: int,
-        told: Callable[[Any], None],
-        over: Callable[[str], None],
-        silent: Callable[[], None],
-    ) -> None:
-        self.address = address
-        self.spoke = False
-        """It has told a list."""
-        self._since, self._told, self._over, self._silent = since, told, over, silent
-        self._buffer = memoryview(bytearray(BUFFER))
-        self._objects = Objects()
-        self._parser: Any = httptools.HttpResponseParser(self)
-        self._transport: asyncio.Transport | None = None
-        self._ended = False
-        loop = asyncio.get_running_loop()
-        self._silence = Silence(loop.time() * 1000.0, since < 0)
-        self._quiet: asyncio.TimerHandle | None = None
-        self._wait()
-        self._task = loop.create_task(self._connect())
-
-    async def _connect(self) -> None:
-        try:
-            await asyncio.get_running_loop().create_connection(lambda: self, *place(self.address))
-        except (OSError, ValueError) as trouble:
-            self.end(f"connect: {trouble or type(trouble).__name__}")
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, asyncio.Transport)
-        self._transport = transport
-        if self._ended:
-            transport.abort()
-            return
-        target = b"/v1/endpoints?follow=1"
-        if self._since >= 0:
-            target += b"&since=%d" % self._since
-        transport.write(ask(b"GET", target, self.address.encode("latin-1")))
-
-    def _wait(self) -> None:
-        if self._quiet is not None:
-            self._quiet.cancel()
-        self._quiet = asyncio.get_running_loop().call_at(self._silence.until_ms / 1000.0, self._quietened)
-
-    def _quietened(self) -> None:
-        self._quiet = None
-        self._silent()
-
-    def get_buffer(self, sizehint: int) -> memoryview:
-        return self._buffer
-
-    def buffer_updated(self, nbytes: int) -> None:
-        if self._ended:
-            return
-        spoke, self.spoke = self.spoke, False
-        try:
-            self._parser.feed_data(bytes(self._buffer[:nbytes]))
-        except httptools.HttpParserError as trouble:
-            self.end(f"nonsense: {str(trouble.__context__ or trouble)[:200]}")
-            return
-        told, self.spoke = self.spoke, self.spoke or spoke
-        self._silence.heard(asyncio.get_running_loop().time() * 1000.0, told, self._objects.within)
-        if not self._ended:
-            self._wait()
-
-    def on_headers_complete(self) -> None:
-        status = self._parser.get_status_code()
-        if status != 200:
-            raise ValueError(f"status {status}")
-
-    def on_body(self, some: bytes) -> None:
-        for word in self._objects.feed(some):
-            if self._ended:
-                return
-            self._told(word)
-            self.spoke = True
-
-    def on_message_complete(self) -> None:
-        raise ValueError("the watch was ended")
-
-    def eof_received(self) -> bool:
-        return False
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self._transport = None
-        self.end(str(exc) if exc else "closed")
-
-    def end(self, why: str) -> None:
-        if self._ended:
-            return
-        self.close()
-        self._over(why)
-
-    def close(self) -> None:
-        self._ended = True
-        if self._quiet is not None:
-            self._quiet.cancel()
-        self._task.cancel()
-        if self._transport is not None:
-            self._transport.abort()
+MAX_RECONNECT_WAIT_MS = 250.0  # discovery may be there for a moment only
 
 
 class DiscoveryClient:
-    """One watch; two while one is silent or its address changes: the old one goes once the new one told."""
+    """One watch; two while one is silent or the address changes, until the new one has received."""
 
     def __init__(
         self,
         address: str,
         name: str,
-        listing: Listing,
+        endpoint_list: EndpointList,
         clock: Callable[[], float],
-        heard: Callable[[list[Node]], None],
+        endpoints_changed: Callable[[list[Node]], None],
         log: Callable[..., None],
     ) -> None:
-        self.address, self.listing = address, listing
-        self._clock, self._heard, self._log = clock, heard, log
-        self._backoff = Backoff(name, most=AGAIN_MS)
-        self._watch: Watch | None = None
-        self._old: Watch | None = None
-        self._again: asyncio.TimerHandle | None = None
-        self._ended = self._unsure = False
-        """`_unsure`: what a silent watch missed is not known: the next one has to tell the whole list."""
+        """Wire a client; `start` connects.
+
+        Args:
+            address: Discovery's host:port.
+            name: Seeds the waits between connects, so that dispatchers don't connect at the same time.
+            endpoint_list: Where discovery's messages are taken.
+            clock: ms.
+            endpoints_changed: Called with the nodes of each message that was not outdated.
+            log: Writes one event: its name, and facts by keyword.
+        """
+        self.address = address
+        self.endpoint_list = endpoint_list
+        self._clock = clock
+        self._endpoints_changed = endpoints_changed
+        self._log = log
+        self._backoff = Backoff(name, most=MAX_RECONNECT_WAIT_MS)
+        self._watch: EndpointWatch | None = None
+        self._old_watch: EndpointWatch | None = None
+        self._reconnect_timer: asyncio.TimerHandle | None = None
+        self._is_closed = False
+        self._whole_list_wanted = False
+        """What a silent watch missed is not known: the next one asks for the whole list."""
 
     def start(self) -> None:
-        self._again = None
-        watch: Watch
-
-        def told(word: Any) -> None:
-            self._told(watch, word)
-
-        def over(why: str) -> None:
-            self._over(watch, why)
-
-        def silent() -> None:
-            self._silent(watch)
-
-        since = -1 if self._unsure else self.listing.version
-        watch = self._watch = Watch(self.address, since, told, over, silent)
+        """Begin a watch."""
+        self._reconnect_timer = None
+        watch: EndpointWatch
+        callbacks = WatchCallbacks(
+            received=lambda message: self._received(watch, message),
+            ended=lambda reason: self._watch_ended(watch, reason),
+            silent=lambda: self._watch_silent(watch),
+        )
+        since_version = NO_VERSION if self._whole_list_wanted else self.endpoint_list.version
+        watch = self._watch = EndpointWatch(self.address, since_version, callbacks)
 
     def move(self, address: str) -> None:
-        """Discovery is elsewhere from now on."""
+        """Discovery is at another address from now on."""
         self.address = address
-        if self._ended:
+        if self._is_closed:
             return
-        self._set_aside()
-        if self._again is not None:
-            self._again.cancel()
+        self._set_watch_aside()
+        if self._reconnect_timer is not None:
+            self._reconnect_timer.cancel()
         self._backoff.losses = 0
         self.start()
 
-    def _set_aside(self) -> None:
-        """The watch stays beside the next one if it has told anything; one that never did makes room."""
+    def close(self) -> None:
+        """Close all watches."""
+        self._is_closed = True
+        if self._reconnect_timer is not None:
+            self._reconnect_timer.cancel()
+        for watch in (self._watch, self._old_watch):
+            if watch is not None:
+                watch.close()
+
+    def _set_watch_aside(self) -> None:
+        """Keep the watch beside the next one if it received anything, or if there is no other old one."""
         watch, self._watch = self._watch, None
-        if watch is not None and not watch.spoke and self._old is not None:
+        if watch is None:
+            return
+        if not watch.has_received and self._old_watch is not None:
             watch.close()
-        elif watch is not None:
-            if self._old is not None:
-                self._old.close()
-            self._old = watch
+            return
+        if self._old_watch is not None:
+            self._old_watch.close()
+        self._old_watch = watch
+
+    # Called by watches.
 
-    def _told(self, watch: Watch, word: Any) -> None:
-        nodes = self.listing.hear(word)
+    def _received(self, watch: EndpointWatch, message: Any) -> None:
+        nodes = self.endpoint_list.apply(message)
         if watch is self._watch:
             self._backoff.made(self._clock())
-            self._unsure = False
-            if self._old is not None:
-                self._old.close()
-                self._old = None
+            self._whole_list_wanted = False
+            if self._old_watch is not None:
+                self._old_watch.close()
+                self._old_watch = None
         if nodes is not None:
-            self._heard(nodes)
+            self._endpoints_changed(nodes)
 
-    def _over(self, watch: Watch, why: str) -> None:
-        if watch is self._old:
-            self._old = None
+    def _watch_ended(self, watch: EndpointWatch, reason: str) -> None:
+        if watch is self._old_watch:
+            self._old_watch = None
             return
-        if self._ended or watch is not self._watch:
+        if self._is_closed or watch is not self._watch:
             return
         self._watch = None
-        self._log("discovery lost", address=self.address, why=why)
+        self._log("discovery watch ended", address=self.address, reason=reason)
         now = self._clock()
-        wait = (self._backoff.lost(now) - now) / 1000.0
-        self._again = asyncio.get_running_loop().call_later(wait, self.start)
+        wait_s = (self._backoff.lost(now) - now) / 1000.0
+        self._reconnect_timer = asyncio.get_running_loop().call_later(wait_s, self.start)
 
-    def _silent(self, watch: Watch) -> None:
-        if self._ended or watch is not self._watch:
+    def _watch_silent(self, watch: EndpointWatch) -> None:
+        if self._is_closed or watch is not self._watch:
             return
-        self._log("discovery silent", address=self.address, told=watch.spoke)
-        self._unsure = True
-        self._set_aside()
+        self._log("discovery watch silent", address=self.address, had_received=watch.has_received)
+        self._whole_list_wanted = True
+        self._set_watch_aside()
         self.start()
-
-    def close(self) -> None:
-        self._ended = True
-        if self._again is not None:
-            self._again.cancel()
-        for watch in (self._watch, self._old):
-            if watch is not None:
-                watch.close()
--- a/cherrygrade/platform/periodic_tasks.py
+++ b/cherrygrade/platform/periodic_tasks.py
@@ -5,10 +5,10 @@
 import asyncio
 from collections.abc import Callable
 
-from cherrygrade.http.reader import Room
+from cherrygrade.http.reader import BodyBudget
+from cherrygrade.platform.client_connection import ClientConnection
 from cherrygrade.platform.client_registry import ClientRegistry
-from cherrygrade.platform.clients import ClientConnection
-from cherrygrade.platform.listing import Listing
+from cherrygrade.platform.endpoint_list import EndpointList
 from cherrygrade.platform.round_carrier import RoundCarrier
 from cherrygrade.scheduling.model import Node, NodeState
 
@@ -27,8 +27,8 @@
         self,
         clients: ClientRegistry,
         round_carrier: RoundCarrier,
-        endpoint_list: Listing,
-        answer_budget: Room,
+        endpoint_list: EndpointList,
+        answer_budget: BodyBudget,
         log_counts: Callable[[], None],
     ) -> None:
         self._clients = clients
@@ -59,7 +59,7 @@
         self._close_silent_clients(now, crowded)
         for pool in [*self._round_carrier.pools.values()]:
             pool.close_idle(now)
-        for node in [*self._endpoint_list.dials]:
+        for node in [*self._endpoint_list.addresses]:
             if node.state is NodeState.GONE:
                 self._forget(node)
         self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self.sweep)
@@ -67,34 +67,34 @@
     def _abort_slowest_readers(self) -> None:
         """Bound the memory of answers that clients do not read: beyond it the process would be killed."""
         clients: list[ClientConnection] = [*self._clients.connections, *self._clients.lingering]
-        unsent = {client: client.unsent for client in clients if client.unsent}
-        while sum(unsent.values()) > self._answer_budget.most:
+        unsent = {client: client.unsent_bytes for client in clients if client.unsent_bytes}
+        while sum(unsent.values()) > self._answer_budget.max_bytes:
             slowest = max(unsent, key=unsent.__getitem__)
             del unsent[slowest]
-            slowest.cut()
+            slowest.abort()
 
     def _abort_lingering(self, now: float) -> None:
         for client in [*self._clients.lingering]:
-            limit_ms = SILENT_MS if client.unsent else LINGER_MS
-            if now - client.quiet_from >= limit_ms:
-                client.cut()
+            limit_ms = SILENT_MS if client.unsent_bytes else LINGER_MS
+            if now - client.idle_since_ms >= limit_ms:
+                client.abort()
 
     def _close_silent_clients(self, now: float, crowded: bool) -> None:
         for client in [*self._clients.connections]:
-            if not client.idle:
+            if not client.is_idle:
                 continue
-            if not client.spoken or client.within:
+            if not client.has_requested or client.within_message:
                 limit_ms = SILENT_MS
             else:
                 limit_ms = CROWDED_IDLE_MS if crowded else IDLE_MS
             # Unread bytes may be a request, which is owed an answer.
-            if now - client.quiet_from >= limit_ms and not client.unread:
-                client.turn_out()
+            if now - client.idle_since_ms >= limit_ms and not client.has_unread_bytes:
+                client.close_idle()
 
     def _forget(self, node: Node) -> None:
         """Drop a node that discovery has removed, once nothing is open on it."""
         pool = self._round_carrier.pools.get(node)
-        if pool is not None and not pool.quiet:
+        if pool is not None and not pool.is_unused:
             return
         if pool is not None:
             del self._round_carrier.pools[node]
--- a/cherrygrade/platform/process.py
+++ b/cherrygrade/platform/process.py
@@ -11,24 +11,29 @@
 
 from cherrygrade.compiled import dispatcher
 from cherrygrade.gateway.life import LEFT_BROKEN, LEFT_BY_FORCE, module_broke, serve
-from cherrygrade.http.reader import Fault, Message, Room
+from cherrygrade.http.reader import BodyBudget, HttpError, Message
 from cherrygrade.logs import plain_log
+from cherrygrade.platform.client_connection import ClientConnection
 from cherrygrade.platform.client_listener import ClientListener
 from cherrygrade.platform.client_registry import ClientRegistry
-from cherrygrade.platform.clients import ClientConnection, PendingRequest, read_rpc
-from cherrygrade.platform.config import Config, ConfigError, read_config
+from cherrygrade.platform.config import ConfigError, PlatformConfig, read_config
 from cherrygrade.platform.discovery import DiscoveryClient
-from cherrygrade.platform.listing import Listing
-from cherrygrade.platform.nodes import Sockets
+from cherrygrade.platform.endpoint_list import EndpointList, list_version
 from cherrygrade.platform.periodic_tasks import PeriodicTasks
+from cherrygrade.platform.request_parsing import PendingRequest, parse_request
 from cherrygrade.platform.round_carrier import STATUS_ERRORED, STATUS_OK, STATUS_REJECTED, RoundCarrier
 from cherrygrade.platform.shutdown import FINAL_ANSWERS_MS, Shutdown, ShutdownPhase, ShutdownSchedule
-from cherrygrade.platform.watching import BLIND_MS, READY_MS
+from cherrygrade.platform.socket_budget import SocketBudget
 from cherrygrade.scheduling.model import Node
 from cherrygrade.scheduling.round_inputs import NodeTable
 from cherrygrade.scheduling.scheduler import Scheduler
 
 ANSWER_MS = 4.0  # kept back from each client's deadline for writing the answer
+# A new process without a list from discovery gets ready after READY_MS, tells clients when to come back and
+# sends nothing; after BLIND_MS it uses the list in its file, which may be old. The platform wants a restarted
+# process ready within 6 s: the rest is for the interpreter and imports on a small share of a core.
+READY_MS = 4500.0
+BLIND_MS = 60000.0
 # Listener, discovery thrice, event loop, standard streams, what Python opens; and those accepted in one turn.
 RESERVED_SOCKETS = 40
 LINGERING_SHARE = 16  # one in so many sockets is for connections that are being closed
@@ -50,7 +55,7 @@
 
     def __init__(
         self,
-        config: Config,
+        config: PlatformConfig,
         log: Callable[..., None],
         make_scheduler: Callable[..., Scheduler],
         env: Mapping[str, str] = os.environ,
@@ -66,7 +71,7 @@
         self.config = config
         self.log = log
         self.env = env
-        settings = config.pairs
+        settings = config.settings
         self.workloads = settings.workloads()
         self.plans = settings.plans()
         self.endpoints_known = False
@@ -78,25 +83,25 @@
         """`GET /ready` is answered with 200: endpoints are known, or READY_MS have passed without them.
         Requests are then rejected with a time to come back."""
         self.refused = 0
-        self.buffer = memoryview(bytearray(RECEIVE_BUFFER_BYTES))
+        self.receive_buffer = memoryview(bytearray(RECEIVE_BUFFER_BYTES))
         self.done: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         """The exit code, once the shutdown is over."""
         self._deadline_limit_ms = float("inf")
         self._startup_timers: list[asyncio.TimerHandle] = []
-        self.answer_budget = Room(config.memory_mb * BYTES_PER_MB // ANSWER_MEMORY_SHARE)
-        self.request_budget = Room(
+        self.answer_budget = BodyBudget(config.memory_mb * BYTES_PER_MB // ANSWER_MEMORY_SHARE)
+        self.request_budget = BodyBudget(
             config.memory_mb * BYTES_PER_MB // REQUEST_MEMORY_SHARE, copies=REQUEST_COPIES
         )
         self._share_out_sockets(config.sockets - RESERVED_SOCKETS)
         self.nodes = NodeTable()
         # One reading of both clocks: discovery gives a node's start in Unix time.
         loop_minus_unix_ms = asyncio.get_running_loop().time() * 1000.0 - time.time() * 1000.0
-        self.endpoint_list = Listing(self.nodes, lambda unix_ms: unix_ms + loop_minus_unix_ms)
+        self.endpoint_list = EndpointList(self.nodes, lambda unix_ms: unix_ms + loop_minus_unix_ms)
         self.round_carrier = RoundCarrier(
             settings.dispatcher(make_scheduler, config.seed),
             self.endpoint_list,
             self.socket_budget,
-            self.buffer,
+            self.receive_buffer,
             settings.ms("limits.connectTimeoutS", DEFAULT_CONNECT_TIMEOUT_S),
             IDLE_POOL_SHARE * settings.ms("limits.connIdleS", DEFAULT_NODE_IDLE_S),
             self._scheduler_broke,
@@ -133,7 +138,7 @@
         for_clients = available // 2
         max_lingering = max(MIN_LINGERING, available // LINGERING_SHARE)
         self.client_registry = ClientRegistry(for_clients - max_lingering, max_lingering)
-        self.socket_budget = Sockets(available - for_clients, self.answer_budget)
+        self.socket_budget = SocketBudget(available - for_clients, self.answer_budget)
 
     # Start, reload and shutdown.
 
@@ -167,11 +172,11 @@
     def _use_endpoints_of_file(self) -> None:
         """Discovery is silent, and a list that may be old serves better than none."""
         if not self.endpoints_known:
-            version = self.config.known.get("seq")
+            version = list_version(self.config.known_endpoints)
             self.log(
                 "endpoints of the configuration file in use: discovery has sent no list", version=version
             )
-            self._endpoints_changed(self.endpoint_list.hear(self.config.known) or [])
+            self._endpoints_changed(self.endpoint_list.apply(self.config.known_endpoints) or [])
 
     def reload(self) -> None:
         """Read the configuration again: only discovery's address is taken; a bad file changes nothing."""
@@ -184,7 +189,7 @@
         compared = (
             ("listen", config.listen, old.listen),
             ("limits.sockets", config.sockets, old.sockets),
-            ("settings", config.pairs.same(), old.pairs.same()),
+            ("settings", config.settings.same(), old.settings.same()),
         )
         needs_restart = [key for key, new_value, old_value in compared if new_value != old_value]
         self.log("configuration reloaded", discovery=config.discovery, needs_restart=needs_restart)
@@ -238,9 +243,9 @@
             clients=len(self.client_registry.connections),
             open_requests=len(self.round_carrier.open_requests),
             node_sockets=self.socket_budget.used,
-            nodes=len(self.endpoint_list.dials),
+            nodes=len(self.endpoint_list.addresses),
             version=self.endpoint_list.version,
-            connects=sum(pool.made for pool in self.round_carrier.pools.values()),
+            connects=sum(pool.connect_count for pool in self.round_carrier.pools.values()),
         )
 
     # Called by discovery.
@@ -251,7 +256,7 @@
             for timer in self._startup_timers:
                 timer.cancel()
             self.log(
-                "endpoints known", nodes=len(self.endpoint_list.dials), version=self.endpoint_list.version
+                "endpoints known", nodes=len(self.endpoint_list.addresses), version=self.endpoint_list.version
             )
         self.round_carrier.endpoints_changed(nodes)
 
@@ -291,13 +296,13 @@
         """Hand a client's request to the scheduler.
 
         Raises:
-            Fault: The message holds no request that can be taken.
+            HttpError: The message holds no request that can be taken.
         """
         if self.shutdown.phase is ShutdownPhase.FLUSHING:
-            raise Fault(503, "this dispatcher has ended")
-        pending = read_rpc(message, self.workloads, self.plans, message.begun, ANSWER_MS)
-        if pending.call in self.round_carrier.open_requests:
-            raise Fault(409, "X-Call-Id: open already")
+            raise HttpError(503, "this dispatcher has ended")
+        pending = parse_request(message, self.workloads, self.plans, message.received_ms, ANSWER_MS)
+        if pending.call_id in self.round_carrier.open_requests:
+            raise HttpError(409, "X-Call-Id: open already")
         pending.deadline_ms = min(pending.deadline_ms, self._deadline_limit_ms - ANSWER_MS)
         pending.client = client
         self.round_carrier.submit(pending)
--- /dev/null
+++ b/cherrygrade/platform/request_parsing.py
@@ -0,0 +1,160 @@
+"""What a client's HTTP message asks for: checked, with errors that a client is answered with.
+
+The field names and the form of the target are the platform's protocol; nothing else spells them.
+"""
+
+from __future__ import annotations
+
+import re
+from dataclasses import dataclass
+from typing import Protocol
+
+from cherrygrade.http.reader import HttpError, Message, connection_options
+from cherrygrade.inflight import InflightRequest
+from cherrygrade.scheduling.model import ServicePlan, Workload
+
+TARGET = re.compile(rb"/api/([0-9a-f]{16})/([0-9a-f]{16})(?:\?[!-~]{0,1000})?")
+CALL_ID = re.compile(rb"[0-9a-f]{16}")
+MILLISECONDS = re.compile(rb"[0-9]{1,9}")
+UNITS = re.compile(rb"[0-9]{1,6}(\.[0-9]{1,6})?")
+SHARD = re.compile(rb"-1|[0-9]{1,6}")
+DISPATCHERS = re.compile(rb"[0-9]{1,6}")
+# Fields of a client's message that concern this hop, or that the next hop gets anew. All others are the
+# node's: Idempotency-Key above all, by which it knows a repeat.
+NOT_FORWARDED = frozenset(
+    b"host connection keep-alive proxy-connection proxy-authorization te trailer transfer-encoding upgrade "
+    b"content-length expect x-call-id x-call-class x-storage-class x-budget-ms x-extent x-again".split()
+)
+
+
+class RequestClient(Protocol):
+    """Where the answer to a request goes."""
+
+    @property
+    def request(self) -> PendingRequest | None:
+        """The request that it waits for."""
+
+    def check_closed(self) -> bool:
+        """Whether the client has closed, by the latest that the kernel knows."""
+
+    def answer(self, status: int, body: bytes = b"", fields: bytes = b"", close: bool = False) -> None:
+        """Write the final answer."""
+
+
+@dataclass(slots=True, eq=False)
+class PendingRequest(InflightRequest):
+    """A client's request, with what of its message is forwarded."""
+
+    client: RequestClient | None = None
+    """None once it was answered or its client closed."""
+    call_id: bytes = b""
+    method: bytes = b""
+    target: bytes = b""
+    fields: tuple[tuple[bytes, bytes], ...] = ()
+    """Of its message, name and value of those for the node."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Extent:
+    """What a request touches."""
+
+    units: float
+    shard: int
+    """-1: any."""
+    dispatchers: int
+    """How many of them share the client's requests."""
+
+
+def parse_request(
+    message: Message,
+    workloads: dict[str, Workload],
+    plans: dict[str, ServicePlan],
+    received_ms: float,
+    answer_margin_ms: float,
+) -> PendingRequest:
+    """Read the request that a client's message holds.
+
+    Args:
+        message: The client's message.
+        workloads: Those that may be named, by name.
+        plans: Those that may be named, by name.
+        received_ms: When the message's last byte arrived: its deadline counts from then.
+        answer_margin_ms: Kept back from the deadline for writing the answer.
+
+    Raises:
+        HttpError: The message holds no request; its text names the field that is wrong.
+    """
+    target = TARGET.fullmatch(message.target)
+    if target is None:
+        raise HttpError(404, "no such path")
+    if message.method not in (b"GET", b"PUT"):
+        raise HttpError(405, "only GET and PUT")
+    call_id = message.fields.get(b"x-call-id", b"")
+    if not CALL_ID.fullmatch(call_id):
+        raise HttpError(400, "X-Call-Id: 16 hex digits wanted")
+    workload, plan = _workload_and_plan(message, workloads, plans)
+    budget_ms = _budget_ms(message)
+    extent = _extent(message)
+    return PendingRequest(
+        workload=workload,
+        plan=plan,
+        volume=target[1].decode(),
+        dispatchers=extent.dispatchers,
+        key=target[2].decode(),
+        shard=extent.shard,
+        units=extent.units,
+        deadline_ms=received_ms + min(budget_ms, workload.deadline_ms) - answer_margin_ms,
+        is_write=workload.is_write,
+        is_retry=message.fields.get(b"x-again") == b"1",
+        id=call_id.decode(),
+        body=memoryview(message.body) if workload.is_write else None,
+        call_id=call_id,
+        method=message.method,
+        target=message.target,
+        fields=_forwarded_fields(message.fields),
+    )
+
+
+def _workload_and_plan(
+    message: Message, workloads: dict[str, Workload], plans: dict[str, ServicePlan]
+) -> tuple[Workload, ServicePlan]:
+    """What the message names; the workload fits its method and body."""
+    workload = workloads.get(message.fields.get(b"x-call-class", b"").decode("latin-1"))
+    if workload is None:
+        raise HttpError(400, "X-Call-Class: unknown")
+    plan = plans.get(message.fields.get(b"x-storage-class", b"").decode("latin-1"))
+    if plan is None:
+        raise HttpError(400, "X-Storage-Class: unknown")
+    is_put = message.method == b"PUT"
+    if is_put is not workload.is_write:
+        raise HttpError(405, f"{workload.name} is not asked for by this method")
+    if message.body and not is_put:
+        raise HttpError(400, "a read has no body")
+    return workload, plan
+
+
+def _budget_ms(message: Message) -> float:
+    """How long the client waits for its answer."""
+    budget = message.fields.get(b"x-budget-ms", b"")
+    if not MILLISECONDS.fullmatch(budget):
+        raise HttpError(400, "X-Budget-Ms: whole milliseconds wanted")
+    return float(budget)
+
+
+def _extent(message: Message) -> _Extent:
+    items = message.fields.get(b"x-extent", b"").split(b",")
+    values = dict(item.strip().partition(b"=")[::2] for item in items)
+    units = values.get(b"units", b"")
+    shard = values.get(b"shard", b"")
+    dispatchers = values.get(b"hosts", b"")
+    well_formed = UNITS.fullmatch(units) and SHARD.fullmatch(shard) and DISPATCHERS.fullmatch(dispatchers)
+    if not well_formed or not float(units):
+        raise HttpError(400, "X-Extent: units, shard and hosts wanted")
+    return _Extent(units=float(units), shard=int(shard), dispatchers=max(1, int(dispatchers)))
+
+
+def _forwarded_fields(fields: dict[bytes, bytes]) -> tuple[tuple[bytes, bytes], ...]:
+    hop_by_hop = connection_options(fields)
+    return tuple(
+        field for field in fields.items() if field[0] not in NOT_FORWARDED and field[0] not in hop_by_hop
+    )
--- a/cherrygrade/platform/round_carrier.py
+++ b/cherrygrade/platform/round_carrier.py
@@ -9,9 +9,10 @@
 from cherrygrade.gateway.rounds import Rounds
 from cherrygrade.gateway.wheel import Wheel
 from cherrygrade.inflight import InflightAttempt, InflightRequest
-from cherrygrade.platform.clients import PendingRequest
-from cherrygrade.platform.listing import Listing
-from cherrygrade.platform.nodes import ConnectionPool, Sockets
+from cherrygrade.platform.connection_pool import ConnectionPool, PoolResources
+from cherrygrade.platform.endpoint_list import EndpointList
+from cherrygrade.platform.request_parsing import PendingRequest
+from cherrygrade.platform.socket_budget import SocketBudget
 from cherrygrade.scheduling.model import Node, Outcome
 from cherrygrade.scheduling.scheduler import Scheduler
 
@@ -38,8 +39,8 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        endpoint_list: Listing,
-        socket_budget: Sockets,
+        endpoint_list: EndpointList,
+        socket_budget: SocketBudget,
         receive_buffer: memoryview,
         connect_timeout_ms: float,
         idle_timeout_ms: float,
@@ -53,40 +54,44 @@
         self.pools: dict[Node, ConnectionPool] = {}
         self.counts = AnswerCounts()
         self.rounds = Rounds(scheduler, self, crashed, lambda text: log("module", text=text))
-        self._endpoint_list = endpoint_list
-        self._socket_budget = socket_budget
-        self._receive_buffer = receive_buffer
-        self._connect_timeout_ms = connect_timeout_ms
-        self._idle_timeout_ms = idle_timeout_ms
         self._answered = answered
         self._log = log
         self._wheel: Wheel[InflightAttempt] = Wheel(GRAIN_MS)
+        self._pool_resources = PoolResources(
+            address_of=endpoint_list.addresses.__getitem__,
+            rounds=self.rounds,
+            timeout_wheel=self._wheel,
+            socket_budget=socket_budget,
+            receive_buffer=receive_buffer,
+            connect_timeout_ms=connect_timeout_ms,
+            idle_timeout_ms=idle_timeout_ms,
+        )
         self._timeout_alarm = Alarm(self._wheel, self.rounds.clock, self.before_round)
 
     # Called by the dispatcher.
 
     def submit(self, pending: PendingRequest) -> None:
         """Hand a client's request to the next round."""
-        self.open_requests[pending.call] = pending
+        self.open_requests[pending.call_id] = pending
         self.rounds.take(pending)
 
     def abandon(self, pending: PendingRequest) -> None:
         """The client has closed: nobody waits for the answer, and attempts not yet sent are withdrawn."""
         self.counts.abandoned += 1
-        self.open_requests.pop(pending.call, None)
+        self.open_requests.pop(pending.call_id, None)
         pending.client = pending.body = None
         self.rounds.leave(pending)
         for attempt in pending.attempts:
             pool = self.pools.get(attempt.node)
             if attempt.outcome is None and pool is not None:
-                pool.client_left(attempt)  # type: ignore[arg-type]
+                pool.client_closed(attempt)  # type: ignore[arg-type]
 
     def endpoints_changed(self, nodes: list[Node]) -> None:
         """Discovery has told something new of these nodes."""
         for node in nodes:
             pool = self.pools.get(node)
             if pool is not None:
-                pool.standing_heard()
+                pool.node_state_changed()
         self.rounds.inputs.endpoint_changes += nodes
         self.rounds.stir()
 
@@ -117,24 +122,12 @@
         node = out.node
         pool = self.pools.get(node)
         if pool is None:
-            pool = self.pools[node] = self._make_pool(node)
+            pool = self.pools[node] = ConnectionPool(node, self._pool_resources)
         out.expires_ms = min(out.request.deadline_ms, out.sent_ms + limit_ms)
         out.timer_slot = self._wheel.put(out, out.expires_ms)
-        pool.carry(out)
+        pool.send(out)
         self._timeout_alarm.set()
 
-    def _make_pool(self, node: Node) -> ConnectionPool:
-        return ConnectionPool(
-            node,
-            self._endpoint_list.dials.__getitem__,
-            self.rounds,
-            self._wheel,
-            self._socket_budget,
-            self._receive_buffer,
-            self._connect_timeout_ms,
-            self._idle_timeout_ms,
-        )
-
     def withdraw(self, out: InflightAttempt) -> None:
         """Cancel an attempt."""
         pool = self.pools.get(out.node)
@@ -161,11 +154,11 @@
         self, pending: PendingRequest, status: int, body: bytes = b"", fields: bytes = b""
     ) -> None:
         """The one final answer of a request."""
-        self.open_requests.pop(pending.call, None)
+        self.open_requests.pop(pending.call_id, None)
         client = pending.client
         pending.client = pending.body = None
         self.counts.by_status[status] += 1
-        if client is not None and client.open is pending:
+        if client is not None and client.request is pending:
             client.answer(status, body, fields)
         self._answered()
 
--- a/cherrygrade/platform/shutdown.py
+++ b/cherrygrade/platform/shutdown.py
@@ -16,6 +16,7 @@
 TURNING_AWAY_MS = 270.0  # before the kill: from here on the listener closes and answers carry a close
 FINAL_ANSWERS_MS = 170.0  # before the kill: every request still open is answered now
 FLUSHING_MS = 90.0  # from then on, for clients to read their last answers and to close their side
+SERVICE_UNAVAILABLE = 503
 
 
 class ShutdownPhase(IntEnum):
@@ -125,8 +126,8 @@
         self.phase = max(self.phase, ShutdownPhase.TURNING_AWAY)
         self._listener.close_when_drained(self.check_finished)
         for client in [*self._clients.connections]:
-            if client.idle and not (client.within or client.unread):
-                client.end()
+            if client.is_idle and not (client.within_message or client.has_unread_bytes):
+                client.close_gracefully()
         self.check_finished()
 
     def check_finished(self) -> None:
@@ -155,8 +156,8 @@
             timer.cancel()
         for client in [*self._clients.connections]:
             # Unread bytes are read in the next turn, and a request among them is answered with 503.
-            if not client.unread:
-                client.turn_out(503)
+            if not client.has_unread_bytes:
+                client.close_idle(SERVICE_UNAVAILABLE)
         self._flush_timer = asyncio.get_running_loop().call_later(FLUSHING_MS / 1000.0, self._exit)
         self._listener.close_when_drained(self.check_finished)
         self.check_finished()
@@ -169,5 +170,5 @@
             self._flush_timer.cancel()
         self._listener.close()
         for client in [*self._clients.connections, *self._clients.lingering]:
-            client.cut()
+            client.abort()
         self._exited(self._exit_code)
--- a/cherrygrade/standin/web.py
+++ b/cherrygrade/standin/web.py
@@ -7,8 +7,8 @@
 from collections import deque
 from typing import Any
 
-from cherrygrade.http.reader import Message, Reader, Room
-from cherrygrade.http.writer import answer
+from cherrygrade.http.reader import BodyBudget, Message, MessageReader
+from cherrygrade.http.writer import encode_response
 from cherrygrade.transport.listening import listen
 
 ROOM = 16 * 1024 * 1024  # of bodies on one connection
@@ -18,8 +18,8 @@
     """A connection that a dispatcher made."""
 
     def __init__(self, owner: WebNode | WebDiscovery) -> None:
-        self.owner, self._room = owner, Room(ROOM)
-        self._reader = Reader(answers=False, room=self._room)
+        self.owner, self._room = owner, BodyBudget(ROOM)
+        self._reader = MessageReader(responses=False, budget=self._room)
         self._buffer = memoryview(bytearray(16 * 1024))
         self.transport: asyncio.Transport | None = None
 
@@ -34,10 +34,10 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         self._reader.feed(bytes(self._buffer[:nbytes]))
-        for message in self._reader.found:
+        for message in self._reader.messages:
             self.owner.got(self, message)
-            self._room.let_go(message)
-        self._reader.found.clear()
+            self._room.release(message)
+        self._reader.messages.clear()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
@@ -95,7 +95,7 @@
         if told is False:
             peer.cut()
         elif told is not None:
-            peer.write(told if isinstance(told, bytes) else answer(200, b"of " + message.target))
+            peer.write(told if isinstance(told, bytes) else encode_response(200, b"of " + message.target))
 
     def entry(self, health: str = "in_service", born_ms: int = 0) -> dict[str, Any]:
         return {
--- a/tests/golden/test_settings.py
+++ b/tests/golden/test_settings.py
@@ -34,9 +34,9 @@
 
 def platform_values() -> Any:
     config = read_config({"BALANCER_CONFIG": str(ROOT / "deploy/platform-example.json")})
-    known = [config.sockets, config.memory_mb, config.known]
+    known = [config.sockets, config.memory_mb, config.known_endpoints]
     return positional(
-        [config.name, config.listen, config.discovery, config.seed, *known, config.pairs.same()]
+        [config.name, config.listen, config.discovery, config.seed, *known, config.settings.same()]
     )
 
 
--- a/tests/http/test_http.py
+++ b/tests/http/test_http.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from cherrygrade.http.reader import MOST_BODY, MOST_HEAD, Reader, closes
-from cherrygrade.http.writer import answer, ask
+from cherrygrade.http.reader import MAX_BODY_BYTES, MAX_HEAD_BYTES, MessageReader, closes
+from cherrygrade.http.writer import encode_request, encode_response
 
 PUT = b"PUT /a HTTP/1.1\r\n"
 
 
-def read(data: bytes, answers: bool = False, piece: int = 10**9) -> Reader:
-    reader = Reader(answers)
+def read(data: bytes, responses: bool = False, piece: int = 10**9) -> MessageReader:
+    reader = MessageReader(responses)
     for at in range(0, len(data), piece):
         reader.feed(data[at : at + piece])
     return reader
@@ -19,11 +19,13 @@
 
 @pytest.mark.parametrize("piece", [1, 7, 10**9])
 def test_what_is_written_is_read_in_pieces_of_any_size(piece):
-    data = ask(b"PUT", b"/a?b=c", b"h:1", [(b"X-A", b"1")], b"body") + ask(b"GET", b"/b", b"h:1")
-    put, get = read(data, piece=piece).found
+    data = encode_request(b"PUT", b"/a?b=c", b"h:1", [(b"X-A", b"1")], b"body") + encode_request(
+        b"GET", b"/b", b"h:1"
+    )
+    put, get = read(data, piece=piece).messages
     assert (put.method, put.target, put.body, put.fields[b"x-a"]) == (b"PUT", b"/a?b=c", b"body", b"1")
     assert (get.method, get.body) == (b"GET", b"")
-    one = read(answer(503, b"no", b"Retry-After: 0.250\r\n", close=True), True, piece).found[0]
+    one = read(encode_response(503, b"no", b"Retry-After: 0.250\r\n", close=True), True, piece).messages[0]
     assert (one.status, one.body, one.fields[b"retry-after"], closes(one)) == (503, b"no", b"0.250", True)
 
 
@@ -49,32 +51,32 @@
 )
 def test_what_contradicts_itself_is_no_message(data):
     reader = read(data)
-    assert reader.fault is not None and not reader.found
+    assert reader.error is not None and not reader.messages
 
 
 @pytest.mark.parametrize(
     "data, code",
     [
-        (PUT + b"A: " + b"a" * MOST_HEAD, 431),
+        (PUT + b"A: " + b"a" * MAX_HEAD_BYTES, 431),
         (PUT + b"A: b\r\n" * 2000, 431),
-        (b"GET /" + b"a" * (MOST_HEAD + 1), 431),
-        (PUT + b"Content-Length: %d\r\n\r\n" % (MOST_BODY + 1), 413),
+        (b"GET /" + b"a" * (MAX_HEAD_BYTES + 1), 431),
+        (PUT + b"Content-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1), 413),
         (PUT + b"Transfer-Encoding: chunked\r\n\r\n" + b"8000\r\n%b\r\n" % bytes(0x8000) * 3, 413),
         (PUT + b"Transfer-Encoding: chunked\r\n\r\n" + b"1;%b\r\nx\r\n" % (b"e" * 900) * 400, 413),
     ],
 )
 def test_what_does_not_end_is_given_up_in_bounded_memory(data, code):
     reader = read(data, piece=4096)
-    assert reader.fault is not None and reader.fault.code == code and not reader.found
+    assert reader.error is not None and reader.error.status == code and not reader.messages
 
 
 def test_answers_in_front_are_passed_over_and_what_comes_behind_does_not_spoil_what_was_whole():
-    early = read(b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + answer(200, b"ab"), True)
-    assert [one.body for one in early.found] == [b"ab"] and early.fault is None
-    noisy = read(answer(200, b"ab") + b"NOISE", True)
-    assert [one.body for one in noisy.found] == [b"ab"] and noisy.fault is not None
+    early = read(b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + encode_response(200, b"ab"), True)
+    assert [one.body for one in early.messages] == [b"ab"] and early.error is None
+    noisy = read(encode_response(200, b"ab") + b"NOISE", True)
+    assert [one.body for one in noisy.messages] == [b"ab"] and noisy.error is not None
     endless = read(b"HTTP/1.1 200 OK\r\n\r\nabc", True)
-    assert not endless.found and endless.within
+    assert not endless.messages and endless.within_message
 
 
 @pytest.mark.parametrize(
--- a/tests/peers/test_floods.py
+++ b/tests/peers/test_floods.py
@@ -10,7 +10,7 @@
 from support.platform_process import SOCKETS, PlatformProcess
 from support.platform_site import ask
 
-from cherrygrade.http.reader import Reader
+from cherrygrade.http.reader import MessageReader
 
 pytestmark = pytest.mark.alone
 
@@ -41,7 +41,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", one.port)
     except ConnectionError:
         return []
-    told = Reader(answers=True)
+    told = MessageReader(responses=True)
 
     async def write() -> None:
         try:
@@ -66,7 +66,7 @@
     finally:
         writing.cancel()
         writer.close()
-    return [message.status for message in told.found]
+    return [message.status for message in told.messages]
 
 
 async def deaf(one: PlatformProcess) -> None:
--- a/tests/platform/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -19,9 +19,9 @@
 from test_platform import TARGET, Watched
 
 from cherrygrade.gateway.life import LEFT_CLEAN
-from cherrygrade.http.reader import Reader
-from cherrygrade.http.writer import answer
-from cherrygrade.platform import clients, nodes, periodic_tasks, shutdown
+from cherrygrade.http.reader import MessageReader
+from cherrygrade.http.writer import encode_response
+from cherrygrade.platform import client_connection, connection_pool, node_connection, periodic_tasks, shutdown
 from cherrygrade.scheduling.model import NodeState, Outcome
 from cherrygrade.standin import web
 
@@ -68,9 +68,9 @@
 
 
 def statuses(data: bytes) -> list[int]:
-    reader = Reader(answers=True)
+    reader = MessageReader(responses=True)
     reader.feed(data)
-    return [message.status for message in reader.found]
+    return [message.status for message in reader.messages]
 
 
 async def barrier(square: PlatformSite) -> None:
@@ -104,8 +104,8 @@
         await barrier(square)
         pool = next(iter(platform.round_carrier.pools.values()))
         for gone in range(1, 6):
-            await square.until(lambda: pool.free)
-            pool.free[0].quiet_from = 0.0  # a connection stands ready, so that nothing has to wait
+            await square.until(lambda: pool.idle)
+            pool.idle[0].idle_since_ms = 0.0  # a connection stands ready, so that nothing has to wait
             end(raw(square, ask()))
             await square.until(lambda count=gone: platform.round_carrier.counts.abandoned == count)
         await barrier(square)
@@ -147,17 +147,17 @@
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
-        client, real = raw(square, ask()), nodes.ConnectionPool.stands
+        client, real = raw(square, ask()), connection_pool.ConnectionPool.connected
 
         def stands(pool, line):
             client.close()  # in the system, and not read
             real(pool, line)
 
-        nodes.ConnectionPool.stands = stands
+        connection_pool.ConnectionPool.connected = stands
         try:
             await square.until(lambda: platform.round_carrier.counts.abandoned)
         finally:
-            nodes.ConnectionPool.stands = real
+            connection_pool.ConnectionPool.connected = real
         await barrier(square)
         assert len(node.came) == 1
 
@@ -171,20 +171,20 @@
         callers = [await square.caller() for _ in range(2)]
         await asyncio.gather(*[caller.call(ask()) for caller in callers])
         pool = next(iter(platform.round_carrier.pools.values()))
-        assert len(pool.free) == 2  # one to be cut, one for the further attempt
-        pool.free[0].quiet_from = pool.free[1].quiet_from = 0.0
+        assert len(pool.idle) == 2  # one to be cut, one for the further attempt
+        pool.idle[0].idle_since_ms = pool.idle[1].idle_since_ms = 0.0
         node.script.append(False)  # its connection is cut, and the read may go again
-        client, answered = raw(square, ask()), nodes.ConnectionPool.ended
+        client, answered = raw(square, ask()), connection_pool.ConnectionPool.finish
 
         def ended(pool, out, outcome, body=None):
             client.close()
             answered(pool, out, outcome, body)
 
-        nodes.ConnectionPool.ended = ended
+        connection_pool.ConnectionPool.finish = ended
         try:
             await square.until(lambda: platform.round_carrier.counts.abandoned)
         finally:
-            nodes.ConnectionPool.ended = answered
+            connection_pool.ConnectionPool.finish = answered
         await barrier(square)
         assert len(node.came) == 4
 
@@ -213,7 +213,9 @@
 
 
 def test_many_that_leave_as_a_round_begins_are_all_passed_over(tmp_path, monkeypatch):
-    monkeypatch.setattr(nodes, "REST_MS", 0.0)  # so that the attempts decided in this round begin in it
+    monkeypatch.setattr(
+        connection_pool, "REST_MS", 0.0
+    )  # so that the attempts decided in this round begin in it
 
     async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=40.0)
@@ -242,18 +244,18 @@
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
-        platform.answer_budget.most = 10**8
-        node.script.extend([answer(200, bytes(900_000)), None])
+        platform.answer_budget.max_bytes = 10**8
+        node.script.extend([encode_response(200, bytes(900_000)), None])
         client = await narrow(square)
         client.sendall(ask(X_Budget_Ms="2000"))
-        await square.until(lambda: next(iter(platform.client_registry.connections)).unsent)
+        await square.until(lambda: next(iter(platform.client_registry.connections)).unsent_bytes)
         connection = next(iter(platform.client_registry.connections))
-        connection._paused = False
+        connection._writing_paused = False
         client.sendall(ask(X_Budget_Ms="2000"))
         await square.until(lambda: platform.round_carrier.open_requests and len(node.came) == 2)
         client.shutdown(socket.SHUT_WR)
         await square.until(lambda: not platform.round_carrier.open_requests)
-        assert connection.unsent and platform.round_carrier.counts.abandoned == 1
+        assert connection.unsent_bytes and platform.round_carrier.counts.abandoned == 1
         client.close()
 
     play(tmp_path, story)
@@ -351,7 +353,7 @@
         await square.until(lambda: platform.client_registry.connections)
         came = len(node.came)
         for connection in [*platform.client_registry.connections]:
-            connection.turn_out()
+            connection.close_idle()
         caller.writer.write(ask())  # our end is on its way
         assert await caller.answer() is None
         await barrier(square)
@@ -376,14 +378,14 @@
             platform.leave()
         elif when == "crowd":
             platform.client_registry.max_connections = 1
-            platform.admit(clients.ClientConnection(platform))  # somebody fresh in the same turn
+            platform.admit(client_connection.ClientConnection(platform))  # somebody fresh in the same turn
         else:
-            next(iter(platform.client_registry.connections)).quiet_from -= 1e6
+            next(iter(platform.client_registry.connections)).idle_since_ms -= 1e6
             platform.periodic_tasks.sweep()
         got = asyncio.create_task(ends(client))
         if when in ("crowd", "sweep"):
             await square.until(lambda: platform.round_carrier.counts.by_status[200] == 2)
-            next(iter(platform.client_registry.idle)).turn_out()
+            next(iter(platform.client_registry.idle)).close_idle()
         data, orderly = await got
         assert statuses(data) == [200, told] and orderly
 
@@ -397,9 +399,9 @@
         client, data = raw(square, ask()), ask()
         await square.until(lambda: platform.client_registry.idle)
         client.sendall(data[:-9])
-        await square.until(lambda: next(iter(platform.client_registry.connections)).within)
+        await square.until(lambda: next(iter(platform.client_registry.connections)).within_message)
         platform.client_registry.max_connections = 1
-        platform.admit(clients.ClientConnection(platform))
+        platform.admit(client_connection.ClientConnection(platform))
         client.sendall(data[-9:])
         await square.until(lambda: platform.round_carrier.counts.by_status[200] == 2)
         client.close()
@@ -411,14 +413,14 @@
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
-        node.script.append(answer(200, bytes(900_000)))
+        node.script.append(encode_response(200, bytes(900_000)))
         client = await narrow(square)
         client.sendall(ask(X_Budget_Ms="2000"))
         connection = next(iter(platform.client_registry.connections))
-        await square.until(lambda: connection.unsent)
-        connection.end()
-        assert connection in platform.client_registry.lingering and connection.unsent
-        platform.answer_budget.most = 1000
+        await square.until(lambda: connection.unsent_bytes)
+        connection.close_gracefully()
+        assert connection in platform.client_registry.lingering and connection.unsent_bytes
+        platform.answer_budget.max_bytes = 1000
         platform.periodic_tasks.sweep()
         await asyncio.sleep(0.01)
         assert not platform.client_registry.lingering
@@ -548,11 +550,11 @@
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
-        platform.answer_budget.most, large = 10**8, bytes(900_000)
-        node.script.append(answer(200, large))
+        platform.answer_budget.max_bytes, large = 10**8, bytes(900_000)
+        node.script.append(encode_response(200, large))
         client = await narrow(square)
         client.sendall(ask(X_Budget_Ms="2000"))
-        await square.until(lambda: next(iter(platform.client_registry.connections)).unsent)
+        await square.until(lambda: next(iter(platform.client_registry.connections)).unsent_bytes)
         platform.leave()
         platform.leave()
         await asyncio.sleep(0)
@@ -608,7 +610,9 @@
             await asyncio.sleep(0.001)
         if drains:
             square.discovery.tell(node.entry("terminating"))
-            await square.until(lambda: next(iter(platform.endpoint_list.dials)).state is NodeState.DRAINING)
+            await square.until(
+                lambda: next(iter(platform.endpoint_list.addresses)).state is NodeState.DRAINING
+            )
         assert not client.done()
         peer.transport.close() if end == "orderly" else reset(peer.transport.get_extra_info("socket").dup())
         if end == "reset":
@@ -668,14 +672,16 @@
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
-        node.script.append(answer(200, b"mine"))
+        node.script.append(encode_response(200, b"mine"))
         caller = await square.caller()
         assert (await caller.call(ask())).body == b"mine"
         pool = next(iter(platform.round_carrier.pools.values()))
-        pool.free[0].quiet_from = platform.rounds.clock() + 40.0  # as though it had come just now, all along
+        pool.idle[0].idle_since_ms = (
+            platform.rounds.clock() + 40.0
+        )  # as though it had come just now, all along
         caller.writer.write(ask())
         await square.until(lambda: pool.waiting)
-        node.peers[0].write(answer(200, b"somebody else's"))
+        node.peers[0].write(encode_response(200, b"somebody else's"))
         assert (await caller.answer()).body == b"of " + TARGET
         assert node.made == 2 and len(node.came) == 2
 
@@ -713,7 +719,7 @@
         caller, free = await square.caller(), hold_connects(square)
         client = asyncio.create_task(caller.call(ask()))
         await square.until(lambda: any(pool.waiting for pool in platform.round_carrier.pools.values()))
-        met = next(iter(platform.endpoint_list.dials))
+        met = next(iter(platform.endpoint_list.addresses))
         met.state = NodeState.DRAINING  # told, and nobody has looked through what waits yet
         free.set()
         assert (await client).status == 503 and not node.came
@@ -733,7 +739,7 @@
             transport, protocol = await real(factory, host, port)
             if left[0]:
                 left[0] = 0
-                assert protocol.out is not None
+                assert protocol.attempt is not None
                 transport.close()  # as asyncio does where its waiter is cancelled behind connection_made
                 raise TimeoutError
             return transport, protocol
@@ -742,7 +748,7 @@
         asked = loop.time()
         assert (await caller.call(ask(X_Budget_Ms="2000"))).status == 200
         assert loop.time() - asked < 1.0 and platform.rounds.module.told == [Outcome.RESET, Outcome.OK]
-        assert sum(pool.making for pool in platform.round_carrier.pools.values()) == 0
+        assert sum(pool.connecting for pool in platform.round_carrier.pools.values()) == 0
         assert platform.socket_budget.used == len(node.peers) or len(node.peers) == 2
 
     play(tmp_path, story)
@@ -751,7 +757,7 @@
 @pytest.fixture
 def narrow_ways(monkeypatch):
     """Little of a request to a node is with the system, and the first connection is not read."""
-    line_made, peer_made = nodes.NodeConnection.connection_made, web.Peer.connection_made
+    line_made, peer_made = node_connection.NodeConnection.connection_made, web.Peer.connection_made
 
     def narrow_line(line, transport):
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -762,7 +768,7 @@
         if isinstance(peer.owner, web.WebNode) and peer.owner.made == 1:
             transport.pause_reading()
 
-    monkeypatch.setattr(nodes.NodeConnection, "connection_made", narrow_line)
+    monkeypatch.setattr(node_connection.NodeConnection, "connection_made", narrow_line)
     monkeypatch.setattr(web.Peer, "connection_made", deaf_at_first)
 
 
@@ -773,7 +779,7 @@
         node._server.sockets[0]._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client = raw(square, ask(method="PUT", body=bytes(65536)))
         await square.until(
-            lambda: any(line.out for k in platform.round_carrier.pools.values() for line in k.connections)
+            lambda: any(line.attempt for k in platform.round_carrier.pools.values() for line in k.connections)
         )
         client.close()
         await square.until(lambda: not platform.round_carrier.open_requests)
@@ -793,18 +799,20 @@
         caller = await square.caller()
         write = asyncio.create_task(caller.call(ask(method="PUT", body=bytes(65536))))
         await square.until(
-            lambda: any(line.out for k in platform.round_carrier.pools.values() for line in k.connections)
+            lambda: any(line.attempt for k in platform.round_carrier.pools.values() for line in k.connections)
         )
         line = next(line for k in platform.round_carrier.pools.values() for line in k.connections)
-        assert not line.whole
-        node.peers[0].write(answer(503, fields=b"X-Rejected: 1\r\n"))
+        assert not line.is_fully_sent
+        node.peers[0].write(encode_response(503, fields=b"X-Rejected: 1\r\n"))
         assert (await write).status == 200  # turned away unread, so it went again
         assert platform.rounds.module.told == [Outcome.REJECTED, Outcome.OK] and node.made == 2
 
     play(tmp_path, story)
 
 
-@pytest.mark.parametrize("half", [b"HTTP/1.1 2", answer(200, b"somebody else's")[:-3], answer(200, b"whole")])
+@pytest.mark.parametrize(
+    "half", [b"HTTP/1.1 2", encode_response(200, b"somebody else's")[:-3], encode_response(200, b"whole")]
+)
 def test_bytes_of_a_node_in_the_instant_of_our_close_are_nobodys(tmp_path, half):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
@@ -814,7 +822,7 @@
         pool = next(iter(platform.round_carrier.pools.values()))
         node.peers[0].transport.get_extra_info("socket")._sock.send(half)  # there, and not read
         pool.close_idle(platform.rounds.clock() + 1e6)
-        assert not pool.free and not pool.connections
+        assert not pool.idle and not pool.connections
         assert (await caller.call(ask())).body == b"of " + TARGET
         assert node.made == 2 and platform.rounds.module.told == [Outcome.OK, Outcome.OK]
         assert platform.socket_budget.used == 1
--- a/tests/platform/test_deploy.py
+++ b/tests/platform/test_deploy.py
@@ -14,7 +14,7 @@
 from support.platform_site import SETTINGS, RawClient, ask
 from support.port_reservation import release, reserve
 
-from cherrygrade.platform.watching import READY_MS
+from cherrygrade.platform.process import READY_MS
 from cherrygrade.standin.web import WebDiscovery, WebNode
 
 ROOT = Path(__file__).parents[2]
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -13,10 +13,10 @@
 from support.platform_site import SETTINGS, PlatformSite, ask, play
 
 from cherrygrade.gateway.life import LEFT_BROKEN, LEFT_CLEAN
-from cherrygrade.http.reader import MOST_BODY, MOST_LONG
-from cherrygrade.http.writer import answer
-from cherrygrade.platform import nodes, process, round_carrier, watching
-from cherrygrade.platform.clients import ClientConnection
+from cherrygrade.http.reader import MAX_BODY_BYTES, MAX_LONG_BODY_BYTES
+from cherrygrade.http.writer import encode_response
+from cherrygrade.platform import connection_pool, node_connection, process, round_carrier, watch_liveness
+from cherrygrade.platform.client_connection import ClientConnection
 from cherrygrade.platform.config import ConfigError, read_config
 from cherrygrade.scheduling.model import NodeState, Outcome
 from cherrygrade.scheduling.scheduler import Scheduler
@@ -142,9 +142,9 @@
         OK + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
         OK + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
         b"HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n",
-        answer(503, b"not marked"),
-        answer(500, b"trouble"),
-        answer(404, b"what"),
+        encode_response(503, b"not marked"),
+        encode_response(500, b"trouble"),
+        encode_response(404, b"what"),
     ],
 )
 def test_a_spoilt_answer_reaches_nobody_and_the_read_goes_again(tmp_path, spoilt):
@@ -161,12 +161,14 @@
     play(tmp_path, story)
 
 
-@pytest.mark.parametrize("behind", [b"NOISE", answer(200, b"somebody else's"), b"\r\n", b"HTTP/1.1 20"])
+@pytest.mark.parametrize(
+    "behind", [b"NOISE", encode_response(200, b"somebody else's"), b"\r\n", b"HTTP/1.1 20"]
+)
 def test_bytes_behind_an_answer_are_never_the_next_rpcs(tmp_path, behind):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start()
-        node.script.append(answer(200, b"mine") + behind)
+        node.script.append(encode_response(200, b"mine") + behind)
         caller = await square.caller()
         assert (await caller.call(ask())).body == b"mine"
         assert (await caller.call(ask())).body == b"of " + TARGET
@@ -185,7 +187,7 @@
 
         def late(now, writer, **came):  # in the socket as the module decides, and not yet read here
             if came["arrivals"]:
-                peer.transport._sock.send(answer(200, b"somebody else's"))
+                peer.transport._sock.send(encode_response(200, b"somebody else's"))
             decide(now, writer, **came)
 
         square.platform.rounds.module.decide = late
@@ -200,7 +202,7 @@
         node = await square.node()
         await square.start(Watched)
         bad = b"X-Meter: nan\r\nX-Delta: -4\r\nX-Load-Report: TEXT queue=inf, =, util\r\n"
-        node.script.append(b"HTTP/1.1 100 Continue\r\n\r\n" + answer(200, b"mine", bad))
+        node.script.append(b"HTTP/1.1 100 Continue\r\n\r\n" + encode_response(200, b"mine", bad))
         assert (await (await square.caller()).call(ask())).body == b"mine"
 
     play(tmp_path, story)
@@ -209,9 +211,9 @@
 @pytest.mark.parametrize(
     "script, told",
     [
-        (answer(503, fields=b"X-Rejected: 1\r\n"), Outcome.REJECTED),
-        (answer(504, fields=b"X-Rejected: 1\r\n"), Outcome.REJECTED),
-        (answer(504), Outcome.FAILED),
+        (encode_response(503, fields=b"X-Rejected: 1\r\n"), Outcome.REJECTED),
+        (encode_response(504, fields=b"X-Rejected: 1\r\n"), Outcome.REJECTED),
+        (encode_response(504), Outcome.FAILED),
         (False, Outcome.RESET),
     ],
 )
@@ -294,7 +296,7 @@
         assert platform.rounds.module.told == [Outcome.OK] and node.made == 1
         await square.until(lambda: node.made == 2)  # the late one is there for whoever comes next
         (pool,) = platform.round_carrier.pools.values()
-        assert (len(pool.free), pool.making, platform.socket_budget.used) == (2, 0, 2)
+        assert (len(pool.idle), pool.connecting, platform.socket_budget.used) == (2, 0, 2)
 
     play(tmp_path, story)
 
@@ -321,7 +323,7 @@
 
 def test_a_node_on_which_no_connection_comes_up_could_not_be_reached(tmp_path, monkeypatch):
     # Two in a row without a sign of life; none is awaited for ever, and none is left.
-    monkeypatch.setattr(nodes, "AWAITED_MS", 700.0)
+    monkeypatch.setattr(connection_pool, "RACED_CONNECT_EXTRA_MS", 700.0)
 
     async def story(square: PlatformSite) -> None:
         node = await square.node()
@@ -337,7 +339,7 @@
         assert (await answering).status == 503 and not node.made
         await square.until(lambda: not platform.socket_budget.used)
         (pool,) = platform.round_carrier.pools.values()
-        assert not (pool.connections or pool.waiting or pool.making)
+        assert not (pool.connections or pool.waiting or pool.connecting)
 
     play(tmp_path, story)
 
@@ -353,13 +355,13 @@
         assert [answered.status for answered in await asyncio.gather(*both)] == [200, 200] and node.made == 2
         pool = next(iter(platform.round_carrier.pools.values()))
         await asyncio.sleep(0.01)
-        older, newer = pool.free
+        older, newer = pool.idle
         now = platform.rounds.clock()
-        assert pool._rested(now) is newer
-        newer.quiet_from = now
-        assert pool._rested(now) is older
-        older.quiet_from = now
-        assert pool._rested(now) is None  # and is looked at again in time
+        assert pool._rested_connection(now) is newer
+        newer.idle_since_ms = now
+        assert pool._rested_connection(now) is older
+        older.idle_since_ms = now
+        assert pool._rested_connection(now) is None  # and is looked at again in time
         assert (await one.call(ask())).status == 200 and node.made == 2
 
     play(tmp_path, story)
@@ -399,12 +401,12 @@
         large = bytes(range(256)) * 1600
         caller = await square.caller()
         for _ in range(3):
-            node.script.append(answer(200, large))
-            assert (await caller.call(ask())).body == large and not platform.answer_budget.held
-        platform.answer_budget.most = 100_000
-        node.script.extend([answer(200, large)] * 9)
+            node.script.append(encode_response(200, large))
+            assert (await caller.call(ask())).body == large and not platform.answer_budget.held_bytes
+        platform.answer_budget.max_bytes = 100_000
+        node.script.extend([encode_response(200, large)] * 9)
         assert (await caller.call(ask())).status == 503
-        assert Outcome.FAILED in platform.rounds.module.told and not platform.answer_budget.held
+        assert Outcome.FAILED in platform.rounds.module.told and not platform.answer_budget.held_bytes
 
     play(tmp_path, story)
 
@@ -421,15 +423,15 @@
         # A second one behind it, and one in front: its bytes are read while that one is open.
         one.writer.write(ask() + ask(method="PUT", body=LONG) + ask(method="PUT", body=LONG))
         assert [(await one.answer()).status for _ in range(3)] == [200] * 3
-        assert [message.body for message in node.came] == [b"", LONG, LONG] and room.held == 0
+        assert [message.body for message in node.came] == [b"", LONG, LONG] and room.held_bytes == 0
         # As much room as one of them takes, its copy on the way to the node counted.
-        room.most = 2 * (len(LONG) - MOST_BODY)
+        room.max_bytes = 2 * (len(LONG) - MAX_BODY_BYTES)
         one.writer.write(ask(method="PUT", body=LONG))
         await square.until(lambda: len(node.came) == 4)
         refused = await two.call(ask(method="PUT", body=LONG))
         assert (refused.status, refused.fields[b"connection"]) == (503, b"close")
-        assert (await one.answer()).status == 200 and len(node.came) == 4 and room.held == 0
-        assert (await one.call(ask(method="PUT", body=LONG))).status == 200 and room.held == 0
+        assert (await one.answer()).status == 200 and len(node.came) == 4 and room.held_bytes == 0
+        assert (await one.call(ask(method="PUT", body=LONG))).status == 200 and room.held_bytes == 0
 
     play(tmp_path, story)
 
@@ -449,13 +451,13 @@
         caller = await square.caller()
         head = ask(method="PUT", Content_Length=str(len(LONG)))
         caller.writer.write(head + (LONG + ask(method="PUT", body=LONG))[:written])
-        await square.until(lambda: platform.request_budget.held and (written < len(LONG) or node.came))
+        await square.until(lambda: platform.request_budget.held_bytes and (written < len(LONG) or node.came))
         if reset:
             caller.writer.transport.abort()
         else:
             caller.writer.close()
         await square.until(lambda: not platform.client_registry.connections)
-        assert platform.request_budget.held == 0 and not platform.round_carrier.open_requests
+        assert platform.request_budget.held_bytes == 0 and not platform.round_carrier.open_requests
 
     play(tmp_path, story)
 
@@ -469,11 +471,11 @@
         (client,) = platform.client_registry.connections
         client.pause_writing()  # as one that does not take its answers: nothing more is begun for it
         caller.writer.write(ask(method="PUT", body=LONG))
-        await square.until(lambda: not (client.idle or client.within))
-        assert platform.request_budget.held
+        await square.until(lambda: not (client.is_idle or client.within_message))
+        assert platform.request_budget.held_bytes
         caller.writer.close()
         await square.until(lambda: not platform.client_registry.connections)
-        assert platform.request_budget.held == 0 and not node.came
+        assert platform.request_budget.held_bytes == 0 and not node.came
 
     play(tmp_path, story)
 
@@ -482,10 +484,10 @@
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
-        for more in ({"Content_Length": str(MOST_LONG + 1)}, {"Content_Length": "61000000"}):
+        for more in ({"Content_Length": str(MAX_LONG_BODY_BYTES + 1)}, {"Content_Length": "61000000"}):
             answered = await (await square.caller()).call(ask(method="PUT", **more))
             assert answered.status == 413
-        assert not node.came and platform.request_budget.held == 0
+        assert not node.came and platform.request_budget.held_bytes == 0
 
     play(tmp_path, story)
 
@@ -494,7 +496,7 @@
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
-        platform.answer_budget.most = 4_000_000
+        platform.answer_budget.max_bytes = 4_000_000
         large, slow = bytes(900_000), [await square.caller() for _ in range(12)]
         await square.until(lambda: len(platform.client_registry.connections) == 12)
         for (
@@ -504,10 +506,12 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         for caller in slow:
             caller.writer.transport.pause_reading()
-            node.script.extend([answer(200, large)] * 8)
+            node.script.extend([encode_response(200, large)] * 8)
             caller.writer.write(b"".join(ask(X_Budget_Ms="2000") for _ in range(8)))
         await square.until(lambda: len(platform.client_registry.connections) < 12, ms=4000.0)
-        assert sum(connection.unsent for connection in platform.client_registry.connections) < 16_000_000
+        assert (
+            sum(connection.unsent_bytes for connection in platform.client_registry.connections) < 16_000_000
+        )
         node.script.clear()
         assert (await (await square.caller()).call(ask())).status == 200
 
@@ -563,12 +567,12 @@
         sock = connection._transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         caller.writer.transport.pause_reading()
-        node.script.append(answer(200, bytes(900_000)))
+        node.script.append(encode_response(200, bytes(900_000)))
         second = ask(X_Budget_Ms="2000")
         caller.writer.write(ask(X_Budget_Ms="2000"))
-        await square.until(lambda: connection.open is not None)
+        await square.until(lambda: connection.request is not None)
         caller.writer.write(second[:40])
-        await square.until(lambda: connection._paused)
+        await square.until(lambda: connection._writing_paused)
         caller.writer.write(second[40:])
         await asyncio.sleep(0.05)
         caller.writer.transport.resume_reading()
@@ -583,7 +587,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.clock, self.came, self.left = asyncio.get_running_loop().time, 0.0, list[tuple[float, float]]()
-        hears, begins = ClientConnection.buffer_updated, nodes.NodeConnection.begin
+        hears, begins = ClientConnection.buffer_updated, node_connection.NodeConnection.send
 
         def hear(connection, nbytes):
             self.came = self.clock()
@@ -595,7 +599,7 @@
             begins(connection, out, data)
 
         monkeypatch.setattr(ClientConnection, "buffer_updated", hear)
-        monkeypatch.setattr(nodes.NodeConnection, "begin", begin)
+        monkeypatch.setattr(node_connection.NodeConnection, "send", begin)
 
     budget = 4000.0
 
@@ -612,7 +616,7 @@
         platform = await square.start(settings=slow(4.0))
         await square.until(lambda: square.discovery.peers)
         loop, told, late, held_up = asyncio.get_running_loop(), Told(monkeypatch), [1.5, 0.5], [0.0, 0.6]
-        connects, stands = loop.create_connection, nodes.ConnectionPool.stands
+        connects, stands = loop.create_connection, connection_pool.ConnectionPool.connected
         caller = await square.caller()
 
         async def connect(factory, host, port):
@@ -625,8 +629,8 @@
             stands(pool, connection)
 
         loop.create_connection = connect
-        monkeypatch.setattr(nodes.ConnectionPool, "stands", stand)
-        node.script.append(answer(503, fields=b"X-Rejected: 1\r\n", close=True))
+        monkeypatch.setattr(connection_pool.ConnectionPool, "connected", stand)
+        node.script.append(encode_response(503, fields=b"X-Rejected: 1\r\n", close=True))
         assert (await caller.call(ask(X_Budget_Ms="4000"))).status == 200
         assert told.holds(2) and told.left[0][1] < 2500.0 and told.left[1][1] < 1400.0, told.left
 
@@ -637,14 +641,14 @@
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
-        caller, stands = await square.caller(), nodes.ConnectionPool.stands
+        caller, stands = await square.caller(), connection_pool.ConnectionPool.connected
 
         def stand(pool, connection):
             platform.rounds.stir()
             time.sleep(0.4)
             stands(pool, connection)
 
-        monkeypatch.setattr(nodes.ConnectionPool, "stands", stand)
+        monkeypatch.setattr(connection_pool.ConnectionPool, "connected", stand)
         assert (await caller.call(ask(X_Budget_Ms="300"))).status in (502, 503)
         assert not node.came and not platform.round_carrier.open_requests
 
@@ -697,13 +701,13 @@
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
-        platform.socket_budget.most = 0  # none can be made
+        platform.socket_budget.max_sockets = 0  # none can be made
         caller = await square.caller()
         caller.writer.write(ask())
         await square.until(lambda: any(pool.waiting for pool in platform.round_carrier.pools.values()))
         square.discovery.tell(node.entry("terminating"))
         await square.until(lambda: Outcome.NOT_SENT in platform.rounds.module.told)
-        platform.socket_budget.most = 9
+        platform.socket_budget.max_sockets = 9
         assert (await caller.answer()).status == 503 and not node.came
 
     play(tmp_path, story)
@@ -715,7 +719,7 @@
         platform = await square.start()
         caller = await square.caller()
         assert (await caller.call(ask())).status == 200
-        met = next(iter(platform.endpoint_list.dials))
+        met = next(iter(platform.endpoint_list.addresses))
         node.close()
         node.address = "127.0.0.1:0"
         await node.open()
@@ -726,11 +730,11 @@
         await square.until(lambda: not platform.rounds.module.lanes[met].strikes)
         assert (await caller.call(ask())).status == 200
         square.discovery.tell(node.entry("terminated"))
-        await square.until(lambda: not platform.endpoint_list.dials and not platform.round_carrier.pools)
+        await square.until(lambda: not platform.endpoint_list.addresses and not platform.round_carrier.pools)
         assert not platform.nodes.by_address
         square.discovery.tell(node.entry())
-        await square.until(lambda: platform.endpoint_list.dials)
-        assert next(iter(platform.endpoint_list.dials)) is not met
+        await square.until(lambda: platform.endpoint_list.addresses)
+        assert next(iter(platform.endpoint_list.addresses)) is not met
         assert (await caller.call(ask())).status == 200
 
     play(tmp_path, story)
@@ -753,7 +757,7 @@
         assert square.discovery.asked[1].endswith(b"since=2")
         square.discovery.write(square.discovery.peers[-1], 1, True, [])  # older than what is known
         await asyncio.sleep(0.05)
-        assert [node.state for node in platform.endpoint_list.dials] == [NodeState.LIVE]
+        assert [node.state for node in platform.endpoint_list.addresses] == [NodeState.LIVE]
         assert (await (await square.caller()).call(ask())).status == 200
 
     play(tmp_path, story)
@@ -772,7 +776,7 @@
         data = b"\n" + b"\n\n".join(told)  # and nothing behind the last one
         for at in range(0, len(data), piece):
             square.discovery.raw(square.discovery.peers[0], data[at : at + piece])
-        await square.until(lambda: next(iter(platform.endpoint_list.dials)).state is NodeState.DRAINING)
+        await square.until(lambda: next(iter(platform.endpoint_list.addresses)).state is NodeState.DRAINING)
         assert len(square.discovery.asked) == 1 and platform.endpoint_list.version == 8
 
     play(tmp_path, story)
@@ -786,7 +790,7 @@
         square.discovery.tell(node.entry("terminating"))
         loop = asyncio.get_running_loop()
         await square.until(
-            lambda: next(iter(platform.endpoint_list.dials)).state is NodeState.DRAINING, 6000.0
+            lambda: next(iter(platform.endpoint_list.addresses)).state is NodeState.DRAINING, 6000.0
         )
         assert square.discovery.told_at[node.host] - loop.time() > 2.0
         assert len(square.discovery.asked) == 2 and b"since" not in square.discovery.asked[1]
@@ -797,8 +801,8 @@
 
 
 def test_while_discovery_is_down_the_list_stands_and_it_is_asked_anew_until_it_tells(tmp_path, monkeypatch):
-    monkeypatch.setattr(watching, "QUIET_MS", 200.0)
-    monkeypatch.setattr(watching, "FIRST_MS", 100.0)
+    monkeypatch.setattr(watch_liveness, "SILENCE_LIMIT_MS", 200.0)
+    monkeypatch.setattr(watch_liveness, "FIRST_LIST_LIMIT_MS", 100.0)
 
     async def story(square: PlatformSite) -> None:
         square.discovery = WebDiscovery(breath_s=0.1)
@@ -812,14 +816,14 @@
         square.discovery.down = False
         square.discovery.tell(node.entry("terminating"))
         await square.until(
-            lambda: next(iter(platform.endpoint_list.dials)).state is NodeState.DRAINING, 250.0
+            lambda: next(iter(platform.endpoint_list.addresses)).state is NodeState.DRAINING, 250.0
         )
 
     play(tmp_path, story)
 
 
 def test_a_half_object_that_is_never_ended_is_no_sign_of_life(tmp_path, monkeypatch):
-    monkeypatch.setattr(watching, "QUIET_MS", 300.0)
+    monkeypatch.setattr(watch_liveness, "SILENCE_LIMIT_MS", 300.0)
 
     async def story(square: PlatformSite) -> None:
         square.discovery = WebDiscovery(breath_s=0.1)
@@ -857,7 +861,7 @@
 def test_a_new_process_is_ready_in_time_without_a_list_and_sends_nothing_by_an_old_one(tmp_path, monkeypatch):
     # Nine in ten are to be ready within 6 s where the day ends sooner, also where discovery is down for
     # longer; rule 3 does not pay. How soon a process is, its start counted, is in test_deploy.
-    assert watching.READY_MS <= 4500.0 < watching.BLIND_MS
+    assert process.READY_MS <= 4500.0 < process.BLIND_MS
     monkeypatch.setattr(process, "READY_MS", 200.0)
 
     async def story(square: PlatformSite) -> None:
@@ -876,7 +880,7 @@
         await square.until(lambda: platform.endpoints_known)
         assert (await other.call(ask())).status == 503 and not node.came
         square.discovery.tell(node.entry())
-        await square.until(lambda: next(iter(platform.endpoint_list.dials)).state is NodeState.LIVE)
+        await square.until(lambda: next(iter(platform.endpoint_list.addresses)).state is NodeState.LIVE)
         assert (await other.call(ask())).status == 200
 
     play(tmp_path, story)
@@ -914,7 +918,7 @@
         await square.until(lambda: square.discovery.asked and not old.peers)
         old.close()
         square.discovery.tell(node.entry("terminating"))
-        await square.until(lambda: next(iter(platform.endpoint_list.dials)).state is NodeState.DRAINING)
+        await square.until(lambda: next(iter(platform.endpoint_list.addresses)).state is NodeState.DRAINING)
         assert not platform.done.done()
 
     play(tmp_path, story)
--- a/tests/platform/test_watch_clock.py
+++ b/tests/platform/test_watch_clock.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from cherrygrade.http.reader import Reader
+from cherrygrade.http.reader import MessageReader
 from cherrygrade.platform.discovery import DiscoveryClient
-from cherrygrade.platform.listing import Listing
+from cherrygrade.platform.endpoint_list import EndpointList
 from cherrygrade.scheduling.model import NodeState
 from cherrygrade.scheduling.round_inputs import NodeTable
 from cherrygrade.virtual.loop import VirtualLoop
@@ -24,7 +24,7 @@
 
 class Peer(asyncio.BufferedProtocol):
     def __init__(self, agent: Agent) -> None:
-        self.agent, self.reader, self.silent, self.asked = agent, Reader(answers=False), False, False
+        self.agent, self.reader, self.silent, self.asked = agent, MessageReader(responses=False), False, False
         self.page = bytearray(4096)
 
     def connection_made(self, transport) -> None:
@@ -36,7 +36,7 @@
 
     def buffer_updated(self, nbytes):
         self.reader.feed(bytes(self.page[:nbytes]))
-        if self.reader.found:
+        if self.reader.messages:
             self.asked = True
             self.agent.answer(self)
 
@@ -120,9 +120,14 @@
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
         self.loop, self.agent = loop, Agent(8500)
-        self.listing = Listing(NodeTable(), lambda unix: unix)
+        self.endpoint_list = EndpointList(NodeTable(), lambda unix: unix)
         self.register_watch = DiscoveryClient(
-            "127.0.0.1:8500", "n0", self.listing, lambda: loop.time() * 1000.0, lambda nodes: None, self.log
+            "127.0.0.1:8500",
+            "n0",
+            self.endpoint_list,
+            lambda: loop.time() * 1000.0,
+            lambda nodes: None,
+            self.log,
         )
         self.events: list[str] = []
 
@@ -131,7 +136,7 @@
 
     @property
     def known(self) -> str:
-        standing = next(iter(self.listing.dials)).state if self.listing.dials else None
+        standing = next(iter(self.endpoint_list.addresses)).state if self.endpoint_list.addresses else None
         return {NodeState.LIVE: "in_service", NodeState.DRAINING: "terminating", None: ""}[standing]
 
     async def learns(self, within_s: float) -> float:
--- a/tests/platform/test_watch_stream.py
+++ b/tests/platform/test_watch_stream.py
@@ -8,7 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cherrygrade.platform.watching import FIRST_MS, QUIET_MS, Objects, Silence
+from cherrygrade.platform.json_object_stream import JsonObjectStream
+from cherrygrade.platform.watch_liveness import FIRST_LIST_LIMIT_MS, SILENCE_LIMIT_MS, WatchLiveness
 
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False, allow_infinity=False) | st.text(),
@@ -26,45 +27,47 @@
 )
 def test_objects_are_cut_whole_however_they_are_laid_out_and_split(told, indent, between, piece, plain):
     data = between.join(json.dumps(one, indent=indent, ensure_ascii=plain) for one in told).encode()
-    objects, found = Objects(), []
+    objects, found = JsonObjectStream(), []
     for at in range(0, len(data), piece):
         found += objects.feed(data[at : at + piece])
-    assert found == told and not objects.within
+    assert found == told and not objects.within_object
 
 
 @pytest.mark.parametrize("bad", [b"x", b"}", b"[1]", b'"a"', b"{x", b'{"a\n":1}', b'{"a":1]', b"7"])
 def test_what_is_no_object_is_told_at_once(bad):
     with pytest.raises(ValueError):
-        Objects().feed(bad)
+        JsonObjectStream().feed(bad)
 
 
 def test_an_object_without_end_takes_no_memory_without_end():
-    objects = Objects()
+    objects = JsonObjectStream()
     with pytest.raises(ValueError):
         for _ in range(100):
-            objects.feed(b'{"a":"' if not objects.within else b"b" * 65536)
+            objects.feed(b'{"a":"' if not objects.within_object else b"b" * 65536)
 
 
 def test_the_next_watch_has_told_before_what_the_silent_one_missed_counts():
     # 6 s after it fell silent; two tries of the next one fit in with a second over.
-    assert QUIET_MS + 2.0 * FIRST_MS <= 5000.0 and QUIET_MS >= 2500.0  # an empty line is due every 2 s
+    assert (
+        SILENCE_LIMIT_MS + 2.0 * FIRST_LIST_LIMIT_MS <= 5000.0 and SILENCE_LIMIT_MS >= 2500.0
+    )  # an empty line is due every 2 s
 
 
 def test_until_the_list_that_is_owed_breathing_counts_for_nothing():
-    silence = Silence(0.0, owed=True)
-    silence.heard(900.0, told=False, half=False)
-    assert silence.until_ms == FIRST_MS
-    silence.heard(950.0, told=True, half=False)
-    assert silence.until_ms == 950.0 + QUIET_MS
-    asked_for_changes = Silence(0.0, owed=False)
-    asked_for_changes.heard(900.0, told=False, half=False)
-    assert asked_for_changes.until_ms == 900.0 + QUIET_MS
+    silence = WatchLiveness(0.0, whole_list_wanted=True)
+    silence.bytes_received(900.0, whole_object=False, within_object=False)
+    assert silence.deadline_ms == FIRST_LIST_LIMIT_MS
+    silence.bytes_received(950.0, whole_object=True, within_object=False)
+    assert silence.deadline_ms == 950.0 + SILENCE_LIMIT_MS
+    asked_for_changes = WatchLiveness(0.0, whole_list_wanted=False)
+    asked_for_changes.bytes_received(900.0, whole_object=False, within_object=False)
+    assert asked_for_changes.deadline_ms == 900.0 + SILENCE_LIMIT_MS
 
 
 def test_bytes_of_an_object_without_end_are_no_sign_of_life():
-    silence = Silence(0.0, owed=False)
-    silence.heard(100.0, told=False, half=True)
-    silence.heard(2000.0, told=False, half=True)
-    assert silence.until_ms == 100.0 + QUIET_MS
-    silence.heard(2100.0, told=True, half=False)
-    assert silence.until_ms == 2100.0 + QUIET_MS
+    silence = WatchLiveness(0.0, whole_list_wanted=False)
+    silence.bytes_received(100.0, whole_object=False, within_object=True)
+    silence.bytes_received(2000.0, whole_object=False, within_object=True)
+    assert silence.deadline_ms == 100.0 + SILENCE_LIMIT_MS
+    silence.bytes_received(2100.0, whole_object=True, within_object=False)
+    assert silence.deadline_ms == 2100.0 + SILENCE_LIMIT_MS
--- a/tests/support/platform_site.py
+++ b/tests/support/platform_site.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from cherrygrade.http.reader import Message, Reader, Room
+from cherrygrade.http.reader import BodyBudget, Message, MessageReader
 from cherrygrade.platform.config import read_config
 from cherrygrade.platform.process import PlatformDispatcher
 from cherrygrade.scheduling.scheduler import Scheduler
@@ -57,7 +57,11 @@
     """A client's connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.writer, self._stream, self._reader = writer, reader, Reader(answers=True, room=Room(10**9))
+        self.writer, self._stream, self._reader = (
+            writer,
+            reader,
+            MessageReader(responses=True, budget=BodyBudget(10**9)),
+        )
         self._found: list[Message] = []
 
     async def answer(self) -> Message | None:
@@ -70,7 +74,7 @@
             if not data:
                 return None
             self._reader.feed(data)
-            self._found, self._reader.found = self._reader.found, []
+            self._found, self._reader.messages = self._reader.messages, []
         return self._found.pop(0)
 
     async def call(self, data: bytes) -> Message | None:
