--- a/cherrygrade/platform/client_connection.py
+++ b/cherrygrade/platform/client_connection.py
@@ -66,7 +66,7 @@
         """Hand a request to the scheduler. Raises HttpError where the message holds none."""
 
     def abandon(self, pending: PendingRequest) -> None:
-        """The request's client does not wait for the answer any more."""
+        """The request's client has closed."""
 
 
 @dataclass(slots=True)
@@ -105,7 +105,7 @@
         self._socket_events: SocketEvents | None = None
         self._writing_paused = False
         self._serving = False  # within `_serve_next`
-        self._close_after_answer = False  # the client has asked for it
+        self._close_after_answer = False  # the client has requested it
 
     # Called by the event loop.
 
@@ -215,7 +215,7 @@
             status: The answer's status code.
             body: Its whole body.
             fields: Further fields as whole lines.
-            close: Close the connection behind it; so does a client that asked for it, or a shutdown.
+            close: Close the connection behind it; so does a client's `Connection: close`, or a shutdown.
         """
         close = close or self._close_after_answer or self._owner.closing
         self.request = None
@@ -262,7 +262,7 @@
         """Nothing more is served for the client, and its open request is abandoned."""
         if not self.is_closing:
             self._stop_serving()
-            # Otherwise it is gone by the next turn, and takes nobody's place among those that linger.
+            # Otherwise it is closed by the next turn, and takes no place among those that linger.
             if self.unsent_bytes:
                 self._owner.linger(self)
         pending, self.request = self.request, None
--- a/cherrygrade/platform/client_listener.py
+++ b/cherrygrade/platform/client_listener.py
@@ -44,7 +44,7 @@
         """Close once the accept queue has stayed empty for some turns of the event loop, then call `closed`.
 
         Closing the socket resets connections that the kernel has accepted and this process has not, and
-        asyncio drops those that it accepted in the turn before: they are let in first.
+        asyncio drops those that it accepted in the turn before: they are admitted first.
         """
         if self._server is None:
             return
--- a/cherrygrade/platform/config.py
+++ b/cherrygrade/platform/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a dispatcher: environment and configuration file, read and checked whole.
+"""The configuration of a dispatcher: environment and configuration file, read and checked as a whole.
 
 The file's keys and the variables' names are the platform's; they are mapped to `PlatformConfig` here.
 """
--- a/cherrygrade/platform/connection_pool.py
+++ b/cherrygrade/platform/connection_pool.py
@@ -26,7 +26,7 @@
 # Between a response and the next attempt on its connection. Responses carry no id: a second one that comes
 # late, or the close behind the first, finds the connection idle and closes it, and is not taken for the next
 # attempt's.
-REST_MS = 10.0
+MIN_IDLE_MS = 10.0
 # A connect that is not up after this share of its time-out is raced by another (RFC 8305, 5) and still
 # awaited beyond the time-out: a lost SYN is sent again after a second (RFC 6298), so it may be up then.
 RACE_AFTER_DIVISOR = 2.0
@@ -73,7 +73,7 @@
         self._last_alive_ms = 0.0  # when a connection last came up or a response came
         self._slow_connects = 0  # since then
         self._connect_tasks: set[asyncio.Task[None]] = set()
-        self._rest_timer: asyncio.TimerHandle | None = None
+        self._reuse_timer: asyncio.TimerHandle | None = None
 
     # Sending.
 
@@ -85,14 +85,14 @@
     def send_waiting(self) -> None:
         """Give waiting attempts the idle connections; connect for those that are left."""
         self._use_idle()
-        # An idle connection that rests is usable sooner than one that has yet to be made.
+        # An idle connection is reusable sooner than one that has yet to be made.
         while len(self.waiting) > self.connecting + len(self.idle) and self._socket_budget.take():
             self._start_connect()
 
     def _use_idle(self) -> None:
         now = self.rounds.clock()
         while self.waiting and self.idle:
-            connection = self._rested_connection(now)
+            connection = self._reusable_connection(now)
             if connection is None:
                 return
             self.idle.remove(connection)
@@ -114,23 +114,23 @@
             self.finish(attempt, Outcome.NOT_SENT)
         return False
 
-    def _rested_connection(self, now: float) -> NodeConnection | None:
-        """The one used last of those that have rested; None where none has: a timer looks again then."""
+    def _reusable_connection(self, now: float) -> NodeConnection | None:
+        """The one used last of those idle for long enough; None where none is yet: a timer tries again."""
         for connection in reversed(self.idle):
-            if now - connection.idle_since_ms >= REST_MS:
+            if now - connection.idle_since_ms >= MIN_IDLE_MS:
                 return connection
-        if self._rest_timer is None:
-            soonest = min(connection.idle_since_ms for connection in self.idle) + REST_MS
+        if self._reuse_timer is None:
+            soonest = min(connection.idle_since_ms for connection in self.idle) + MIN_IDLE_MS
             loop = asyncio.get_running_loop()
-            self._rest_timer = loop.call_later((soonest - now) / 1000.0, self._rest_over)
+            self._reuse_timer = loop.call_later((soonest - now) / 1000.0, self._reuse_due)
         return None
 
-    def _rest_over(self) -> None:
-        self._rest_timer = None
+    def _reuse_due(self) -> None:
+        self._reuse_timer = None
         self.send_waiting()
 
     def _may_send(self, attempt: InflightAttempt) -> bool:
-        """Checked again as the bytes leave: since the decision the client may have closed, the node been told
+        """Checked again as the bytes leave: since the decision the client may have closed, the node begun
         to drain, the deadline or the window for repeats have passed."""
         pending = attempt.request
         now = self.rounds.clock_now()
@@ -223,7 +223,7 @@
         if not connection.is_raced:
             self.connecting -= 1
         self.connect_count += 1
-        self._make_idle(connection, self.rounds.clock() - REST_MS)
+        self._make_idle(connection, self.rounds.clock() - MIN_IDLE_MS)
 
     def _make_idle(self, connection: NodeConnection, idle_since_ms: float) -> None:
         connection.idle_since_ms = idle_since_ms
@@ -264,7 +264,7 @@
         attempt.exchange = None
         self.rounds.outcome(attempt, outcome, memoryview(body) if body is not None else None)
 
-    # Called by whoever decides.
+    # Called by the round carrier and the periodic tasks.
 
     def give_up(self, attempt: InflightAttempt, outcome: Outcome) -> None:
         """Wait for no response any more: the attempt's connection closes before anything else is written."""
@@ -281,12 +281,12 @@
         self.finish(attempt, outcome)
 
     def client_closed(self, attempt: InflightAttempt) -> None:
-        """Nobody waits for the response: an attempt that the kernel has not taken whole is not sent."""
+        """The response is not needed: an attempt that the kernel has not taken whole is not sent."""
         if attempt.exchange is None or not attempt.exchange.is_fully_sent:
             self.give_up(attempt, Outcome.CANCELLED)
 
     def node_state_changed(self) -> None:
-        """Discovery has told the node's state: unless it is live, nothing more is sent to it."""
+        """Discovery has sent the node's state: unless it is live, nothing more is sent to it."""
         if self.node.state is not NodeState.LIVE:
             self._finish_waiting()
 
@@ -309,8 +309,8 @@
 
     def close(self) -> None:
         """Close all connections and end all attempts that wait."""
-        if self._rest_timer is not None:
-            self._rest_timer.cancel()
+        if self._reuse_timer is not None:
+            self._reuse_timer.cancel()
         for task in [*self._connect_tasks]:
             task.cancel()
         self._finish_waiting()
--- a/cherrygrade/platform/endpoint_list.py
+++ b/cherrygrade/platform/endpoint_list.py
@@ -87,7 +87,8 @@
         """
         if not isinstance(message, dict) or not isinstance(message.get("hosts"), list):
             raise ValueError("no list of hosts")
-        version, is_whole_list = message.get("seq"), message.get("whole")
+        version = message.get("seq")
+        is_whole_list = message.get("whole")
         if not isinstance(version, int) or not isinstance(is_whole_list, bool):
             raise ValueError("no version, or not told whether it is whole")
         endpoints = [_parse_endpoint(entry) for entry in message["hosts"]]
@@ -123,10 +124,13 @@
 def _parse_endpoint(entry: Any) -> _Endpoint:
     if not isinstance(entry, dict):
         raise ValueError("an entry that is no object")
-    name, address, shard = entry.get("host"), entry.get("dial"), entry.get("block", -1)
+    name = entry.get("host")
+    address = entry.get("dial")
+    shard = entry.get("block", -1)
     if not isinstance(name, str) or not isinstance(address, str) or not isinstance(shard, int):
         raise ValueError("an entry without host, dial or block")
-    size, started = entry.get("share", 1.0), entry.get("born_ms", 0)
+    size = entry.get("share", 1.0)
+    started = entry.get("born_ms", 0)
     if not (_is_amount(size) and _is_amount(started)) or entry.get("health") not in STATE_OF_HEALTH:
         short_name = name[:MAX_QUOTED_NAME_CHARS]
         raise ValueError(f"an entry of {short_name} with a wrong health, share or born_ms")
--- a/cherrygrade/platform/endpoint_watch.py
+++ b/cherrygrade/platform/endpoint_watch.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchCallbacks:
-    """What the owner of a watch is told."""
+    """Calls to the owner of a watch."""
 
     received: Callable[[Any], None]
     """Each JSON object, as it ends. ValueError ends the watch."""
@@ -39,8 +39,8 @@
 
         Args:
             address: Discovery's host:port.
-            since_version: Changes after this one are asked for; the whole list if it is negative.
-            callbacks: What the owner is told.
+            since_version: Changes after this one are requested; the whole list if it is negative.
+            callbacks: Calls to the owner.
         """
         self.address = address
         self.has_received = False
@@ -79,7 +79,7 @@
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connect has succeeded: ask."""
+        """The connect has succeeded: send the request."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         if self._is_closed:
--- a/cherrygrade/platform/json_object_stream.py
+++ b/cherrygrade/platform/json_object_stream.py
@@ -61,14 +61,14 @@
 
     def _take_line(self, objects: list[Any]) -> bool:
         """Take an object that is a line of its own, as is usual."""
-        line, end, rest = self._text.partition(b"\n")
+        line, end, following = self._text.partition(b"\n")
         if not end or not line.rstrip().endswith(b"}"):
             return False
         try:
             objects.append(json.loads(line))
         except ValueError:
             return False  # it may go on over more lines; if not, its tokens end it
-        self._text = rest
+        self._text = following
         return True
 
     def _take_object(self, objects: list[Any]) -> bool:
--- a/cherrygrade/platform/node_connection.py
+++ b/cherrygrade/platform/node_connection.py
@@ -87,7 +87,7 @@
         if self.is_closed:
             return
         attempt = self.attempt
-        if attempt is None:  # bytes that no request asked for
+        if attempt is None:  # bytes that belong to no request
             self.close()
             return
         self._reader.feed(bytes(self._owner.receive_buffer[:nbytes]))
--- a/cherrygrade/platform/node_messages.py
+++ b/cherrygrade/platform/node_messages.py
@@ -23,7 +23,7 @@
 
 
 def encode_attempt(pending: PendingRequest, address: EndpointAddress, remaining_ms: int) -> bytes:
-    """The request that a node gets for one attempt. `remaining_ms`: until nobody waits for its answer."""
+    """The request that a node gets for one attempt. `remaining_ms`: until its answer is of no use."""
     assert pending.workload is not None and pending.plan is not None
     fields = (
         (b"X-Call-Id", pending.call_id),
--- a/cherrygrade/platform/periodic_tasks.py
+++ b/cherrygrade/platform/periodic_tasks.py
@@ -51,7 +51,7 @@
                 timer.cancel()
 
     def sweep(self) -> None:
-        """Close connections that have been silent for too long; forget nodes that are gone."""
+        """Close connections that have been silent for too long; forget nodes that discovery has removed."""
         now = self._round_carrier.rounds.clock()
         crowded = len(self._clients.connections) > self._clients.max_connections * 3 // 4
         self._abort_slowest_readers()
--- a/cherrygrade/platform/process.py
+++ b/cherrygrade/platform/process.py
@@ -71,9 +71,8 @@
         self.config = config
         self.log = log
         self.env = env
-        settings = config.settings
-        self.workloads = settings.workloads()
-        self.plans = settings.plans()
+        self.workloads = config.settings.workloads()
+        self.plans = config.settings.plans()
         self.endpoints_known = False
         """A list of endpoints was taken, from discovery or from the file: requests are sent to nodes.
 
@@ -88,17 +87,35 @@
         """The exit code, once the shutdown is over."""
         self._deadline_limit_ms = float("inf")
         self._startup_timers: list[asyncio.TimerHandle] = []
-        self.answer_budget = BodyBudget(config.memory_mb * BYTES_PER_MB // ANSWER_MEMORY_SHARE)
-        self.request_budget = BodyBudget(
-            config.memory_mb * BYTES_PER_MB // REQUEST_MEMORY_SHARE, copies=REQUEST_COPIES
-        )
-        self._share_out_sockets(config.sockets - RESERVED_SOCKETS)
+        self._share_out_limits()
         self.nodes = NodeTable()
-        # One reading of both clocks: discovery gives a node's start in Unix time.
-        loop_minus_unix_ms = asyncio.get_running_loop().time() * 1000.0 - time.time() * 1000.0
-        self.endpoint_list = EndpointList(self.nodes, lambda unix_ms: unix_ms + loop_minus_unix_ms)
-        self.round_carrier = RoundCarrier(
-            settings.dispatcher(make_scheduler, config.seed),
+        self.endpoint_list = EndpointList(self.nodes, _unix_to_loop_clock())
+        self.round_carrier = self._make_round_carrier(make_scheduler)
+        self.rounds = self.round_carrier.rounds
+        self.discovery = self._make_discovery_client()
+        self.periodic_tasks = PeriodicTasks(
+            self.client_registry, self.round_carrier, self.endpoint_list, self.answer_budget, self._log_counts
+        )
+        self._listener = ClientListener()
+        longest_deadline_ms = max(workload.deadline_ms for workload in self.workloads.values())
+        self._schedule = ShutdownSchedule.for_deadline(longest_deadline_ms)
+        self.shutdown = self._make_shutdown()
+
+    def _share_out_limits(self) -> None:
+        """Half of the sockets for clients, with those that linger, half for nodes; memory by its shares."""
+        memory_bytes = self.config.memory_mb * BYTES_PER_MB
+        self.answer_budget = BodyBudget(memory_bytes // ANSWER_MEMORY_SHARE)
+        self.request_budget = BodyBudget(memory_bytes // REQUEST_MEMORY_SHARE, copies=REQUEST_COPIES)
+        available = self.config.sockets - RESERVED_SOCKETS
+        for_clients = available // 2
+        max_lingering = max(MIN_LINGERING, available // LINGERING_SHARE)
+        self.client_registry = ClientRegistry(for_clients - max_lingering, max_lingering)
+        self.socket_budget = SocketBudget(available - for_clients, self.answer_budget)
+
+    def _make_round_carrier(self, make_scheduler: Callable[..., Scheduler]) -> RoundCarrier:
+        settings = self.config.settings
+        return RoundCarrier(
+            settings.dispatcher(make_scheduler, self.config.seed),
             self.endpoint_list,
             self.socket_budget,
             self.receive_buffer,
@@ -106,25 +123,21 @@
             IDLE_POOL_SHARE * settings.ms("limits.connIdleS", DEFAULT_NODE_IDLE_S),
             self._scheduler_broke,
             self._request_answered,
-            log,
+            self.log,
         )
-        self.rounds = self.round_carrier.rounds
-        self.discovery = DiscoveryClient(
-            config.discovery,
-            f"{config.seed}:{config.name}",
+
+    def _make_discovery_client(self) -> DiscoveryClient:
+        return DiscoveryClient(
+            self.config.discovery,
+            f"{self.config.seed}:{self.config.name}",
             self.endpoint_list,
             self.rounds.clock,
             self._endpoints_changed,
-            log,
+            self.log,
         )
-        self.periodic_tasks = PeriodicTasks(
-            self.client_registry, self.round_carrier, self.endpoint_list, self.answer_budget, self._log_counts
-        )
-        self._listener = ClientListener()
-        self._schedule = ShutdownSchedule.for_deadline(
-            max(workload.deadline_ms for workload in self.workloads.values())
-        )
-        self.shutdown = Shutdown(
+
+    def _make_shutdown(self) -> Shutdown:
+        return Shutdown(
             self._schedule,
             self._listener,
             self.client_registry,
@@ -133,13 +146,6 @@
             self._exited,
         )
 
-    def _share_out_sockets(self, available: int) -> None:
-        """Half of the sockets for clients, with those that linger; the other half for nodes."""
-        for_clients = available // 2
-        max_lingering = max(MIN_LINGERING, available // LINGERING_SHARE)
-        self.client_registry = ClientRegistry(for_clients - max_lingering, max_lingering)
-        self.socket_budget = SocketBudget(available - for_clients, self.answer_budget)
-
     # Start, reload and shutdown.
 
     async def start(self) -> int:
@@ -313,6 +319,12 @@
         self.round_carrier.abandon(pending)
 
 
+def _unix_to_loop_clock() -> Callable[[float], float]:
+    """Gives Unix time in ms on the event loop's clock, by one reading of both."""
+    loop_minus_unix_ms = asyncio.get_running_loop().time() * 1000.0 - time.time() * 1000.0
+    return lambda unix_ms: unix_ms + loop_minus_unix_ms
+
+
 def main() -> int:
     """Run the dispatcher that the environment describes.
 
@@ -328,11 +340,11 @@
     make_scheduler, compiled = dispatcher()
     log("module", compiled=compiled)
 
-    async def run() -> int:
+    async def _run() -> int:
         return await serve(PlatformDispatcher(config, log, make_scheduler))
 
     try:
-        return asyncio.run(run())
+        return asyncio.run(_run())
     except OSError as error:
         print(f"listen: {config.listen}: {error}", file=sys.stderr)
         return 2
--- a/cherrygrade/platform/request_parsing.py
+++ b/cherrygrade/platform/request_parsing.py
@@ -1,4 +1,4 @@
-"""What a client's HTTP message asks for: checked, with errors that a client is answered with.
+"""Parses the request that a client's HTTP message holds; errors carry the status that it is answered with.
 
 The field names and the form of the target are the platform's protocol; nothing else spells them.
 """
@@ -79,28 +79,22 @@
         workloads: Those that may be named, by name.
         plans: Those that may be named, by name.
         received_ms: When the message's last byte arrived: its deadline counts from then.
-        answer_margin_ms: Kept back from the deadline for writing the answer.
+        answer_margin_ms: Reserved of the deadline for writing the answer.
 
     Raises:
         HttpError: The message holds no request; its text names the field that is wrong.
     """
-    target = TARGET.fullmatch(message.target)
-    if target is None:
-        raise HttpError(404, "no such path")
-    if message.method not in (b"GET", b"PUT"):
-        raise HttpError(405, "only GET and PUT")
-    call_id = message.fields.get(b"x-call-id", b"")
-    if not CALL_ID.fullmatch(call_id):
-        raise HttpError(400, "X-Call-Id: 16 hex digits wanted")
+    volume, key = _volume_and_key(message)
+    call_id = _call_id(message)
     workload, plan = _workload_and_plan(message, workloads, plans)
     budget_ms = _budget_ms(message)
     extent = _extent(message)
     return PendingRequest(
         workload=workload,
         plan=plan,
-        volume=target[1].decode(),
+        volume=volume,
         dispatchers=extent.dispatchers,
-        key=target[2].decode(),
+        key=key,
         shard=extent.shard,
         units=extent.units,
         deadline_ms=received_ms + min(budget_ms, workload.deadline_ms) - answer_margin_ms,
@@ -115,6 +109,23 @@
     )
 
 
+def _volume_and_key(message: Message) -> tuple[str, str]:
+    """What the target names; the method is one that is served."""
+    target = TARGET.fullmatch(message.target)
+    if target is None:
+        raise HttpError(404, "no such path")
+    if message.method not in (b"GET", b"PUT"):
+        raise HttpError(405, "only GET and PUT")
+    return target[1].decode(), target[2].decode()
+
+
+def _call_id(message: Message) -> bytes:
+    call_id = message.fields.get(b"x-call-id", b"")
+    if not CALL_ID.fullmatch(call_id):
+        raise HttpError(400, "X-Call-Id: 16 hex digits wanted")
+    return call_id
+
+
 def _workload_and_plan(
     message: Message, workloads: dict[str, Workload], plans: dict[str, ServicePlan]
 ) -> tuple[Workload, ServicePlan]:
--- a/cherrygrade/platform/round_carrier.py
+++ b/cherrygrade/platform/round_carrier.py
@@ -76,7 +76,7 @@
         self.rounds.take(pending)
 
     def abandon(self, pending: PendingRequest) -> None:
-        """The client has closed: nobody waits for the answer, and attempts not yet sent are withdrawn."""
+        """The client has closed: attempts that have not been sent whole are cancelled."""
         self.counts.abandoned += 1
         self.open_requests.pop(pending.call_id, None)
         pending.client = pending.body = None
@@ -87,7 +87,7 @@
                 pool.client_closed(attempt)  # type: ignore[arg-type]
 
     def endpoints_changed(self, nodes: list[Node]) -> None:
-        """Discovery has told something new of these nodes."""
+        """Discovery has sent something new of these nodes."""
         for node in nodes:
             pool = self.pools.get(node)
             if pool is not None:
@@ -117,38 +117,38 @@
         for attempt in self._wheel.due(now):
             self.pools[attempt.node].give_up(attempt, Outcome.TIMED_OUT)
 
-    def carry(self, out: InflightAttempt, limit_ms: float) -> None:
+    def carry(self, attempt: InflightAttempt, limit_ms: float) -> None:
         """Send an attempt to its node; it times out after `limit_ms` or at its request's deadline."""
-        node = out.node
+        node = attempt.node
         pool = self.pools.get(node)
         if pool is None:
             pool = self.pools[node] = ConnectionPool(node, self._pool_resources)
-        out.expires_ms = min(out.request.deadline_ms, out.sent_ms + limit_ms)
-        out.timer_slot = self._wheel.put(out, out.expires_ms)
-        pool.send(out)
+        attempt.expires_ms = min(attempt.request.deadline_ms, attempt.sent_ms + limit_ms)
+        attempt.timer_slot = self._wheel.put(attempt, attempt.expires_ms)
+        pool.send(attempt)
         self._timeout_alarm.set()
 
-    def withdraw(self, out: InflightAttempt) -> None:
+    def withdraw(self, attempt: InflightAttempt) -> None:
         """Cancel an attempt."""
-        pool = self.pools.get(out.node)
+        pool = self.pools.get(attempt.node)
         if pool is not None:
-            pool.give_up(out, Outcome.CANCELLED)
+            pool.give_up(attempt, Outcome.CANCELLED)
 
-    def answer_ok(self, held: InflightRequest, out: InflightAttempt) -> None:
+    def answer_ok(self, request: InflightRequest, attempt: InflightAttempt) -> None:
         """Answer 200 with the body that the node sent."""
-        assert isinstance(held, PendingRequest)
-        self._final_answer(held, STATUS_OK, bytes(held.body or b""))
+        assert isinstance(request, PendingRequest)
+        self._final_answer(request, STATUS_OK, bytes(request.body or b""))
 
-    def answer_rejected(self, held: InflightRequest, come_back_ms: float) -> None:
-        """Answer 503; with Retry-After where `come_back_ms` is above 0."""
-        assert isinstance(held, PendingRequest)
-        fields = b"Retry-After: %.3f\r\n" % (come_back_ms / 1000.0) if come_back_ms > 0.0 else b""
-        self._final_answer(held, STATUS_REJECTED, fields=fields)
+    def answer_rejected(self, request: InflightRequest, retry_after_ms: float) -> None:
+        """Answer 503; with Retry-After where `retry_after_ms` is above 0."""
+        assert isinstance(request, PendingRequest)
+        fields = b"Retry-After: %.3f\r\n" % (retry_after_ms / 1000.0) if retry_after_ms > 0.0 else b""
+        self._final_answer(request, STATUS_REJECTED, fields=fields)
 
-    def answer_errored(self, held: InflightRequest) -> None:
+    def answer_errored(self, request: InflightRequest) -> None:
         """Answer 502: the request may have run on a node."""
-        assert isinstance(held, PendingRequest)
-        self._final_answer(held, STATUS_ERRORED)
+        assert isinstance(request, PendingRequest)
+        self._final_answer(request, STATUS_ERRORED)
 
     def _final_answer(
         self, pending: PendingRequest, status: int, body: bytes = b"", fields: bytes = b""
--- a/cherrygrade/platform/watch_liveness.py
+++ b/cherrygrade/platform/watch_liveness.py
@@ -15,7 +15,7 @@
     """The time until which one watch may say nothing."""
 
     def __init__(self, now_ms: float, whole_list_wanted: bool) -> None:
-        """Args: `now_ms`: when its connect began; `whole_list_wanted`: it was asked for the whole list."""
+        """Args: `now_ms`: when its connect began; `whole_list_wanted`: it requested the whole list."""
         self.deadline_ms = now_ms + FIRST_LIST_LIMIT_MS
         """The watch is broken when it has not moved by then."""
         self._has_list = not whole_list_wanted
@@ -24,7 +24,7 @@
     def bytes_received(self, now_ms: float, whole_object: bool, within_object: bool) -> None:
         """Move the deadline if the bytes are a sign of life.
 
-        Until a whole list that was asked for has come nothing else counts: a watch with nothing but empty
+        Until a whole list that was requested has arrived nothing else counts: a watch with nothing but empty
         lines would hide what it owes. Nor do more bytes of an object that does not end.
 
         Args:
--- a/tests/platform/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -214,7 +214,7 @@
 
 def test_many_that_leave_as_a_round_begins_are_all_passed_over(tmp_path, monkeypatch):
     monkeypatch.setattr(
-        connection_pool, "REST_MS", 0.0
+        connection_pool, "MIN_IDLE_MS", 0.0
     )  # so that the attempts decided in this round begin in it
 
     async def story(square: PlatformSite) -> None:
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -357,11 +357,11 @@
         await asyncio.sleep(0.01)
         older, newer = pool.idle
         now = platform.rounds.clock()
-        assert pool._rested_connection(now) is newer
+        assert pool._reusable_connection(now) is newer
         newer.idle_since_ms = now
-        assert pool._rested_connection(now) is older
+        assert pool._reusable_connection(now) is older
         older.idle_since_ms = now
-        assert pool._rested_connection(now) is None  # and is looked at again in time
+        assert pool._reusable_connection(now) is None  # and is looked at again in time
         assert (await one.call(ask())).status == 200 and node.made == 2
 
     play(tmp_path, story)
