--- a/tests/http/test_http.py
+++ b/tests/http/test_http.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("piece", [1, 7, 10**9])
-def test_what_is_written_is_read_in_pieces_of_any_size(piece):
+def test_encoded_messages_are_read_in_pieces_of_any_size(piece):
     data = encode_request(b"PUT", b"/a?b=c", b"h:1", [(b"X-A", b"1")], b"body") + encode_request(
         b"GET", b"/b", b"h:1"
     )
@@ -49,7 +49,7 @@
         b"\x16\x03\x01\x02\x00\x01\x00",
     ],
 )
-def test_what_contradicts_itself_is_no_message(data):
+def test_contradictory_framing_is_an_error(data):
     reader = read(data)
     assert reader.error is not None and not reader.messages
 
@@ -65,12 +65,12 @@
         (PUT + b"Transfer-Encoding: chunked\r\n\r\n" + b"1;%b\r\nx\r\n" % (b"e" * 900) * 400, 413),
     ],
 )
-def test_what_does_not_end_is_given_up_in_bounded_memory(data, code):
+def test_message_without_end_is_an_error_in_bounded_memory(data, code):
     reader = read(data, piece=4096)
     assert reader.error is not None and reader.error.status == code and not reader.messages
 
 
-def test_answers_in_front_are_passed_over_and_what_comes_behind_does_not_spoil_what_was_whole():
+def test_interim_responses_are_skipped_and_later_errors_keep_whole_messages():
     early = read(b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + encode_response(200, b"ab"), True)
     assert [one.body for one in early.messages] == [b"ab"] and early.error is None
     noisy = read(encode_response(200, b"ab") + b"NOISE", True)
@@ -93,7 +93,7 @@
     ],
 )
 @pytest.mark.parametrize("piece", [1, 10**9])
-def test_only_who_waits_for_the_word_is_told_to_go_on_and_once(head, expects, piece):
+def test_expectation_is_taken_once_and_only_from_a_peer_that_waits(head, expects, piece):
     reader = read(b"PUT /a " + head, piece=piece)
     assert reader.take_expectation() is expects
     assert not reader.take_expectation()
--- a/tests/http/test_http_forms.py
+++ b/tests/http/test_http_forms.py
@@ -143,7 +143,7 @@
 
 @PIECES
 @pytest.mark.parametrize("form", REQUESTS)
-def test_a_request_reaches_its_node_in_every_form(tmp_path: Path, form: str, piece: int) -> None:
+def test_request_in_every_valid_form_reaches_its_node(tmp_path: Path, form: str, piece: int) -> None:
     wanted = REQUESTS[form]
 
     async def story(square: PlatformSite) -> None:
@@ -187,7 +187,9 @@
 
 @PIECES
 @pytest.mark.parametrize("form", REFUSED)
-def test_a_form_that_is_not_taken_is_told_so_and_goes_nowhere(tmp_path: Path, form: str, piece: int) -> None:
+def test_request_in_an_unsupported_form_is_refused_and_not_sent(
+    tmp_path: Path, form: str, piece: int
+) -> None:
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -202,7 +204,7 @@
 
 
 @PIECES
-def test_many_requests_in_one_write_are_answered_in_their_order(tmp_path: Path, piece: int) -> None:
+def test_many_requests_in_one_write_are_answered_in_order(tmp_path: Path, piece: int) -> None:
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start()
@@ -223,7 +225,9 @@
     [b"close", b"X-Hop, Close", b"X-Hop\r\nConnection:\tclose\t"],
     ids=["alone", "of two", "of two fields"],
 )
-def test_behind_a_request_that_closes_the_connection_ends(tmp_path: Path, option: bytes, piece: int) -> None:
+def test_connection_closes_after_a_request_with_connection_close(
+    tmp_path: Path, option: bytes, piece: int
+) -> None:
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -240,7 +244,7 @@
 
 
 @PIECES
-def test_an_option_that_only_holds_the_word_close_closes_nothing(tmp_path: Path, piece: int) -> None:
+def test_option_that_only_contains_close_closes_nothing(tmp_path: Path, piece: int) -> None:
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start()
@@ -259,7 +263,7 @@
 
 @PIECES
 @pytest.mark.parametrize("framing", [b"Content-Length: 1\r\n", CHUNKED], ids=["length", "chunks"])
-def test_who_waits_to_be_told_to_go_on_is_told_so(tmp_path: Path, framing: bytes, piece: int) -> None:
+def test_client_that_expects_continue_gets_it(tmp_path: Path, framing: bytes, piece: int) -> None:
     # RFC 9110, 10.1.1: a client may hold its body back for as long as it likes.
     async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=30.0)
@@ -278,7 +282,7 @@
     play(tmp_path, story)
 
 
-def test_who_waits_to_be_told_to_go_on_with_too_much_is_told_no(tmp_path: Path) -> None:
+def test_client_that_expects_continue_for_too_long_a_body_is_refused(tmp_path: Path) -> None:
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start()
@@ -380,7 +384,7 @@
 
 @PIECES
 @pytest.mark.parametrize("form", ANSWERS)
-def test_an_answer_is_understood_in_every_form(tmp_path: Path, form: str, piece: int) -> None:
+def test_response_in_every_valid_form_is_understood(tmp_path: Path, form: str, piece: int) -> None:
     wanted = ANSWERS[form]
 
     async def story(square: PlatformSite) -> None:
--- a/tests/platform/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("end", [socket.socket.close, reset])
-def test_one_that_asks_and_is_gone_before_its_end_is_read_is_sent_nowhere(tmp_path, end):
+def test_request_of_client_that_closed_before_its_close_was_read_is_not_sent(tmp_path, end):
     # What it wrote is read in one turn, its end in the next: the round between them decided to send.
     async def story(square: PlatformSite) -> None:
         node = await square.node()
@@ -115,7 +115,7 @@
     play(tmp_path, story)
 
 
-def test_one_that_comes_and_leaves_between_two_rounds_holds_nobody_up():
+def test_client_that_connects_and_closes_between_rounds_delays_no_other():
     host = FakeHost()
     gone, next_one = host.rpc(ORDERED, key="k"), host.rpc(ORDERED, key="k")
     gone.finished = True
@@ -124,7 +124,7 @@
     assert [send.request for send in host.sent] == [next_one] and list(host.dispatcher.jobs) == [next_one]
 
 
-def test_what_waits_for_a_connection_goes_with_its_client(tmp_path):
+def test_attempt_waiting_for_a_connection_is_dropped_when_its_client_closes(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -143,7 +143,7 @@
     play(tmp_path, story)
 
 
-def test_a_connection_that_comes_up_as_its_client_leaves_carries_nothing(tmp_path):
+def test_connection_that_comes_up_as_its_client_closes_carries_nothing(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -164,7 +164,7 @@
     play(tmp_path, story)
 
 
-def test_a_further_attempt_is_not_begun_for_who_has_gone(tmp_path):
+def test_no_further_attempt_is_sent_for_a_closed_client(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("end", [socket.socket.close, reset])
-def test_one_that_sends_much_at_once_and_goes_has_nothing_begun_any_more(tmp_path, end):
+def test_pipelined_requests_of_a_closed_client_are_not_sent(tmp_path, end):
     # Reading rests behind so much, and a reader that rests sees no end.
     async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=10.0)
@@ -212,7 +212,7 @@
     play(tmp_path, story)
 
 
-def test_many_that_leave_as_a_round_begins_are_all_passed_over(tmp_path, monkeypatch):
+def test_requests_of_many_clients_that_close_as_a_round_begins_are_not_sent(tmp_path, monkeypatch):
     monkeypatch.setattr(
         connection_pool, "MIN_IDLE_MS", 0.0
     )  # so that the attempts decided in this round begin in it
@@ -240,7 +240,7 @@
     play(tmp_path, story)
 
 
-def test_who_ends_its_side_is_gone_at_once_though_it_has_not_taken_its_last_answer(tmp_path):
+def test_client_that_half_closes_with_an_unread_answer_counts_as_closed_at_once(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -264,7 +264,7 @@
 # Closing.
 
 
-def test_small_writes_go_at_once(tmp_path):
+def test_small_writes_are_not_delayed(tmp_path):
     async def story(square: PlatformSite) -> None:
         platform = await square.start()
         await square.caller()
@@ -275,7 +275,7 @@
     play(tmp_path, story)
 
 
-def test_an_answer_behind_which_we_close_outlives_bytes_that_nobody_reads(tmp_path):
+def test_last_answer_before_our_close_arrives_despite_unread_request_bytes(tmp_path):
     async def story(square: PlatformSite) -> None:
         platform = await square.start()
         client = raw(square, b"\x00 nonsense\r\n\r\n")
@@ -323,7 +323,7 @@
     play(tmp_path, story)
 
 
-def test_a_burst_of_leavings_cuts_nobodys_lingering_close(tmp_path):
+def test_many_clients_closing_at_once_abort_no_lingering_close(tmp_path):
     async def story(square: PlatformSite) -> None:
         platform = await square.start()
         refused = [
@@ -343,7 +343,7 @@
 
 
 @pytest.mark.parametrize("idle", ["rested", "silent"])
-def test_a_request_that_crosses_our_close_of_an_idle_connection_is_never_passed_on(tmp_path, idle):
+def test_request_that_crosses_our_close_of_an_idle_connection_is_not_sent(tmp_path, idle):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -363,7 +363,7 @@
 
 
 @pytest.mark.parametrize("when, told", [("shut", 200), ("end", 503), ("crowd", 200), ("sweep", 200)])
-def test_a_request_that_lies_unread_as_its_connection_is_to_close_is_answered(tmp_path, when, told):
+def test_unread_request_on_a_connection_about_to_close_is_answered(tmp_path, when, told):
     async def story(square: PlatformSite) -> None:
         await square.node()
         platform = await square.start()
@@ -392,7 +392,7 @@
     play(tmp_path, story)
 
 
-def test_who_has_half_a_request_on_its_way_does_not_go_for_a_fresh_client(tmp_path):
+def test_client_with_half_a_request_is_not_closed_for_a_new_client(tmp_path):
     async def story(square: PlatformSite) -> None:
         await square.node()
         platform = await square.start()
@@ -409,7 +409,7 @@
     play(tmp_path, story)
 
 
-def test_answers_that_wait_at_lingering_closes_count_as_memory(tmp_path):
+def test_unsent_answers_of_lingering_connections_count_against_memory(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -429,7 +429,7 @@
     play(tmp_path, story)
 
 
-def test_whoever_the_system_accepted_is_answered_before_the_door_closes(tmp_path):
+def test_clients_accepted_by_the_kernel_are_answered_before_the_listener_closes(tmp_path):
     async def story(square: PlatformSite) -> None:
         await square.node()
         platform = await square.start()
@@ -447,7 +447,7 @@
     play(tmp_path, story)
 
 
-def test_whoever_comes_in_the_turn_of_the_end_is_told_to_come_back(tmp_path):
+def test_clients_that_connect_in_the_turn_of_the_end_are_rejected(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -463,7 +463,7 @@
     play(tmp_path, story)
 
 
-def test_a_second_order_to_leave_answers_what_is_open_and_begins_nothing_behind_it(tmp_path):
+def test_second_shutdown_order_answers_open_requests_and_starts_none(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         node.script.extend([None] * 9)
@@ -482,7 +482,7 @@
     play(tmp_path, story)
 
 
-def test_the_end_tells_who_sent_much_at_once_though_its_reading_rests(tmp_path):
+def test_shutdown_answers_a_pipelining_client_whose_reading_is_paused(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         node.script.append(None)
@@ -500,7 +500,7 @@
     play(tmp_path, story)
 
 
-def test_on_a_loop_that_stands_still_just_then_everybody_is_answered_before_the_kill(tmp_path):
+def test_all_clients_are_answered_before_the_kill_though_the_loop_stalls(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         node.script.extend([None] * 9)
@@ -524,7 +524,7 @@
     play(tmp_path, story)
 
 
-def test_an_answer_that_came_in_the_turn_of_the_end_is_given(tmp_path):
+def test_response_received_in_the_turn_of_the_end_is_forwarded(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         node.script.append(None)
@@ -546,7 +546,7 @@
     play(tmp_path, story)
 
 
-def test_the_end_waits_for_clients_to_take_their_last_answers(tmp_path):
+def test_shutdown_waits_for_clients_to_read_their_last_answers(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -567,7 +567,7 @@
     play(tmp_path, story)
 
 
-def test_an_order_to_leave_before_the_first_list_and_a_reload_behind_the_end(tmp_path):
+def test_shutdown_before_the_first_list_and_reload_after_the_end_are_harmless(tmp_path):
     async def story(square: PlatformSite) -> None:
         await square.node()
         square.discovery.down = True
@@ -595,9 +595,7 @@
 @pytest.mark.parametrize("end, told", [("orderly", Outcome.OK), ("reset", Outcome.RESET)])
 @pytest.mark.parametrize("head", [OK + b"\r\n", OK + b"Connection: close\r\n\r\n"])
 @pytest.mark.parametrize("drains", [False, True])
-def test_an_answer_that_tells_no_length_ends_with_the_stream_and_never_by_a_reset(
-    tmp_path, end, told, head, drains
-):
+def test_response_without_length_ends_by_close_and_never_by_reset(tmp_path, end, told, head, drains):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
@@ -636,7 +634,7 @@
         OK + b"Transfer-Encoding: chunked\r\n\r\n4\r\nma",
     ],
 )
-def test_an_answer_cut_in_its_head_length_or_chunk_is_nobodys_however_its_stream_ends(tmp_path, cut):
+def test_response_cut_in_its_head_length_or_chunk_is_never_forwarded(tmp_path, cut):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
@@ -650,7 +648,7 @@
     play(tmp_path, story)
 
 
-def test_an_answer_without_end_is_given_up_and_its_end_comes_too_late_for_anybody(tmp_path):
+def test_response_without_end_times_out_and_its_late_end_is_not_used(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
@@ -667,7 +665,7 @@
     play(tmp_path, story)
 
 
-def test_a_second_answer_that_comes_late_is_not_the_next_requests(tmp_path):
+def test_late_second_response_is_not_taken_for_the_next_requests(tmp_path):
     # Seen up to 4 ms behind the first, and nothing tells it apart: the next attempt waits until it were here.
     async def story(square: PlatformSite) -> None:
         node = await square.node()
@@ -688,7 +686,7 @@
     play(tmp_path, story)
 
 
-def test_the_window_for_repeats_is_looked_at_as_the_bytes_leave(tmp_path):
+def test_window_for_repeats_is_checked_as_the_bytes_leave(tmp_path):
     kinds = [kind | {"effect": "dedup", "windowS": 0.4} for kind in SETTINGS["classes"]]
     settings = SETTINGS | {"classes": kinds, "limits": SETTINGS["limits"] | {"connectTimeoutS": 5.0}}
 
@@ -712,7 +710,7 @@
     play(tmp_path, story)
 
 
-def test_a_node_told_to_drain_while_a_connection_comes_up_is_sent_nothing(tmp_path):
+def test_node_that_drains_while_a_connect_is_pending_is_sent_nothing(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
@@ -727,7 +725,7 @@
     play(tmp_path, story)
 
 
-def test_a_connection_that_comes_up_in_the_turn_of_its_time_out_ends_what_was_begun_on_it(tmp_path):
+def test_connection_that_comes_up_in_the_turn_of_its_timeout_ends_its_attempt(tmp_path):
     # The attempt had no outcome then, until its client's time was over.
     async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=60.0)
@@ -772,7 +770,7 @@
     monkeypatch.setattr(web.Peer, "connection_made", deaf_at_first)
 
 
-def test_what_has_not_left_whole_as_its_client_goes_never_does(tmp_path, narrow_ways):
+def test_attempt_not_fully_sent_when_its_client_closes_is_never_completed(tmp_path, narrow_ways):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -790,7 +788,7 @@
     play(tmp_path, story)
 
 
-def test_an_answer_in_front_of_the_requests_last_byte_ends_its_connection(tmp_path, narrow_ways):
+def test_response_before_the_requests_last_byte_closes_the_connection(tmp_path, narrow_ways):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
@@ -813,7 +811,7 @@
 @pytest.mark.parametrize(
     "half", [b"HTTP/1.1 2", encode_response(200, b"somebody else's")[:-3], encode_response(200, b"whole")]
 )
-def test_bytes_of_a_node_in_the_instant_of_our_close_are_nobodys(tmp_path, half):
+def test_bytes_of_a_node_that_cross_our_close_are_not_used(tmp_path, half):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
--- a/tests/platform/test_deploy.py
+++ b/tests/platform/test_deploy.py
@@ -126,7 +126,7 @@
     return asyncio.run(asyncio.wait_for(life, 30.0))
 
 
-def test_run_is_one_process_with_nothing_that_the_standing_test_turns_away(tmp_path):
+def test_run_is_one_process_without_forbidden_calls_modules_or_sockets(tmp_path):
     told = play(one_life(tmp_path))
     assert told.answers == [200, 200, 200] and told.code == 0
     # The shell became the program, it has no child, and the library that the bench loads can be loaded.
@@ -213,7 +213,7 @@
     return f"{path}/__init__.py" if (ROOT / path).is_dir() else f"{path}.py"
 
 
-def test_build_goes_as_an_ordinary_user_and_leaves_all_within_the_folder():
+def test_build_runs_as_an_ordinary_user_and_writes_only_below_its_folder():
     assert "sudo" not in DEPLOY["build"] and "apt" not in DEPLOY["build"] and DEPLOY["packages"] == []
     assert DEPLOY["run"].startswith("exec ") and DEPLOY["sim"].startswith("exec ")
     for key in ("node", "policy"):
--- a/tests/platform/test_descriptors.py
+++ b/tests/platform/test_descriptors.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("crowd", ["rests", "is silent", "sends half"])
-def test_a_crowd_that_fills_every_place_while_discovery_is_down_shuts_nobody_out(tmp_path, crowd):
+def test_silent_clients_filling_all_places_while_discovery_is_down_lock_out_no_other(tmp_path, crowd):
     async def story() -> None:
         one = PlatformProcess(tmp_path)
         await one.start()
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -35,7 +35,7 @@
         super().decide(now, writer, **came)
 
 
-def test_a_read_and_a_write_pass_through_and_come_back_unchanged(tmp_path):
+def test_read_and_write_are_forwarded_and_answered_unchanged(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start()
@@ -55,7 +55,7 @@
     play(tmp_path, story)
 
 
-def test_fields_for_the_node_pass_on_and_those_of_this_hop_do_not(tmp_path):
+def test_end_to_end_fields_are_forwarded_and_hop_by_hop_fields_are_not(tmp_path):
     # Without Idempotency-Key a node cannot know a repeat; a variant of the users' site showed it.
     async def story(square: PlatformSite) -> None:
         node = await square.node()
@@ -100,7 +100,7 @@
         b"\x00\x01\x02 nonsense\r\n\r\n",
     ],
 )
-def test_what_cannot_be_meant_is_told_at_once_and_nothing_is_sent(tmp_path, data):
+def test_malformed_request_is_refused_at_once_and_not_sent(tmp_path, data):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start()
@@ -113,7 +113,7 @@
     play(tmp_path, story)
 
 
-def test_a_borrowed_id_is_told_so_and_the_open_rpc_goes_on(tmp_path):
+def test_duplicate_call_id_is_refused_and_the_open_request_goes_on(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=150.0)
         await square.start()
@@ -147,7 +147,7 @@
         encode_response(404, b"what"),
     ],
 )
-def test_a_spoilt_answer_reaches_nobody_and_the_read_goes_again(tmp_path, spoilt):
+def test_invalid_response_is_not_forwarded_and_the_read_is_retried(tmp_path, spoilt):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
@@ -164,7 +164,7 @@
 @pytest.mark.parametrize(
     "behind", [b"NOISE", encode_response(200, b"somebody else's"), b"\r\n", b"HTTP/1.1 20"]
 )
-def test_bytes_behind_an_answer_are_never_the_next_rpcs(tmp_path, behind):
+def test_bytes_behind_a_response_are_not_taken_for_the_next_requests(tmp_path, behind):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start()
@@ -177,7 +177,7 @@
     play(tmp_path, story)
 
 
-def test_bytes_that_come_late_behind_an_answer_are_seen_before_the_connection_is_used(tmp_path):
+def test_late_bytes_behind_a_response_are_noticed_before_the_connection_is_reused(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start()
@@ -197,7 +197,7 @@
     play(tmp_path, story)
 
 
-def test_answers_in_front_and_reports_that_make_no_sense_harm_nothing(tmp_path):
+def test_interim_responses_and_malformed_load_reports_are_ignored(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         await square.start(Watched)
@@ -217,7 +217,7 @@
         (False, Outcome.RESET),
     ],
 )
-def test_outcomes_are_told_as_the_protocol_means_them(tmp_path, script, told):
+def test_outcomes_are_reported_as_the_protocol_defines_them(tmp_path, script, told):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
@@ -231,7 +231,7 @@
     play(tmp_path, story)
 
 
-def test_a_node_that_cannot_be_reached_never_ran_it(tmp_path):
+def test_attempt_on_an_unreachable_node_counts_as_not_run(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
@@ -244,7 +244,7 @@
 
 
 @pytest.mark.parametrize("resets, told", [(1, [Outcome.OK]), (2, [Outcome.CONNECT_FAILED, Outcome.OK])])
-def test_a_connect_that_is_reset_as_it_comes_up_is_no_trouble_of_the_node(tmp_path, resets, told):
+def test_single_reset_connect_is_not_held_against_the_node(tmp_path, resets, told):
     # One alone was told as a node that cannot be reached: it struck, and only single trials went there.
     async def story(square: PlatformSite) -> None:
         await square.node()
@@ -284,7 +284,7 @@
     loop.create_connection = connect
 
 
-def test_a_connection_that_comes_up_late_is_raced_and_is_no_trouble_of_its_node(tmp_path):
+def test_slow_connect_is_raced_and_not_held_against_the_node(tmp_path):
     # It was told as a node that cannot be reached: that struck it, and struck twice it passed for cold.
     async def story(square: PlatformSite) -> None:
         node = await square.node()
@@ -301,7 +301,7 @@
     play(tmp_path, story)
 
 
-def test_late_connections_beside_signs_of_life_are_no_trouble_of_their_node(tmp_path):
+def test_slow_connects_beside_signs_of_life_are_not_held_against_the_node(tmp_path):
     # Two at once are late, while a third one carries an answer.
     async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=60.0)
@@ -321,7 +321,7 @@
     play(tmp_path, story)
 
 
-def test_a_node_on_which_no_connection_comes_up_could_not_be_reached(tmp_path, monkeypatch):
+def test_node_on_which_no_connect_succeeds_counts_as_unreachable(tmp_path, monkeypatch):
     # Two in a row without a sign of life; none is awaited for ever, and none is left.
     monkeypatch.setattr(connection_pool, "RACED_CONNECT_EXTRA_MS", 700.0)
 
@@ -344,7 +344,7 @@
     play(tmp_path, story)
 
 
-def test_a_connection_just_answered_on_rests_before_it_is_used(tmp_path):
+def test_connection_is_reused_only_after_its_minimum_idle_time(tmp_path):
     # A node that closes behind its answer is not heard to do so yet: the next send there would be reset. One
     # whose second answer comes late would be heard as the next send's.
     async def story(square: PlatformSite) -> None:
@@ -367,7 +367,7 @@
     play(tmp_path, story)
 
 
-def test_a_silent_node_is_given_up_in_time_and_its_connection_closes(tmp_path):
+def test_attempt_on_a_silent_node_times_out_and_its_connection_closes(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
@@ -394,7 +394,7 @@
     play(tmp_path, story)
 
 
-def test_a_large_answer_is_carried_while_there_is_room_and_none_stays_taken(tmp_path):
+def test_large_response_is_forwarded_within_the_budget_and_releases_it(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
@@ -414,7 +414,7 @@
 LONG = bytes(range(256)) * 416  # 106,496 bytes, as long as the longest seen
 
 
-def test_a_long_request_is_carried_while_there_is_room_and_none_stays_taken(tmp_path):
+def test_long_request_is_forwarded_within_the_budget_and_releases_it(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=100.0)
         platform = await square.start()
@@ -441,7 +441,7 @@
 
 @pytest.mark.parametrize("at", LEFT_AT)
 @pytest.mark.parametrize("reset", [False, True], ids=["end", "reset"])
-def test_who_leaves_with_a_long_request_leaves_its_room(tmp_path, at, reset):
+def test_closed_client_releases_the_budget_of_its_open_long_request(tmp_path, at, reset):
     written = LEFT_AT[at]
 
     async def story(square: PlatformSite) -> None:
@@ -462,7 +462,7 @@
     play(tmp_path, story)
 
 
-def test_who_leaves_with_a_long_request_not_begun_leaves_its_room(tmp_path):
+def test_closed_client_releases_the_budget_of_its_queued_long_request(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -480,7 +480,7 @@
     play(tmp_path, story)
 
 
-def test_a_request_longer_than_any_room_is_told_so_at_once(tmp_path):
+def test_request_longer_than_the_limit_is_refused_at_once(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -492,7 +492,7 @@
     play(tmp_path, story)
 
 
-def test_clients_that_take_nothing_are_cut_before_they_use_up_the_memory(tmp_path):
+def test_clients_that_read_nothing_are_aborted_before_memory_is_used_up(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -518,7 +518,7 @@
     play(tmp_path, story)
 
 
-def test_rejected_tells_when_to_come_back(tmp_path):
+def test_rejection_carries_retry_after(tmp_path):
     async def story(square: PlatformSite) -> None:
         await square.start()  # and no node at all
         answered = await (await square.caller()).call(ask(X_Budget_Ms="150"))
@@ -527,7 +527,7 @@
     play(tmp_path, story)
 
 
-def test_a_client_that_leaves_is_told_to_the_module_and_owes_nothing(tmp_path):
+def test_closed_client_is_reported_to_the_scheduler_and_leaves_nothing_open(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=200.0)
         platform = await square.start()
@@ -541,7 +541,7 @@
     play(tmp_path, story)
 
 
-def test_rpcs_written_at_once_on_one_connection_are_answered_in_their_order(tmp_path):
+def test_pipelined_requests_are_answered_in_order(tmp_path):
     async def story(square: PlatformSite) -> None:
         await square.node()
         await square.start()
@@ -556,7 +556,7 @@
     play(tmp_path, story)
 
 
-def test_what_is_kept_stays_in_order_while_answers_wait_to_be_taken(tmp_path):
+def test_read_ahead_stays_in_order_while_answers_are_unread(tmp_path):
     # The rest of a request came in front of its beginning, and made nonsense of both.
     async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=30.0)
@@ -608,7 +608,7 @@
         return len(self.left) == attempts and all(-100.0 < told - left < 20.0 for told, left in self.left)
 
 
-def test_an_attempt_tells_at_most_what_is_left_to_its_client_as_its_bytes_are_written(tmp_path, monkeypatch):
+def test_attempt_carries_at_most_the_time_left_as_its_bytes_are_written(tmp_path, monkeypatch):
     # The bench wants it of further attempts. Both connections come up late, by 1.5 s as on its days, and as
     # the second stands its turn of the event loop, in which something else was heard already, is held up.
     async def story(square: PlatformSite) -> None:
@@ -637,7 +637,7 @@
     play(tmp_path, story)
 
 
-def test_nothing_is_begun_whose_time_was_over_while_its_turn_was_held_up(tmp_path, monkeypatch):
+def test_attempt_that_expired_in_a_stalled_turn_is_not_sent(tmp_path, monkeypatch):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -655,7 +655,7 @@
     play(tmp_path, story)
 
 
-def test_an_rpc_that_waits_behind_another_has_its_time_from_its_own_last_byte(tmp_path, monkeypatch):
+def test_deadline_of_a_pipelined_request_counts_from_its_own_last_byte(tmp_path, monkeypatch):
     # It was counted from when the one before it was done: told, served and given up for that much too long.
     async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=400.0)
@@ -674,7 +674,7 @@
     play(tmp_path, story)
 
 
-def test_a_half_message_and_silence_are_ended_and_a_silent_crowd_shuts_nobody_out(tmp_path):
+def test_half_messages_and_silent_clients_are_closed_and_lock_out_no_other(tmp_path):
     async def story(square: PlatformSite) -> None:
         await square.node()
         platform = await square.start()
@@ -697,7 +697,7 @@
     play(tmp_path, story)
 
 
-def test_what_waits_for_a_connection_stays_here_once_its_node_drains(tmp_path):
+def test_attempt_waiting_for_a_connection_is_not_sent_once_its_node_drains(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start(Watched)
@@ -713,7 +713,7 @@
     play(tmp_path, story)
 
 
-def test_a_node_is_its_host_wherever_it_is_reached_and_is_forgotten_when_gone(tmp_path):
+def test_node_keeps_its_identity_across_addresses_and_is_forgotten_when_removed(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -743,7 +743,7 @@
 @pytest.mark.parametrize(
     "line", [b"{nonsense\n", b'{"seq":7}\n', b'{"seq":7,"whole":false,"hosts":[{"host":"a"}]}\n', None]
 )
-def test_a_watch_that_breaks_or_tells_nonsense_is_begun_anew_and_the_list_stands(tmp_path, line):
+def test_broken_or_malformed_watch_is_restarted_and_the_list_stands(tmp_path, line):
     async def story(square: PlatformSite) -> None:
         await square.node()
         platform = await square.start()
@@ -764,7 +764,7 @@
 
 
 @pytest.mark.parametrize("piece", [1, 7, 10**6])
-def test_lists_that_come_indented_are_heard_however_they_are_split(tmp_path, piece):
+def test_indented_lists_are_parsed_however_they_are_split(tmp_path, piece):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         square.discovery.indent = 2
@@ -782,7 +782,7 @@
     play(tmp_path, story)
 
 
-def test_what_a_silent_watch_missed_is_here_before_it_counts_as_told(tmp_path):
+def test_change_missed_by_a_silent_watch_is_known_in_time(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -800,7 +800,7 @@
     play(tmp_path, story)
 
 
-def test_while_discovery_is_down_the_list_stands_and_it_is_asked_anew_until_it_tells(tmp_path, monkeypatch):
+def test_list_stands_while_discovery_is_down_and_watches_are_retried(tmp_path, monkeypatch):
     monkeypatch.setattr(watch_liveness, "SILENCE_LIMIT_MS", 200.0)
     monkeypatch.setattr(watch_liveness, "FIRST_LIST_LIMIT_MS", 100.0)
 
@@ -822,7 +822,7 @@
     play(tmp_path, story)
 
 
-def test_a_half_object_that_is_never_ended_is_no_sign_of_life(tmp_path, monkeypatch):
+def test_unfinished_object_is_no_sign_of_life(tmp_path, monkeypatch):
     monkeypatch.setattr(watch_liveness, "SILENCE_LIMIT_MS", 300.0)
 
     async def story(square: PlatformSite) -> None:
@@ -835,7 +835,7 @@
     play(tmp_path, story)
 
 
-def test_a_new_process_is_ready_with_discoverys_list_not_with_the_one_in_its_file(tmp_path):
+def test_new_process_uses_the_list_of_discovery_not_that_of_its_file(tmp_path):
     # What discovery has counts from the first moment; the file's list may be from before.
     async def story(square: PlatformSite) -> None:
         old, new = await square.node(shard=0), await square.node(shard=0)
@@ -858,7 +858,7 @@
     play(tmp_path, story)
 
 
-def test_a_new_process_is_ready_in_time_without_a_list_and_sends_nothing_by_an_old_one(tmp_path, monkeypatch):
+def test_new_process_is_ready_in_time_without_a_list_and_sends_nothing(tmp_path, monkeypatch):
     # Nine in ten are to be ready within 6 s where the day ends sooner, also where discovery is down for
     # longer; rule 3 does not pay. How soon a process is, its start counted, is in test_deploy.
     assert process.READY_MS <= 4500.0 < process.BLIND_MS
@@ -886,7 +886,7 @@
     play(tmp_path, story)
 
 
-def test_where_discovery_stays_silent_the_files_list_serves_after_a_time(tmp_path, monkeypatch):
+def test_list_of_the_file_is_used_after_long_silence_of_discovery(tmp_path, monkeypatch):
     monkeypatch.setattr(process, "BLIND_MS", 200.0)
 
     async def story(square: PlatformSite) -> None:
@@ -901,7 +901,7 @@
     play(tmp_path, story)
 
 
-def test_a_reload_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path):
+def test_reload_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path):
     async def story(square: PlatformSite) -> None:
         node = await square.node()
         platform = await square.start()
@@ -925,7 +925,7 @@
 
 
 @pytest.mark.alone
-def test_an_order_to_leave_serves_on_until_shortly_before_the_kill(tmp_path):
+def test_shutdown_serves_on_until_shortly_before_the_kill(tmp_path):
     # Its successor comes at the platform's time: whoever is sent away sooner finds nobody.
     async def story(square: PlatformSite) -> None:
         node = await square.node(work_ms=2.0)
@@ -955,9 +955,7 @@
 
 
 @pytest.mark.alone
-def test_what_a_silent_node_holds_is_answered_before_the_kill_and_nobody_waits_for_none(
-    tmp_path, monkeypatch
-):
+def test_requests_on_a_silent_node_are_answered_before_the_kill(tmp_path, monkeypatch):
     # Answers are due so long before the forced end; by its 4 ms a pause of the machine decided the exit code.
     monkeypatch.setattr(process, "ANSWER_MS", 60.0)
 
@@ -977,7 +975,7 @@
     play(tmp_path, story)
 
 
-def test_nobody_there_means_no_wait(tmp_path):
+def test_shutdown_without_clients_does_not_wait(tmp_path):
     async def story(square: PlatformSite) -> None:
         platform = await square.start()
         platform.leave()
@@ -986,7 +984,7 @@
     play(tmp_path, story)
 
 
-def test_the_modules_own_fault_ends_the_process_with_answers_to_all(tmp_path):
+def test_scheduler_fault_ends_the_process_with_answers_to_all(tmp_path):
     class Broken(Scheduler):
         def take(self, rpc, now, writer):
             raise ValueError("broken")
@@ -1029,7 +1027,7 @@
         ({"known": {"seq": 1}}, "known: no list of hosts"),
     ],
 )
-def test_a_wrong_configuration_names_its_key_what_is_wanted_and_what_stood_there(tmp_path, change, told):
+def test_configuration_error_names_key_expectation_and_value(tmp_path, change, told):
     square = PlatformSite(tmp_path)
     square.write_config()
     whole = json.loads((tmp_path / "config.json").read_text()) | change
--- a/tests/platform/test_thin_path.py
+++ b/tests/platform/test_thin_path.py
@@ -7,7 +7,7 @@
 from cherrygrade.client import Ok, Rejected
 
 
-def test_a_write_and_a_read_come_through_the_module():
+def test_write_and_read_pass_through_the_scheduler():
     async def story(house: GatewaySite) -> None:
         node = await house.node(shard=3)
         client = house.client(await house.gateway())
@@ -20,7 +20,7 @@
     run(story)
 
 
-def test_what_the_settings_do_not_know_is_rejected_with_its_name():
+def test_workload_or_volume_unknown_to_the_settings_is_rejected_by_name():
     async def story(house: GatewaySite) -> None:
         await house.node()
         client = house.client(await house.gateway())
--- a/tests/platform/test_watch_clock.py
+++ b/tests/platform/test_watch_clock.py
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.001, 1.0, 1.999, 2.0, 2.5, 2.999, 3.0, 3.001, 5.9])
-def test_watches_that_fall_silent_with_a_change_right_behind(after_s):
+def test_change_right_after_watches_fall_silent_is_known_in_time(after_s):
     async def story(watched: Watched) -> None:
         watched.agent.hush()
         await asyncio.sleep(after_s)
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.01, 0.5, 3.0])
-def test_watches_that_are_reset_with_a_change_behind(after_s):
+def test_change_after_watches_are_reset_is_known_in_time(after_s):
     async def story(watched: Watched) -> None:
         watched.agent.reset()
         await asyncio.sleep(after_s)
@@ -194,7 +194,7 @@
 @pytest.mark.parametrize("keeps", [True, False])
 @pytest.mark.parametrize("how", ["silent", "refused", "reset"])
 @pytest.mark.parametrize("down_s", [0.3, 1.0, 2.9, 3.0, 4.2, 8.0, 30.1])
-def test_an_outage_with_a_change_in_it_or_at_its_return(how, down_s, keeps):
+def test_change_during_or_after_an_outage_is_known_in_time(how, down_s, keeps):
     async def story(watched: Watched) -> None:
         watched.agent.keeps = keeps
         await watched.agent.down(how)
@@ -211,7 +211,7 @@
 
 @pytest.mark.parametrize("how, moment_s", [("silent", 1.1), ("refused", 0.3), ("reset", 0.3)])
 @pytest.mark.parametrize("down_s", [3.3, 5.0, 8.13, 20.7])
-def test_discovery_that_is_there_for_one_moment_only(how, moment_s, down_s):
+def test_change_is_known_though_discovery_is_up_for_a_moment_only(how, moment_s, down_s):
     async def story(watched: Watched) -> None:
         watched.agent.keeps = False  # it answers only who asks while it is there
         await watched.agent.down(how)
@@ -227,7 +227,7 @@
 
 @pytest.mark.parametrize("gone", ["silent", "refused"])
 @pytest.mark.parametrize("late_s", [0.0, 0.4, 1.5])
-def test_discovery_that_moves_while_it_is_in_trouble(gone, late_s):
+def test_change_is_known_though_discovery_moves_during_an_outage(gone, late_s):
     async def story(watched: Watched) -> None:
         await watched.agent.down(gone)
         await asyncio.sleep(2.7)
@@ -243,7 +243,7 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_any_order_of_troubles(seed):
+def test_changes_are_known_in_time_in_any_order_of_faults(seed):
     """Drawn: troubles of each kind and length, and changes among them; each is known in time."""
 
     async def story(watched: Watched) -> None:
--- a/tests/platform/test_watch_stream.py
+++ b/tests/platform/test_watch_stream.py
@@ -25,7 +25,7 @@
     st.integers(1, 40),
     st.booleans(),
 )
-def test_objects_are_cut_whole_however_they_are_laid_out_and_split(told, indent, between, piece, plain):
+def test_objects_are_parsed_whole_however_they_are_laid_out_and_split(told, indent, between, piece, plain):
     data = between.join(json.dumps(one, indent=indent, ensure_ascii=plain) for one in told).encode()
     objects, found = JsonObjectStream(), []
     for at in range(0, len(data), piece):
@@ -34,26 +34,26 @@
 
 
 @pytest.mark.parametrize("bad", [b"x", b"}", b"[1]", b'"a"', b"{x", b'{"a\n":1}', b'{"a":1]', b"7"])
-def test_what_is_no_object_is_told_at_once(bad):
+def test_bytes_that_are_no_object_raise_at_once(bad):
     with pytest.raises(ValueError):
         JsonObjectStream().feed(bad)
 
 
-def test_an_object_without_end_takes_no_memory_without_end():
+def test_object_without_end_is_refused_at_the_limit():
     objects = JsonObjectStream()
     with pytest.raises(ValueError):
         for _ in range(100):
             objects.feed(b'{"a":"' if not objects.within_object else b"b" * 65536)
 
 
-def test_the_next_watch_has_told_before_what_the_silent_one_missed_counts():
+def test_limits_leave_time_for_the_next_watch_before_a_missed_change_counts():
     # 6 s after it fell silent; two tries of the next one fit in with a second over.
     assert (
         SILENCE_LIMIT_MS + 2.0 * FIRST_LIST_LIMIT_MS <= 5000.0 and SILENCE_LIMIT_MS >= 2500.0
     )  # an empty line is due every 2 s
 
 
-def test_until_the_list_that_is_owed_breathing_counts_for_nothing():
+def test_empty_lines_are_no_sign_of_life_until_the_requested_list():
     silence = WatchLiveness(0.0, whole_list_wanted=True)
     silence.bytes_received(900.0, whole_object=False, within_object=False)
     assert silence.deadline_ms == FIRST_LIST_LIMIT_MS
@@ -64,7 +64,7 @@
     assert asked_for_changes.deadline_ms == 900.0 + SILENCE_LIMIT_MS
 
 
-def test_bytes_of_an_object_without_end_are_no_sign_of_life():
+def test_bytes_of_an_unfinished_object_are_no_sign_of_life():
     silence = WatchLiveness(0.0, whole_list_wanted=False)
     silence.bytes_received(100.0, whole_object=False, within_object=True)
     silence.bytes_received(2000.0, whole_object=False, within_object=True)
