--- a/benchmarks/platform_door.py
+++ b/benchmarks/platform_door.py
@@ -48,12 +48,14 @@
     ("module", ("policy.py", "rounds.py", "door.py")),
     (
         "reading and writing HTTP",
-        ("http/reader.py", "http/writer.py", "platform/clients.py", "platform/request_parsing.py"),
+        ("http/reader.py", "http/writer.py", "platform/client_connection.py", "platform/request_parsing.py"),
     ),
     (
         "links and finals",
         (
-            "platform/nodes.py",
+            "platform/node_connection.py",
+            "platform/connection_pool.py",
+            "platform/node_messages.py",
             "platform/process.py",
             "platform/round_carrier.py",
             "wheel.py",
--- a/cherrygrade/http/reader.py
+++ b/cherrygrade/http/reader.py
@@ -26,7 +26,7 @@
 class BodyBudget:
     """Memory for bodies beyond MAX_BODY_BYTES, shared by many readers.
 
-    A reader claims bytes before it reads them; whoever takes a message releases them.
+    A reader claims bytes before it reads them; the owner of a message releases them.
     """
 
     def __init__(self, max_bytes: int, copies: int = 1) -> None:
@@ -48,7 +48,7 @@
         self.held_bytes -= size * self.copies
 
     def release(self, message: Message) -> None:
-        """Return what the message's body holds, once nobody uses the body any more."""
+        """Return what the message's body holds, once the body is not used any more."""
         size, message.claimed_bytes = message.claimed_bytes, 0
         self.free(size)
 
@@ -231,7 +231,7 @@
         self._claimed_bytes += missing
 
     def release(self) -> None:
-        """Return what the message that is being read has claimed: nobody waits for it any more."""
+        """Return what the message that is being read has claimed: it is not needed any more."""
         if self._budget is not None:
             self._budget.free(self._claimed_bytes)
         self._claimed_bytes = 0
--- a/cherrygrade/platform/process.py
+++ b/cherrygrade/platform/process.py
@@ -28,10 +28,10 @@
 from cherrygrade.scheduling.round_inputs import NodeTable
 from cherrygrade.scheduling.scheduler import Scheduler
 
-ANSWER_MS = 4.0  # kept back from each client's deadline for writing the answer
-# A new process without a list from discovery gets ready after READY_MS, tells clients when to come back and
-# sends nothing; after BLIND_MS it uses the list in its file, which may be old. The platform wants a restarted
-# process ready within 6 s: the rest is for the interpreter and imports on a small share of a core.
+ANSWER_MS = 4.0  # reserved of each client's deadline for writing the answer
+# A new process without a list from discovery gets ready after READY_MS, answers with Retry-After and sends
+# nothing; after BLIND_MS it uses the list in its file, which may be old. The platform wants a restarted
+# process ready within 6 s: the remainder is for the interpreter and imports on a small share of a core.
 READY_MS = 4500.0
 BLIND_MS = 60000.0
 # Listener, discovery thrice, event loop, standard streams, what Python opens; and those accepted in one turn.
@@ -170,7 +170,7 @@
         return port
 
     def _ready_without_endpoints(self) -> None:
-        """A dispatcher that never gets ready is not used at all: clients are told to come back instead."""
+        """A dispatcher that never gets ready is not used at all: clients get a Retry-After instead."""
         if not self.ready:
             self.ready = True
             self.log("ready without endpoints: discovery has sent no list")
--- a/tests/http/test_http_forms.py
+++ b/tests/http/test_http_forms.py
@@ -146,10 +146,10 @@
 def test_request_in_every_valid_form_reaches_its_node(tmp_path: Path, form: str, piece: int) -> None:
     wanted = REQUESTS[form]
 
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start()
-        caller = await square.caller()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start()
+        caller = await site.caller()
         await write(caller.writer, wanted.wire, piece)
         answered = await caller.answer()
         assert answered is not None and answered.status == 200
@@ -190,10 +190,10 @@
 def test_request_in_an_unsupported_form_is_refused_and_not_sent(
     tmp_path: Path, form: str, piece: int
 ) -> None:
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start()
-        caller = await square.caller()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start()
+        caller = await site.caller()
         await write(caller.writer, REFUSED[form], piece)
         answered = await caller.answer()
         assert answered is not None and answered.status in (400, 404)
@@ -205,10 +205,10 @@
 
 @PIECES
 def test_many_requests_in_one_write_are_answered_in_order(tmp_path: Path, piece: int) -> None:
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        await square.start()
-        caller = await square.caller()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        await site.start()
+        caller = await site.caller()
         paths = [TARGET + b"?n=%d" % n for n in range(12)]
         wire = b"".join((b"\r\n" if n % 3 else b"") + ask(path.decode()) for n, path in enumerate(paths))
         await write(caller.writer, wire + b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n", piece)
@@ -228,10 +228,10 @@
 def test_connection_closes_after_a_request_with_connection_close(
     tmp_path: Path, option: bytes, piece: int
 ) -> None:
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start()
-        caller = await square.caller()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start()
+        caller = await site.caller()
         wire = plain(b"Connection: " + option + b"\r\nContent-Length: 1\r\n")
         await write(caller.writer, wire, piece)
         answered = await caller.answer()
@@ -245,15 +245,15 @@
 
 @PIECES
 def test_option_that_only_contains_close_closes_nothing(tmp_path: Path, piece: int) -> None:
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        await square.start()
-        caller = await square.caller()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        await site.start()
+        caller = await site.caller()
         await write(caller.writer, plain(b"Connection: X-Closed\r\nContent-Length: 1\r\n"), piece)
         assert (await caller.answer()).status == 200
         node.script.append(None)
         caller.writer.write(ask())
-        await square.until(lambda: len(node.came) == 2)
+        await site.until(lambda: len(node.came) == 2)
         await write(node.peers[0], OK + b"Connection: not-close\r\nContent-Length: 4\r\n\r\nmine", piece)
         assert (await caller.answer()).body == b"mine"
         assert (await caller.call(ask())).status == 200 and node.made == 1
@@ -265,10 +265,10 @@
 @pytest.mark.parametrize("framing", [b"Content-Length: 1\r\n", CHUNKED], ids=["length", "chunks"])
 def test_client_that_expects_continue_gets_it(tmp_path: Path, framing: bytes, piece: int) -> None:
     # RFC 9110, 10.1.1: a client may hold its body back for as long as it likes.
-    async def story(square: PlatformSite) -> None:
-        node = await square.node(work_ms=30.0)
-        await square.start()
-        with socket.create_connection(("127.0.0.1", square.port)) as client:
+    async def story(site: PlatformSite) -> None:
+        node = await site.node(work_ms=30.0)
+        await site.start()
+        with socket.create_connection(("127.0.0.1", site.port)) as client:
             client.setblocking(False)
             # Behind another one that is open: its turn comes with that one's answer, not before.
             await send(client, ask() + plain(b"Expect: 100-Continue \r\n" + framing, b""), piece)
@@ -283,10 +283,10 @@
 
 
 def test_client_that_expects_continue_for_too_long_a_body_is_refused(tmp_path: Path) -> None:
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        await square.start()
-        caller = await square.caller()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        await site.start()
+        caller = await site.caller()
         data = plain(b"Expect: 100-continue\r\nContent-Length: 90000000\r\n", b"")
         assert (await caller.call(data)).status == 413
         assert not node.came
@@ -387,13 +387,13 @@
 def test_response_in_every_valid_form_is_understood(tmp_path: Path, form: str, piece: int) -> None:
     wanted = ANSWERS[form]
 
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start(Heard)
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start(Heard)
         node.script.append(None)
-        caller = await square.caller()
+        caller = await site.caller()
         caller.writer.write(ask())
-        await square.until(lambda: node.came)
+        await site.until(lambda: node.came)
         await write(node.peers[0], wanted.wire, piece)
         answered = await caller.answer()
         assert answered is not None and answered.status == 200
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -36,10 +36,10 @@
 
 
 def test_read_and_write_are_forwarded_and_answered_unchanged(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        await square.start()
-        caller = await square.caller()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        await site.start()
+        caller = await site.caller()
         assert (await caller.call(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")).status == 200
         read = await caller.call(ask((TARGET + b"?v=1").decode(), X_Call_Id="00000000000000ab"))
         assert (read.status, read.body) == (200, b"of " + TARGET + b"?v=1")
@@ -50,17 +50,17 @@
         assert first.fields[b"x-call-id"] == b"00000000000000ab"
         assert 900 < int(first.fields[b"x-budget-ms"]) <= 1000
         assert (second.method, second.body) == (b"PUT", b"\x00\xff" * 30000)
-        assert square.platform.round_carrier.pools and not square.platform.round_carrier.open_requests
+        assert site.platform.round_carrier.pools and not site.platform.round_carrier.open_requests
 
     play(tmp_path, story)
 
 
 def test_end_to_end_fields_are_forwarded_and_hop_by_hop_fields_are_not(tmp_path):
-    # Without Idempotency-Key a node cannot know a repeat; a variant of the users' site showed it.
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        await square.start()
-        caller = await square.caller()
+    # Without Idempotency-Key a node cannot know a repeat; a variant of the users' setup showed it.
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        await site.start()
+        caller = await site.caller()
         own = {"Connection": "X-Hop", "X-Hop": "1", "TE": "trailers", "Expect": "x", "Keep-Alive": "5"}
         more = {name.replace("-", "_"): value for name, value in own.items()}
         key = {"Idempotency_Key": "01f1e0746ca2b6ec", "Traceparent": "00-ab-cd-01"}
@@ -101,11 +101,11 @@
     ],
 )
 def test_malformed_request_is_refused_at_once_and_not_sent(tmp_path, data):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        await square.start()
-        other = await square.caller()
-        answered = await (await square.caller()).call(data)
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        await site.start()
+        other = await site.caller()
+        answered = await (await site.caller()).call(data)
         assert answered is None or 400 <= answered.status < 500
         assert (await other.call(ask())).status == 200
         assert len(node.came) == 1
@@ -114,13 +114,13 @@
 
 
 def test_duplicate_call_id_is_refused_and_the_open_request_goes_on(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node(work_ms=150.0)
-        await square.start()
-        one, two = await square.caller(), await square.caller()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node(work_ms=150.0)
+        await site.start()
+        one, two = await site.caller(), await site.caller()
         data = ask()
         one.writer.write(data)
-        await square.until(lambda: node.came)
+        await site.until(lambda: node.came)
         assert (await two.call(data)).status == 409
         assert (await one.answer()).status == 200 and len(node.came) == 1
 
@@ -148,11 +148,11 @@
     ],
 )
 def test_invalid_response_is_not_forwarded_and_the_read_is_retried(tmp_path, spoilt):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start(Watched)
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start(Watched)
         node.script.append(spoilt)
-        caller = await square.caller()
+        caller = await site.caller()
         read = await caller.call(ask())
         assert (read.status, read.body) == (200, b"of " + TARGET)
         assert platform.rounds.module.told == [Outcome.FAILED, Outcome.OK]
@@ -165,11 +165,11 @@
     "behind", [b"NOISE", encode_response(200, b"somebody else's"), b"\r\n", b"HTTP/1.1 20"]
 )
 def test_bytes_behind_a_response_are_not_taken_for_the_next_requests(tmp_path, behind):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        await square.start()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        await site.start()
         node.script.append(encode_response(200, b"mine") + behind)
-        caller = await square.caller()
+        caller = await site.caller()
         assert (await caller.call(ask())).body == b"mine"
         assert (await caller.call(ask())).body == b"of " + TARGET
         assert len(node.came) == 2  # on a connection of its own at once, not after a spoilt send
@@ -178,19 +178,19 @@
 
 
 def test_late_bytes_behind_a_response_are_noticed_before_the_connection_is_reused(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        await square.start()
-        caller = await square.caller()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        await site.start()
+        caller = await site.caller()
         assert (await caller.call(ask())).status == 200
-        peer, decide = node.peers[0], square.platform.rounds.module.decide
+        peer, decide = node.peers[0], site.platform.rounds.module.decide
 
         def late(now, writer, **came):  # in the socket as the module decides, and not yet read here
             if came["arrivals"]:
                 peer.transport._sock.send(encode_response(200, b"somebody else's"))
             decide(now, writer, **came)
 
-        square.platform.rounds.module.decide = late
+        site.platform.rounds.module.decide = late
         assert (await caller.call(ask())).body == b"of " + TARGET
         assert len(node.came) == 2
 
@@ -198,12 +198,12 @@
 
 
 def test_interim_responses_and_malformed_load_reports_are_ignored(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        await square.start(Watched)
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        await site.start(Watched)
         bad = b"X-Meter: nan\r\nX-Delta: -4\r\nX-Load-Report: TEXT queue=inf, =, util\r\n"
         node.script.append(b"HTTP/1.1 100 Continue\r\n\r\n" + encode_response(200, b"mine", bad))
-        assert (await (await square.caller()).call(ask())).body == b"mine"
+        assert (await (await site.caller()).call(ask())).body == b"mine"
 
     play(tmp_path, story)
 
@@ -218,12 +218,12 @@
     ],
 )
 def test_outcomes_are_reported_as_the_protocol_defines_them(tmp_path, script, told):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start(Watched)
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start(Watched)
         node.script.append(script)
         once = {"X_Call_Class": "once", "method": "PUT", "body": b"x"}
-        answered = await (await square.caller()).call(ask(**once))
+        answered = await (await site.caller()).call(ask(**once))
         assert platform.rounds.module.told[0] is told
         # What may have run and must not run again is errored and never sent anew.
         assert (answered.status, len(node.came)) == ((200, 2) if told is Outcome.REJECTED else (502, 1))
@@ -232,12 +232,12 @@
 
 
 def test_attempt_on_an_unreachable_node_counts_as_not_run(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start(Watched)
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start(Watched)
         node.close()
         once = {"X_Call_Class": "once", "method": "PUT", "body": b"x"}
-        answered = await (await square.caller()).call(ask(**once))
+        answered = await (await site.caller()).call(ask(**once))
         assert answered.status == 503 and Outcome.CONNECT_FAILED in platform.rounds.module.told
 
     play(tmp_path, story)
@@ -246,11 +246,11 @@
 @pytest.mark.parametrize("resets, told", [(1, [Outcome.OK]), (2, [Outcome.CONNECT_FAILED, Outcome.OK])])
 def test_single_reset_connect_is_not_held_against_the_node(tmp_path, resets, told):
     # One alone was told as a node that cannot be reached: it struck, and only single trials went there.
-    async def story(square: PlatformSite) -> None:
-        await square.node()
-        platform = await square.start(Watched)
-        loop, left, caller = asyncio.get_running_loop(), [resets], await square.caller()
-        await square.until(lambda: square.discovery.peers)
+    async def story(site: PlatformSite) -> None:
+        await site.node()
+        platform = await site.start(Watched)
+        loop, left, caller = asyncio.get_running_loop(), [resets], await site.caller()
+        await site.until(lambda: site.discovery.peers)
         real = loop.create_connection
 
         async def connect(factory, host, port):
@@ -272,7 +272,7 @@
     return SETTINGS | {"classes": kinds, "limits": SETTINGS["limits"] | {"connectTimeoutS": connect_s}}
 
 
-def late_connects(square: PlatformSite, waits: list[float]) -> None:
+def late_connects(site: PlatformSite, waits: list[float]) -> None:
     """Connections to nodes come up this many s late, at once when none is left to say."""
     loop = asyncio.get_running_loop()
     real = loop.create_connection
@@ -286,15 +286,15 @@
 
 def test_slow_connect_is_raced_and_not_held_against_the_node(tmp_path):
     # It was told as a node that cannot be reached: that struck it, and struck twice it passed for cold.
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start(Watched)
-        caller = await square.caller()
-        await square.until(lambda: square.discovery.peers)
-        late_connects(square, [1.2])
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start(Watched)
+        caller = await site.caller()
+        await site.until(lambda: site.discovery.peers)
+        late_connects(site, [1.2])
         assert (await caller.call(ask(X_Budget_Ms="1100"))).status == 200
         assert platform.rounds.module.told == [Outcome.OK] and node.made == 1
-        await square.until(lambda: node.made == 2)  # the late one is there for whoever comes next
+        await site.until(lambda: node.made == 2)  # the late one is there for whoever comes next
         (pool,) = platform.round_carrier.pools.values()
         assert (len(pool.idle), pool.connecting, platform.socket_budget.used) == (2, 0, 2)
 
@@ -303,16 +303,16 @@
 
 def test_slow_connects_beside_signs_of_life_are_not_held_against_the_node(tmp_path):
     # Two at once are late, while a third one carries an answer.
-    async def story(square: PlatformSite) -> None:
-        node = await square.node(work_ms=60.0)
-        platform = await square.start(Watched, settings=slow(1.9))
-        callers = [await square.caller() for _ in range(3)]
-        await square.until(lambda: square.discovery.peers)
+    async def story(site: PlatformSite) -> None:
+        node = await site.node(work_ms=60.0)
+        platform = await site.start(Watched, settings=slow(1.9))
+        callers = [await site.caller() for _ in range(3)]
+        await site.until(lambda: site.discovery.peers)
         (lane,) = platform.rounds.module.lanes.values()
         lane.window = 6.0
         calls = [asyncio.create_task(callers[0].call(ask(X_Budget_Ms="5000")))]
-        await square.until(lambda: node.came)
-        late_connects(square, [9.0, 9.0])
+        await site.until(lambda: node.came)
+        late_connects(site, [9.0, 9.0])
         node.work_ms = 1100.0  # one of them finds the first one's connection free, the other does not in time
         calls += [asyncio.create_task(one.call(ask(X_Budget_Ms="5000"))) for one in callers[1:]]
         assert [answered.status for answered in await asyncio.gather(*calls)] == [200] * 3
@@ -325,19 +325,19 @@
     # Two in a row without a sign of life; none is awaited for ever, and none is left.
     monkeypatch.setattr(connection_pool, "RACED_CONNECT_EXTRA_MS", 700.0)
 
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start(Watched)
-        caller = await square.caller()
-        await square.until(lambda: square.discovery.peers)
-        late_connects(square, [9.0] * 20)
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start(Watched)
+        caller = await site.caller()
+        await site.until(lambda: site.discovery.peers)
+        late_connects(site, [9.0] * 20)
         begun = time.monotonic()
         answering = asyncio.create_task(caller.call(ask(X_Budget_Ms="1500")))
         told = platform.rounds.module
-        await square.until(lambda: getattr(told, "told", []))
+        await site.until(lambda: getattr(told, "told", []))
         assert told.told[0] is Outcome.CONNECT_FAILED and time.monotonic() - begun >= 0.25
         assert (await answering).status == 503 and not node.made
-        await square.until(lambda: not platform.socket_budget.used)
+        await site.until(lambda: not platform.socket_budget.used)
         (pool,) = platform.round_carrier.pools.values()
         assert not (pool.connections or pool.waiting or pool.connecting)
 
@@ -347,10 +347,10 @@
 def test_connection_is_reused_only_after_its_minimum_idle_time(tmp_path):
     # A node that closes behind its answer is not heard to do so yet: the next send there would be reset. One
     # whose second answer comes late would be heard as the next send's.
-    async def story(square: PlatformSite) -> None:
-        node = await square.node(work_ms=20.0)
-        platform = await square.start(Watched)
-        one, two = await square.caller(), await square.caller()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node(work_ms=20.0)
+        platform = await site.start(Watched)
+        one, two = await site.caller(), await site.caller()
         both = [asyncio.create_task(caller.call(ask())) for caller in (one, two)]
         assert [answered.status for answered in await asyncio.gather(*both)] == [200, 200] and node.made == 2
         pool = next(iter(platform.round_carrier.pools.values()))
@@ -368,11 +368,11 @@
 
 
 def test_attempt_on_a_silent_node_times_out_and_its_connection_closes(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start(Watched)
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start(Watched)
         node.script.extend([None] * 9)
-        caller, asks, carried, real = await square.caller(), [], [], platform.round_carrier.carry
+        caller, asks, carried, real = await site.caller(), [], [], platform.round_carrier.carry
 
         def carry(out, limit_ms):
             real(out, limit_ms)
@@ -380,7 +380,7 @@
 
         platform.round_carrier.carry = carry
         caller.writer.write(ask(X_Budget_Ms="300"))
-        await square.until(lambda: platform.round_carrier.open_requests)
+        await site.until(lambda: platform.round_carrier.open_requests)
         asks += platform.round_carrier.open_requests.values()
         answered = await caller.answer()
         assert answered.status in (502, 503)
@@ -388,18 +388,18 @@
         assert asks[0].deadline_ms <= carried[0].sent_ms + 300.0 - process.ANSWER_MS
         assert carried[0].timer_slot * round_carrier.GRAIN_MS <= asks[0].deadline_ms + round_carrier.GRAIN_MS
         assert Outcome.TIMED_OUT in platform.rounds.module.told
-        await square.until(lambda: not node.peers)
+        await site.until(lambda: not node.peers)
         assert not platform.round_carrier.open_requests and not platform.socket_budget.used
 
     play(tmp_path, story)
 
 
 def test_large_response_is_forwarded_within_the_budget_and_releases_it(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start(Watched)
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start(Watched)
         large = bytes(range(256)) * 1600
-        caller = await square.caller()
+        caller = await site.caller()
         for _ in range(3):
             node.script.append(encode_response(200, large))
             assert (await caller.call(ask())).body == large and not platform.answer_budget.held_bytes
@@ -415,11 +415,11 @@
 
 
 def test_long_request_is_forwarded_within_the_budget_and_releases_it(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node(work_ms=100.0)
-        platform = await square.start()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node(work_ms=100.0)
+        platform = await site.start()
         room = platform.request_budget
-        one, two = await square.caller(), await square.caller()
+        one, two = await site.caller(), await site.caller()
         # A second one behind it, and one in front: its bytes are read while that one is open.
         one.writer.write(ask() + ask(method="PUT", body=LONG) + ask(method="PUT", body=LONG))
         assert [(await one.answer()).status for _ in range(3)] == [200] * 3
@@ -427,7 +427,7 @@
         # As much room as one of them takes, its copy on the way to the node counted.
         room.max_bytes = 2 * (len(LONG) - MAX_BODY_BYTES)
         one.writer.write(ask(method="PUT", body=LONG))
-        await square.until(lambda: len(node.came) == 4)
+        await site.until(lambda: len(node.came) == 4)
         refused = await two.call(ask(method="PUT", body=LONG))
         assert (refused.status, refused.fields[b"connection"]) == (503, b"close")
         assert (await one.answer()).status == 200 and len(node.came) == 4 and room.held_bytes == 0
@@ -444,48 +444,48 @@
 def test_closed_client_releases_the_budget_of_its_open_long_request(tmp_path, at, reset):
     written = LEFT_AT[at]
 
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start()
         node.script.append(None)
-        caller = await square.caller()
+        caller = await site.caller()
         head = ask(method="PUT", Content_Length=str(len(LONG)))
         caller.writer.write(head + (LONG + ask(method="PUT", body=LONG))[:written])
-        await square.until(lambda: platform.request_budget.held_bytes and (written < len(LONG) or node.came))
+        await site.until(lambda: platform.request_budget.held_bytes and (written < len(LONG) or node.came))
         if reset:
             caller.writer.transport.abort()
         else:
             caller.writer.close()
-        await square.until(lambda: not platform.client_registry.connections)
+        await site.until(lambda: not platform.client_registry.connections)
         assert platform.request_budget.held_bytes == 0 and not platform.round_carrier.open_requests
 
     play(tmp_path, story)
 
 
 def test_closed_client_releases_the_budget_of_its_queued_long_request(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start()
-        caller = await square.caller()
-        await square.until(lambda: platform.client_registry.connections)
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start()
+        caller = await site.caller()
+        await site.until(lambda: platform.client_registry.connections)
         (client,) = platform.client_registry.connections
         client.pause_writing()  # as one that does not take its answers: nothing more is begun for it
         caller.writer.write(ask(method="PUT", body=LONG))
-        await square.until(lambda: not (client.is_idle or client.within_message))
+        await site.until(lambda: not (client.is_idle or client.within_message))
         assert platform.request_budget.held_bytes
         caller.writer.close()
-        await square.until(lambda: not platform.client_registry.connections)
+        await site.until(lambda: not platform.client_registry.connections)
         assert platform.request_budget.held_bytes == 0 and not node.came
 
     play(tmp_path, story)
 
 
 def test_request_longer_than_the_limit_is_refused_at_once(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start()
         for more in ({"Content_Length": str(MAX_LONG_BODY_BYTES + 1)}, {"Content_Length": "61000000"}):
-            answered = await (await square.caller()).call(ask(method="PUT", **more))
+            answered = await (await site.caller()).call(ask(method="PUT", **more))
             assert answered.status == 413
         assert not node.came and platform.request_budget.held_bytes == 0
 
@@ -493,12 +493,12 @@
 
 
 def test_clients_that_read_nothing_are_aborted_before_memory_is_used_up(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start()
         platform.answer_budget.max_bytes = 4_000_000
-        large, slow = bytes(900_000), [await square.caller() for _ in range(12)]
-        await square.until(lambda: len(platform.client_registry.connections) == 12)
+        large, slow = bytes(900_000), [await site.caller() for _ in range(12)]
+        await site.until(lambda: len(platform.client_registry.connections) == 12)
         for (
             connection
         ) in platform.client_registry.connections:  # so that the system keeps little of the answers
@@ -508,44 +508,44 @@
             caller.writer.transport.pause_reading()
             node.script.extend([encode_response(200, large)] * 8)
             caller.writer.write(b"".join(ask(X_Budget_Ms="2000") for _ in range(8)))
-        await square.until(lambda: len(platform.client_registry.connections) < 12, ms=4000.0)
+        await site.until(lambda: len(platform.client_registry.connections) < 12, ms=4000.0)
         assert (
             sum(connection.unsent_bytes for connection in platform.client_registry.connections) < 16_000_000
         )
         node.script.clear()
-        assert (await (await square.caller()).call(ask())).status == 200
+        assert (await (await site.caller()).call(ask())).status == 200
 
     play(tmp_path, story)
 
 
 def test_rejection_carries_retry_after(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        await square.start()  # and no node at all
-        answered = await (await square.caller()).call(ask(X_Budget_Ms="150"))
+    async def story(site: PlatformSite) -> None:
+        await site.start()  # and no node at all
+        answered = await (await site.caller()).call(ask(X_Budget_Ms="150"))
         assert answered.status == 503 and float(answered.fields[b"retry-after"]) == 1.0
 
     play(tmp_path, story)
 
 
 def test_closed_client_is_reported_to_the_scheduler_and_leaves_nothing_open(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node(work_ms=200.0)
-        platform = await square.start()
-        caller = await square.caller()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node(work_ms=200.0)
+        platform = await site.start()
+        caller = await site.caller()
         caller.writer.write(ask())
-        await square.until(lambda: node.came)
+        await site.until(lambda: node.came)
         caller.writer.close()
-        await square.until(lambda: not platform.round_carrier.open_requests)
-        await square.until(lambda: not platform.rounds.module.jobs)
+        await site.until(lambda: not platform.round_carrier.open_requests)
+        await site.until(lambda: not platform.rounds.module.jobs)
 
     play(tmp_path, story)
 
 
 def test_pipelined_requests_are_answered_in_order(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        await square.node()
-        await square.start()
-        caller = await square.caller()
+    async def story(site: PlatformSite) -> None:
+        await site.node()
+        await site.start()
+        caller = await site.caller()
         targets = [f"/api/00000000000000aa/{n:016x}" for n in range(60)]
         rpcs = b"".join(ask(target, X_Budget_Ms="2000") for target in targets)
         caller.writer.write(rpcs + b"rubbish\r\n\r\n")
@@ -558,11 +558,11 @@
 
 def test_read_ahead_stays_in_order_while_answers_are_unread(tmp_path):
     # The rest of a request came in front of its beginning, and made nonsense of both.
-    async def story(square: PlatformSite) -> None:
-        node = await square.node(work_ms=30.0)
-        platform = await square.start()
-        caller = await square.caller()
-        await square.until(lambda: platform.client_registry.connections)
+    async def story(site: PlatformSite) -> None:
+        node = await site.node(work_ms=30.0)
+        platform = await site.start()
+        caller = await site.caller()
+        await site.until(lambda: platform.client_registry.connections)
         (connection,) = platform.client_registry.connections
         sock = connection._transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -570,9 +570,9 @@
         node.script.append(encode_response(200, bytes(900_000)))
         second = ask(X_Budget_Ms="2000")
         caller.writer.write(ask(X_Budget_Ms="2000"))
-        await square.until(lambda: connection.request is not None)
+        await site.until(lambda: connection.request is not None)
         caller.writer.write(second[:40])
-        await square.until(lambda: connection._writing_paused)
+        await site.until(lambda: connection._writing_paused)
         caller.writer.write(second[40:])
         await asyncio.sleep(0.05)
         caller.writer.transport.resume_reading()
@@ -611,13 +611,13 @@
 def test_attempt_carries_at_most_the_time_left_as_its_bytes_are_written(tmp_path, monkeypatch):
     # The bench wants it of further attempts. Both connections come up late, by 1.5 s as on its days, and as
     # the second stands its turn of the event loop, in which something else was heard already, is held up.
-    async def story(square: PlatformSite) -> None:
-        node = await square.node(work_ms=20.0)
-        platform = await square.start(settings=slow(4.0))
-        await square.until(lambda: square.discovery.peers)
+    async def story(site: PlatformSite) -> None:
+        node = await site.node(work_ms=20.0)
+        platform = await site.start(settings=slow(4.0))
+        await site.until(lambda: site.discovery.peers)
         loop, told, late, held_up = asyncio.get_running_loop(), Told(monkeypatch), [1.5, 0.5], [0.0, 0.6]
         connects, stands = loop.create_connection, connection_pool.ConnectionPool.connected
-        caller = await square.caller()
+        caller = await site.caller()
 
         async def connect(factory, host, port):
             await asyncio.sleep(late.pop(0))
@@ -638,10 +638,10 @@
 
 
 def test_attempt_that_expired_in_a_stalled_turn_is_not_sent(tmp_path, monkeypatch):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start()
-        caller, stands = await square.caller(), connection_pool.ConnectionPool.connected
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start()
+        caller, stands = await site.caller(), connection_pool.ConnectionPool.connected
 
         def stand(pool, connection):
             platform.rounds.stir()
@@ -657,12 +657,12 @@
 
 def test_deadline_of_a_pipelined_request_counts_from_its_own_last_byte(tmp_path, monkeypatch):
     # It was counted from when the one before it was done: told, served and given up for that much too long.
-    async def story(square: PlatformSite) -> None:
-        node = await square.node(work_ms=400.0)
-        platform = await square.start(settings=slow(4.0))
-        caller, told = await square.caller(), Told(monkeypatch)
+    async def story(site: PlatformSite) -> None:
+        node = await site.node(work_ms=400.0)
+        platform = await site.start(settings=slow(4.0))
+        caller, told = await site.caller(), Told(monkeypatch)
         caller.writer.write(ask(X_Budget_Ms="4000"))
-        await square.until(lambda: node.came)
+        await site.until(lambda: node.came)
         second = ask(X_Budget_Ms="4000")
         caller.writer.write(second[:50])
         await asyncio.sleep(0.1)
@@ -675,19 +675,19 @@
 
 
 def test_half_messages_and_silent_clients_are_closed_and_lock_out_no_other(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        await square.node()
-        platform = await square.start()
-        half, silent, worker = [await square.caller() for _ in range(3)]
+    async def story(site: PlatformSite) -> None:
+        await site.node()
+        platform = await site.start()
+        half, silent, worker = [await site.caller() for _ in range(3)]
         assert (await worker.call(ask())).status == 200
         half.writer.write(ask()[:-9])
-        crowd = [await square.caller() for _ in range(150)]
-        await square.until(
+        crowd = [await site.caller() for _ in range(150)]
+        await site.until(
             lambda: len(platform.client_registry.connections) <= platform.client_registry.max_connections
         )
         began = time.monotonic()
         assert (await worker.call(ask())).status == 200
-        assert (await (await square.caller()).call(ask())).status == 200
+        assert (await (await site.caller()).call(ask())).status == 200
         told = await half.answer()
         assert told is None or told.status == 408
         assert await silent.answer() is None and await crowd[-1].answer() is None
@@ -698,15 +698,15 @@
 
 
 def test_attempt_waiting_for_a_connection_is_not_sent_once_its_node_drains(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start(Watched)
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start(Watched)
         platform.socket_budget.max_sockets = 0  # none can be made
-        caller = await square.caller()
+        caller = await site.caller()
         caller.writer.write(ask())
-        await square.until(lambda: any(pool.waiting for pool in platform.round_carrier.pools.values()))
-        square.discovery.tell(node.entry("terminating"))
-        await square.until(lambda: Outcome.NOT_SENT in platform.rounds.module.told)
+        await site.until(lambda: any(pool.waiting for pool in platform.round_carrier.pools.values()))
+        site.discovery.tell(node.entry("terminating"))
+        await site.until(lambda: Outcome.NOT_SENT in platform.rounds.module.told)
         platform.socket_budget.max_sockets = 9
         assert (await caller.answer()).status == 503 and not node.came
 
@@ -714,26 +714,26 @@
 
 
 def test_node_keeps_its_identity_across_addresses_and_is_forgotten_when_removed(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start()
-        caller = await square.caller()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start()
+        caller = await site.caller()
         assert (await caller.call(ask())).status == 200
         met = next(iter(platform.endpoint_list.addresses))
         node.close()
         node.address = "127.0.0.1:0"
         await node.open()
         born = int(time.time() * 1000.0) - 60000
-        square.discovery.tell(node.entry(born_ms=born))
-        await square.until(lambda: met.started_ms)
+        site.discovery.tell(node.entry(born_ms=born))
+        await site.until(lambda: met.started_ms)
         assert abs(platform.rounds.clock() - met.started_ms - 60000.0) < 2000.0
-        await square.until(lambda: not platform.rounds.module.lanes[met].strikes)
+        await site.until(lambda: not platform.rounds.module.lanes[met].strikes)
         assert (await caller.call(ask())).status == 200
-        square.discovery.tell(node.entry("terminated"))
-        await square.until(lambda: not platform.endpoint_list.addresses and not platform.round_carrier.pools)
+        site.discovery.tell(node.entry("terminated"))
+        await site.until(lambda: not platform.endpoint_list.addresses and not platform.round_carrier.pools)
         assert not platform.nodes.by_address
-        square.discovery.tell(node.entry())
-        await square.until(lambda: platform.endpoint_list.addresses)
+        site.discovery.tell(node.entry())
+        await site.until(lambda: platform.endpoint_list.addresses)
         assert next(iter(platform.endpoint_list.addresses)) is not met
         assert (await caller.call(ask())).status == 200
 
@@ -744,58 +744,58 @@
     "line", [b"{nonsense\n", b'{"seq":7}\n', b'{"seq":7,"whole":false,"hosts":[{"host":"a"}]}\n', None]
 )
 def test_broken_or_malformed_watch_is_restarted_and_the_list_stands(tmp_path, line):
-    async def story(square: PlatformSite) -> None:
-        await square.node()
-        platform = await square.start()
-        await square.until(lambda: square.discovery.asked)
-        await square.until(lambda: square.discovery.peers)
+    async def story(site: PlatformSite) -> None:
+        await site.node()
+        platform = await site.start()
+        await site.until(lambda: site.discovery.asked)
+        await site.until(lambda: site.discovery.peers)
         if line is None:
-            square.discovery.peers[0].cut()
+            site.discovery.peers[0].cut()
         else:
-            square.discovery.raw(square.discovery.peers[0], line)
-        await square.until(lambda: len(square.discovery.asked) > 1)
-        assert square.discovery.asked[1].endswith(b"since=2")
-        square.discovery.write(square.discovery.peers[-1], 1, True, [])  # older than what is known
+            site.discovery.raw(site.discovery.peers[0], line)
+        await site.until(lambda: len(site.discovery.asked) > 1)
+        assert site.discovery.asked[1].endswith(b"since=2")
+        site.discovery.write(site.discovery.peers[-1], 1, True, [])  # older than what is known
         await asyncio.sleep(0.05)
         assert [node.state for node in platform.endpoint_list.addresses] == [NodeState.LIVE]
-        assert (await (await square.caller()).call(ask())).status == 200
+        assert (await (await site.caller()).call(ask())).status == 200
 
     play(tmp_path, story)
 
 
 @pytest.mark.parametrize("piece", [1, 7, 10**6])
 def test_indented_lists_are_parsed_however_they_are_split(tmp_path, piece):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        square.discovery.indent = 2
-        platform = await square.start()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        site.discovery.indent = 2
+        platform = await site.start()
         told = [
             json.dumps({"seq": n, "whole": False, "hosts": [node.entry(health)]}, indent=1).encode()
             for n, health in ((7, "in_service"), (8, "terminating"))
         ]
         data = b"\n" + b"\n\n".join(told)  # and nothing behind the last one
         for at in range(0, len(data), piece):
-            square.discovery.raw(square.discovery.peers[0], data[at : at + piece])
-        await square.until(lambda: next(iter(platform.endpoint_list.addresses)).state is NodeState.DRAINING)
-        assert len(square.discovery.asked) == 1 and platform.endpoint_list.version == 8
+            site.discovery.raw(site.discovery.peers[0], data[at : at + piece])
+        await site.until(lambda: next(iter(platform.endpoint_list.addresses)).state is NodeState.DRAINING)
+        assert len(site.discovery.asked) == 1 and platform.endpoint_list.version == 8
 
     play(tmp_path, story)
 
 
 def test_change_missed_by_a_silent_watch_is_known_in_time(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start()
-        square.discovery.hush()
-        square.discovery.tell(node.entry("terminating"))
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start()
+        site.discovery.hush()
+        site.discovery.tell(node.entry("terminating"))
         loop = asyncio.get_running_loop()
-        await square.until(
+        await site.until(
             lambda: next(iter(platform.endpoint_list.addresses)).state is NodeState.DRAINING, 6000.0
         )
-        assert square.discovery.told_at[node.host] - loop.time() > 2.0
-        assert len(square.discovery.asked) == 2 and b"since" not in square.discovery.asked[1]
-        assert not square.discovery.late(node)
-        await square.until(lambda: len(square.discovery.peers) == 1)  # the silent one has gone
+        assert site.discovery.told_at[node.host] - loop.time() > 2.0
+        assert len(site.discovery.asked) == 2 and b"since" not in site.discovery.asked[1]
+        assert not site.discovery.late(node)
+        await site.until(lambda: len(site.discovery.peers) == 1)  # the silent one has gone
 
     play(tmp_path, story)
 
@@ -804,18 +804,18 @@
     monkeypatch.setattr(watch_liveness, "SILENCE_LIMIT_MS", 200.0)
     monkeypatch.setattr(watch_liveness, "FIRST_LIST_LIMIT_MS", 100.0)
 
-    async def story(square: PlatformSite) -> None:
-        square.discovery = WebDiscovery(breath_s=0.1)
-        node = await square.node()
-        platform = await square.start()
-        square.discovery.down = True
-        square.discovery.hush()
-        await square.until(lambda: len(square.discovery.asked) > 5)
-        assert len(square.discovery.peers) <= 2
-        assert (await (await square.caller()).call(ask())).status == 200
-        square.discovery.down = False
-        square.discovery.tell(node.entry("terminating"))
-        await square.until(
+    async def story(site: PlatformSite) -> None:
+        site.discovery = WebDiscovery(breath_s=0.1)
+        node = await site.node()
+        platform = await site.start()
+        site.discovery.down = True
+        site.discovery.hush()
+        await site.until(lambda: len(site.discovery.asked) > 5)
+        assert len(site.discovery.peers) <= 2
+        assert (await (await site.caller()).call(ask())).status == 200
+        site.discovery.down = False
+        site.discovery.tell(node.entry("terminating"))
+        await site.until(
             lambda: next(iter(platform.endpoint_list.addresses)).state is NodeState.DRAINING, 250.0
         )
 
@@ -825,35 +825,35 @@
 def test_unfinished_object_is_no_sign_of_life(tmp_path, monkeypatch):
     monkeypatch.setattr(watch_liveness, "SILENCE_LIMIT_MS", 300.0)
 
-    async def story(square: PlatformSite) -> None:
-        square.discovery = WebDiscovery(breath_s=0.1)
-        await square.node()
-        await square.start()
-        square.discovery.raw(square.discovery.peers[0], b'{"seq":9,"whole":true,"hosts":[')
-        await square.until(lambda: len(square.discovery.asked) == 2, 800.0)
+    async def story(site: PlatformSite) -> None:
+        site.discovery = WebDiscovery(breath_s=0.1)
+        await site.node()
+        await site.start()
+        site.discovery.raw(site.discovery.peers[0], b'{"seq":9,"whole":true,"hosts":[')
+        await site.until(lambda: len(site.discovery.asked) == 2, 800.0)
 
     play(tmp_path, story)
 
 
 def test_new_process_uses_the_list_of_discovery_not_that_of_its_file(tmp_path):
     # What discovery has counts from the first moment; the file's list may be from before.
-    async def story(square: PlatformSite) -> None:
-        old, new = await square.node(shard=0), await square.node(shard=0)
-        square.write_config()
+    async def story(site: PlatformSite) -> None:
+        old, new = await site.node(shard=0), await site.node(shard=0)
+        site.write_config()
         known = json.loads((tmp_path / "config.json").read_text())["known"]
-        square.discovery.tell(old.entry("terminating"))
-        square.discovery.down = True
-        platform = await square.begin(known=known)
-        caller = await square.caller()
+        site.discovery.tell(old.entry("terminating"))
+        site.discovery.down = True
+        platform = await site.begin(known=known)
+        caller = await site.caller()
         assert (await caller.call(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")).status == 503
-        held = asyncio.ensure_future((await square.caller()).call(ask()))
+        held = asyncio.ensure_future((await site.caller()).call(ask()))
         await asyncio.sleep(0.1)
-        square.discovery.down = False
-        await square.until(lambda: platform.endpoints_known)
+        site.discovery.down = False
+        await site.until(lambda: platform.endpoints_known)
         assert (await caller.call(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")).status == 200
         assert (await held).status == 503  # whoever comes before it is ready is answered in time all the same
         assert (await caller.call(ask())).status == 200
-        assert not old.came and len(new.came) == 1 and not square.discovery.late(old)
+        assert not old.came and len(new.came) == 1 and not site.discovery.late(old)
 
     play(tmp_path, story)
 
@@ -864,23 +864,23 @@
     assert process.READY_MS <= 4500.0 < process.BLIND_MS
     monkeypatch.setattr(process, "READY_MS", 200.0)
 
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        square.discovery.down = True
-        platform = await square.begin()  # the file names the node, and so did discovery a while ago
-        caller, other = await square.caller(), await square.caller()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        site.discovery.down = True
+        platform = await site.begin()  # the file names the node, and so did discovery a while ago
+        caller, other = await site.caller(), await site.caller()
         ready = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"
         assert (await caller.call(ready)).status == 503
-        await square.until(lambda: platform.ready)
+        await site.until(lambda: platform.ready)
         assert (await caller.call(ready)).status == 200 and not platform.endpoints_known
         answered = await caller.call(ask())
         assert answered.status == 503 and answered.fields[b"retry-after"] and not node.came
-        square.discovery.tell(node.entry("terminating"))
-        square.discovery.down = False
-        await square.until(lambda: platform.endpoints_known)
+        site.discovery.tell(node.entry("terminating"))
+        site.discovery.down = False
+        await site.until(lambda: platform.endpoints_known)
         assert (await other.call(ask())).status == 503 and not node.came
-        square.discovery.tell(node.entry())
-        await square.until(lambda: next(iter(platform.endpoint_list.addresses)).state is NodeState.LIVE)
+        site.discovery.tell(node.entry())
+        await site.until(lambda: next(iter(platform.endpoint_list.addresses)).state is NodeState.LIVE)
         assert (await other.call(ask())).status == 200
 
     play(tmp_path, story)
@@ -889,36 +889,36 @@
 def test_list_of_the_file_is_used_after_long_silence_of_discovery(tmp_path, monkeypatch):
     monkeypatch.setattr(process, "BLIND_MS", 200.0)
 
-    async def story(square: PlatformSite) -> None:
-        await square.node()
-        square.discovery.down = True
-        platform = await square.begin()
+    async def story(site: PlatformSite) -> None:
+        await site.node()
+        site.discovery.down = True
+        platform = await site.begin()
         assert not platform.endpoints_known
-        await square.until(lambda: platform.endpoints_known)
-        assert (await (await square.caller()).call(ask())).status == 200
-        assert any(event.startswith("endpoints of the configuration file") for event, _ in square.logs)
+        await site.until(lambda: platform.endpoints_known)
+        assert (await (await site.caller()).call(ask())).status == 200
+        assert any(event.startswith("endpoints of the configuration file") for event, _ in site.logs)
 
     play(tmp_path, story)
 
 
 def test_reload_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start()
-        await square.until(lambda: square.discovery.asked)
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start()
+        await site.until(lambda: site.discovery.asked)
         (tmp_path / "config.json").write_text("{")
         os.kill(os.getpid(), signal.SIGHUP)
-        await square.until(lambda: any(event == "configuration reload refused" for event, _ in square.logs))
-        old = square.discovery
-        square.discovery = type(old)()
-        square.discovery.version, square.discovery.hosts = old.version, old.hosts
-        await square.discovery.open()
-        square.write_config()
+        await site.until(lambda: any(event == "configuration reload refused" for event, _ in site.logs))
+        old = site.discovery
+        site.discovery = type(old)()
+        site.discovery.version, site.discovery.hosts = old.version, old.hosts
+        await site.discovery.open()
+        site.write_config()
         os.kill(os.getpid(), signal.SIGHUP)
-        await square.until(lambda: square.discovery.asked and not old.peers)
+        await site.until(lambda: site.discovery.asked and not old.peers)
         old.close()
-        square.discovery.tell(node.entry("terminating"))
-        await square.until(lambda: next(iter(platform.endpoint_list.addresses)).state is NodeState.DRAINING)
+        site.discovery.tell(node.entry("terminating"))
+        await site.until(lambda: next(iter(platform.endpoint_list.addresses)).state is NodeState.DRAINING)
         assert not platform.done.done()
 
     play(tmp_path, story)
@@ -927,15 +927,15 @@
 @pytest.mark.alone
 def test_shutdown_serves_on_until_shortly_before_the_kill(tmp_path):
     # Its successor comes at the platform's time: whoever is sent away sooner finds nobody.
-    async def story(square: PlatformSite) -> None:
-        node = await square.node(work_ms=2.0)
-        platform = await square.start()
-        idle, busy = [await square.caller() for _ in range(2)]
+    async def story(site: PlatformSite) -> None:
+        node = await site.node(work_ms=2.0)
+        platform = await site.start()
+        idle, busy = [await site.caller() for _ in range(2)]
         assert (await idle.call(ask())).status == 200
         platform.leave()
         left = platform.rounds.clock() + 2000.0 + 700.0  # the longest deadline here
         await asyncio.sleep(0.3)
-        new = await square.caller()
+        new = await site.caller()
         while platform.rounds.clock() < left - 450.0:
             for caller in (busy, new):
                 answered = await caller.call(ask())
@@ -943,7 +943,7 @@
             await asyncio.sleep(0.05)
         node.work_ms = 10_000.0
         busy.writer.write(ask())
-        await square.until(lambda: platform.closing)
+        await site.until(lambda: platform.closing)
         node._answer(node.peers[-1], node.came[-1])
         answered = await busy.answer()
         assert (answered.status, answered.fields[b"connection"]) == (200, b"close")
@@ -959,11 +959,11 @@
     # Answers are due so long before the forced end; by its 4 ms a pause of the machine decided the exit code.
     monkeypatch.setattr(process, "ANSWER_MS", 60.0)
 
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
         node.script.extend([None] * 20)
-        platform = await square.start()
-        caller = await square.caller()
+        platform = await site.start()
+        caller = await site.caller()
         platform.leave()
         left = platform.rounds.clock() + 2700.0
         await asyncio.sleep(1.2)
@@ -976,8 +976,8 @@
 
 
 def test_shutdown_without_clients_does_not_wait(tmp_path):
-    async def story(square: PlatformSite) -> None:
-        platform = await square.start()
+    async def story(site: PlatformSite) -> None:
+        platform = await site.start()
         platform.leave()
         assert await asyncio.wait_for(platform.done, 1.0) == LEFT_CLEAN
 
@@ -989,10 +989,10 @@
         def take(self, rpc, now, writer):
             raise ValueError("broken")
 
-    async def story(square: PlatformSite) -> None:
-        await square.node()
-        platform = await square.start(Broken)
-        assert (await (await square.caller()).call(ask())).status == 502
+    async def story(site: PlatformSite) -> None:
+        await site.node()
+        platform = await site.start(Broken)
+        assert (await (await site.caller()).call(ask())).status == 502
         assert await platform.done == LEFT_BROKEN
 
     play(tmp_path, story)
@@ -1028,10 +1028,10 @@
     ],
 )
 def test_configuration_error_names_key_expectation_and_value(tmp_path, change, told):
-    square = PlatformSite(tmp_path)
-    square.write_config()
+    site = PlatformSite(tmp_path)
+    site.write_config()
     whole = json.loads((tmp_path / "config.json").read_text()) | change
     (tmp_path / "config.json").write_text(json.dumps(whole))
     with pytest.raises(ConfigError) as trouble:
-        read_config(square.env)
+        read_config(site.env)
     assert str(trouble.value) == told
--- a/tests/support/platform_site.py
+++ b/tests/support/platform_site.py
@@ -156,10 +156,10 @@
 
 def play(folder: Path, story: Callable[[PlatformSite], Coroutine[Any, Any, None]]) -> None:
     async def whole() -> None:
-        square = PlatformSite(folder)
+        site = PlatformSite(folder)
         try:
-            await story(square)
+            await story(site)
         finally:
-            await square.end()
+            await site.end()
 
     asyncio.run(asyncio.wait_for(whole(), 20.0))
