--- a/benchmarks/platform_door.py
+++ b/benchmarks/platform_door.py
@@ -21,8 +21,8 @@
 
 from bench import ROOT, cores, cpu_s, now_mib
 
-from cherrygrade.http.reader import Message, Reader
-from cherrygrade.http.writer import answer, ask
+from cherrygrade.http.reader import Message, MessageReader
+from cherrygrade.http.writer import encode_request, encode_response
 from cherrygrade.standin.web import Peer, WebDiscovery, WebNode
 
 CPU_BAR, GROWTH_BAR_MIB, NODES, DEPTH = 3.5, 2.0, 5, 32
@@ -46,8 +46,23 @@
 # Where a sample's innermost frame of ours stands.
 PARTS = (
     ("module", ("policy.py", "rounds.py", "door.py")),
-    ("reading and writing HTTP", ("http/reader.py", "http/writer.py", "platform/clients.py")),
-    ("links and finals", ("platform/nodes.py", "platform/process.py", "wheel.py", "life.py", "held.py")),
+    (
+        "reading and writing HTTP",
+        ("http/reader.py", "http/writer.py", "platform/client_connection.py", "platform/request_parsing.py"),
+    ),
+    (
+        "links and finals",
+        (
+            "platform/node_connection.py",
+            "platform/connection_pool.py",
+            "platform/node_messages.py",
+            "platform/process.py",
+            "platform/round_carrier.py",
+            "wheel.py",
+            "life.py",
+            "held.py",
+        ),
+    ),
     ("sockets", ("selector_events.py",)),
     ("event loop", ("base_events.py", "events.py", "selectors.py", "runners.py")),
 )
@@ -60,7 +75,7 @@
 
     def got(self, peer: Peer, message: Message) -> None:
         Quick.total += 1
-        peer.write(answer(200, b"b" * 1024))
+        peer.write(encode_response(200, b"b" * 1024))
 
 
 async def nodes() -> None:
@@ -92,7 +107,7 @@
 
     def __init__(self, free: list[Up]) -> None:
         self.free, self.client = free, None
-        self.reader, self.buffer = Reader(answers=True), memoryview(bytearray(65536))
+        self.reader, self.buffer = MessageReader(responses=True), memoryview(bytearray(65536))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
@@ -102,16 +117,16 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         self.reader.feed(bytes(self.buffer[:nbytes]))
-        for message in self.reader.found:
+        for message in self.reader.messages:
             client, self.client = self.client, None
             self.free.append(self)
-            client.transport.write(answer(200, message.body))
-        self.reader.found.clear()
+            client.transport.write(encode_response(200, message.body))
+        self.reader.messages.clear()
 
 
 class Door(asyncio.BufferedProtocol):
     def __init__(self, ups: list[list[Up]]) -> None:
-        self.ups, self.reader, self.buffer = ups, Reader(answers=False), memoryview(bytearray(65536))
+        self.ups, self.reader, self.buffer = ups, MessageReader(responses=False), memoryview(bytearray(65536))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
@@ -121,13 +136,13 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         self.reader.feed(bytes(self.buffer[:nbytes]))
-        for message in self.reader.found:
+        for message in self.reader.messages:
             shard = int(message.fields[b"x-extent"].split(b"shard=")[1].split(b",")[0])
             up = self.ups[shard].pop()
             up.client = self
             fields = ((b"X-Call-Id", message.fields[b"x-call-id"]), *FIELDS)
-            up.transport.write(ask(b"GET", message.target, b"n", fields))
-        self.reader.found.clear()
+            up.transport.write(encode_request(b"GET", message.target, b"n", fields))
+        self.reader.messages.clear()
 
 
 async def relay(addresses: list[str]) -> None:
@@ -150,7 +165,7 @@
     stopped = False
 
     def __init__(self) -> None:
-        self.reader, self.buffer = Reader(answers=True), memoryview(bytearray(65536))
+        self.reader, self.buffer = MessageReader(responses=True), memoryview(bytearray(65536))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
@@ -164,21 +179,21 @@
             *FIELDS,
             (b"X-Extent", b"units=1,shard=%d,hosts=1" % (id_ % NODES)),
         )
-        self.transport.write(ask(b"GET", b"/api/00000000000000aa/%016x" % id_, b"app", fields))
+        self.transport.write(encode_request(b"GET", b"/api/00000000000000aa/%016x" % id_, b"app", fields))
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return self.buffer
 
     def buffer_updated(self, nbytes: int) -> None:
         self.reader.feed(bytes(self.buffer[:nbytes]))
-        for message in self.reader.found:
+        for message in self.reader.messages:
             Client.ok += message.status == 200
             Client.other += message.status != 200
             if not Client.stopped:
                 self.ask()
             else:
                 self.transport.close()
-        self.reader.found.clear()
+        self.reader.messages.clear()
 
 
 async def window(port: int, seconds: float) -> int:
@@ -337,7 +352,7 @@
     for name, count in parts.most_common():
         print(f"  {name}: {count / whole:.0%}, {count / whole * statistics.median(ours):.1f} us")
     print(f"in the windows measured: {sends} sends seen by nodes, {finals} finals")
-    told = {key: counts[key] for key in ("ok", "rejected", "errored", "left")}
+    told = {key: counts[key] for key in ("ok", "rejected", "errored", "abandoned")}
     print(f"finals that the dispatcher counts: {json.dumps(told)}")
     print(f"sends that none of them stands for: {unknown}")
     print(f"memory, MiB: {at_start:.1f} at start, {first:.1f} after clients and nodes came and went")
--- a/tests/http/test_http_forms.py
+++ b/tests/http/test_http_forms.py
@@ -143,13 +143,13 @@
 
 @PIECES
 @pytest.mark.parametrize("form", REQUESTS)
-def test_a_request_reaches_its_node_in_every_form(tmp_path: Path, form: str, piece: int) -> None:
+def test_request_in_every_valid_form_reaches_its_node(tmp_path: Path, form: str, piece: int) -> None:
     wanted = REQUESTS[form]
 
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start()
-        caller = await square.caller()
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start()
+        caller = await site.caller()
         await write(caller.writer, wanted.wire, piece)
         answered = await caller.answer()
         assert answered is not None and answered.status == 200
@@ -187,11 +187,13 @@
 
 @PIECES
 @pytest.mark.parametrize("form", REFUSED)
-def test_a_form_that_is_not_taken_is_told_so_and_goes_nowhere(tmp_path: Path, form: str, piece: int) -> None:
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start()
-        caller = await square.caller()
+def test_request_in_an_unsupported_form_is_refused_and_not_sent(
+    tmp_path: Path, form: str, piece: int
+) -> None:
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start()
+        caller = await site.caller()
         await write(caller.writer, REFUSED[form], piece)
         answered = await caller.answer()
         assert answered is not None and answered.status in (400, 404)
@@ -202,11 +204,11 @@
 
 
 @PIECES
-def test_many_requests_in_one_write_are_answered_in_their_order(tmp_path: Path, piece: int) -> None:
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        await square.start()
-        caller = await square.caller()
+def test_many_requests_in_one_write_are_answered_in_order(tmp_path: Path, piece: int) -> None:
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        await site.start()
+        caller = await site.caller()
         paths = [TARGET + b"?n=%d" % n for n in range(12)]
         wire = b"".join((b"\r\n" if n % 3 else b"") + ask(path.decode()) for n, path in enumerate(paths))
         await write(caller.writer, wire + b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n", piece)
@@ -223,11 +225,13 @@
     [b"close", b"X-Hop, Close", b"X-Hop\r\nConnection:\tclose\t"],
     ids=["alone", "of two", "of two fields"],
 )
-def test_behind_a_request_that_closes_the_connection_ends(tmp_path: Path, option: bytes, piece: int) -> None:
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start()
-        caller = await square.caller()
+def test_connection_closes_after_a_request_with_connection_close(
+    tmp_path: Path, option: bytes, piece: int
+) -> None:
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start()
+        caller = await site.caller()
         wire = plain(b"Connection: " + option + b"\r\nContent-Length: 1\r\n")
         await write(caller.writer, wire, piece)
         answered = await caller.answer()
@@ -240,16 +244,16 @@
 
 
 @PIECES
-def test_an_option_that_only_holds_the_word_close_closes_nothing(tmp_path: Path, piece: int) -> None:
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        await square.start()
-        caller = await square.caller()
+def test_option_that_only_contains_close_closes_nothing(tmp_path: Path, piece: int) -> None:
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        await site.start()
+        caller = await site.caller()
         await write(caller.writer, plain(b"Connection: X-Closed\r\nContent-Length: 1\r\n"), piece)
         assert (await caller.answer()).status == 200
         node.script.append(None)
         caller.writer.write(ask())
-        await square.until(lambda: len(node.came) == 2)
+        await site.until(lambda: len(node.came) == 2)
         await write(node.peers[0], OK + b"Connection: not-close\r\nContent-Length: 4\r\n\r\nmine", piece)
         assert (await caller.answer()).body == b"mine"
         assert (await caller.call(ask())).status == 200 and node.made == 1
@@ -259,12 +263,12 @@
 
 @PIECES
 @pytest.mark.parametrize("framing", [b"Content-Length: 1\r\n", CHUNKED], ids=["length", "chunks"])
-def test_who_waits_to_be_told_to_go_on_is_told_so(tmp_path: Path, framing: bytes, piece: int) -> None:
+def test_client_that_expects_continue_gets_it(tmp_path: Path, framing: bytes, piece: int) -> None:
     # RFC 9110, 10.1.1: a client may hold its body back for as long as it likes.
-    async def story(square: PlatformSite) -> None:
-        node = await square.node(work_ms=30.0)
-        await square.start()
-        with socket.create_connection(("127.0.0.1", square.port)) as client:
+    async def story(site: PlatformSite) -> None:
+        node = await site.node(work_ms=30.0)
+        await site.start()
+        with socket.create_connection(("127.0.0.1", site.port)) as client:
             client.setblocking(False)
             # Behind another one that is open: its turn comes with that one's answer, not before.
             await send(client, ask() + plain(b"Expect: 100-Continue \r\n" + framing, b""), piece)
@@ -278,11 +282,11 @@
     play(tmp_path, story)
 
 
-def test_who_waits_to_be_told_to_go_on_with_too_much_is_told_no(tmp_path: Path) -> None:
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        await square.start()
-        caller = await square.caller()
+def test_client_that_expects_continue_for_too_long_a_body_is_refused(tmp_path: Path) -> None:
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        await site.start()
+        caller = await site.caller()
         data = plain(b"Expect: 100-continue\r\nContent-Length: 90000000\r\n", b"")
         assert (await caller.call(data)).status == 413
         assert not node.came
@@ -380,16 +384,16 @@
 
 @PIECES
 @pytest.mark.parametrize("form", ANSWERS)
-def test_an_answer_is_understood_in_every_form(tmp_path: Path, form: str, piece: int) -> None:
+def test_response_in_every_valid_form_is_understood(tmp_path: Path, form: str, piece: int) -> None:
     wanted = ANSWERS[form]
 
-    async def story(square: PlatformSite) -> None:
-        node = await square.node()
-        platform = await square.start(Heard)
+    async def story(site: PlatformSite) -> None:
+        node = await site.node()
+        platform = await site.start(Heard)
         node.script.append(None)
-        caller = await square.caller()
+        caller = await site.caller()
         caller.writer.write(ask())
-        await square.until(lambda: node.came)
+        await site.until(lambda: node.came)
         await write(node.peers[0], wanted.wire, piece)
         answered = await caller.answer()
         assert answered is not None and answered.status == 200
--- a/tests/support/platform_site.py
+++ b/tests/support/platform_site.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 from typing import Any
 
-from cherrygrade.http.reader import Message, Reader, Room
+from cherrygrade.http.reader import BodyBudget, Message, MessageReader
 from cherrygrade.platform.config import read_config
-from cherrygrade.platform.process import Platform
+from cherrygrade.platform.process import PlatformDispatcher
 from cherrygrade.scheduling.scheduler import Scheduler
 from cherrygrade.standin.web import WebDiscovery, WebNode
 
@@ -57,7 +57,11 @@
     """A client's connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.writer, self._stream, self._reader = writer, reader, Reader(answers=True, room=Room(10**9))
+        self.writer, self._stream, self._reader = (
+            writer,
+            reader,
+            MessageReader(responses=True, budget=BodyBudget(10**9)),
+        )
         self._found: list[Message] = []
 
     async def answer(self) -> Message | None:
@@ -70,7 +74,7 @@
             if not data:
                 return None
             self._reader.feed(data)
-            self._found, self._reader.found = self._reader.found, []
+            self._found, self._reader.messages = self._reader.messages, []
         return self._found.pop(0)
 
     async def call(self, data: bytes) -> Message | None:
@@ -85,7 +89,7 @@
         self.nodes: list[WebNode] = []
         self.logs: list[tuple[str, dict[str, Any]]] = []
         self._callers: list[RawClient] = []
-        self.platform: Platform | None = None
+        self.platform: PlatformDispatcher | None = None
         self.env = {"BALANCER_CONFIG": str(folder / "config.json")}
 
     async def node(self, **build: Any) -> WebNode:
@@ -109,12 +113,12 @@
         }
         (self.folder / "config.json").write_text(json.dumps(told | other))
 
-    async def start(self, make: Callable[..., Any] = Scheduler, **other: Any) -> Platform:
+    async def start(self, make: Callable[..., Any] = Scheduler, **other: Any) -> PlatformDispatcher:
         platform = await self.begin(make, **other)
-        await self.until(lambda: platform.sighted)
+        await self.until(lambda: platform.endpoints_known)
         return platform
 
-    async def begin(self, make: Callable[..., Any] = Scheduler, **other: Any) -> Platform:
+    async def begin(self, make: Callable[..., Any] = Scheduler, **other: Any) -> PlatformDispatcher:
         """Without waiting for the first list."""
         await self.discovery.open()
         self.write_config(**other)
@@ -122,7 +126,7 @@
         def log(event: str, **facts: Any) -> None:
             self.logs.append((event, facts))
 
-        self.platform = Platform(read_config(self.env), log, make, self.env)
+        self.platform = PlatformDispatcher(read_config(self.env), log, make, self.env)
         self.port = await self.platform.start()
         return self.platform
 
@@ -152,10 +156,10 @@
 
 def play(folder: Path, story: Callable[[PlatformSite], Coroutine[Any, Any, None]]) -> None:
     async def whole() -> None:
-        square = PlatformSite(folder)
+        site = PlatformSite(folder)
         try:
-            await story(square)
+            await story(site)
         finally:
-            await square.end()
+            await site.end()
 
     asyncio.run(asyncio.wait_for(whole(), 20.0))
