--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -29,7 +29,7 @@
 
 from cherrygrade.client.library import Client, Ok
 from cherrygrade.compiled import dispatcher
-from cherrygrade.fleet.consensus import raft
+from cherrygrade.fleet.consensus.raft_messages import AnyRaftMessage
 from cherrygrade.fleet.consensus.voter import (
     AcquireLease,
     LeaseAcquired,
@@ -827,7 +827,7 @@
             store = VoterStore(folder / name, "bench", name, "0")
             self.stores[store.me] = store
             self.voters[store.me] = Voter(store.me, store.load(), names, number, 0.0, 0.005)
-        self.encode, self.decode = msgpack.Encoder().encode, msgpack.Decoder(raft.AnyRaftMessage)
+        self.encode, self.decode = msgpack.Encoder().encode, msgpack.Decoder(AnyRaftMessage)
 
     def do(self, me: str, call: Callable[..., VoterEffects], *parts: Any) -> None:
         mail: list[tuple[str, bytes]] = []
@@ -843,8 +843,8 @@
         told = [self.decode.decode(part) if isinstance(part, bytes) else part for part in parts]
         does = call(*told, self.now)
         for step in does.steps:
-            self.stores[me].write(step, self.voters[me].raft.last)
-            self.writes += step.writes
+            self.stores[me].write(step, self.voters[me].raft.log.last_index)
+            self.writes += step.has_writes
         for to, word in does.mail:
             data = self.encode(word)
             self.bytes[me] += len(data) + 1
@@ -867,7 +867,7 @@
 
     def leader(self) -> str:
         for _ in range(4000):
-            leads = [me for me, voter in self.voters.items() if voter._leads]
+            leads = [me for me, voter in self.voters.items() if voter.leads]
             if leads:
                 return leads[0]
             self.pass_time(20.0)
--- /dev/null
+++ b/cherrygrade/fleet/consensus/replication_progress.py
@@ -0,0 +1,77 @@
+"""What a Raft leader knows of the other voters and of its learners; it ends with the leadership."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from cherrygrade.fleet.consensus.raft_log import RaftLog
+from cherrygrade.fleet.consensus.raft_messages import AppendEntries, InstallSnapshot
+
+
+@dataclass(slots=True)
+class ReplicationProgress:
+    """The volatile state of a leader, by voter and learner; empty for any other role.
+
+    Attributes:
+        next_index: The index of the next entry to send.
+        match_index: The index up to which its log is known to equal the leader's; always below `next_index`.
+        last_reply_at: The time in ms of its last reply.
+        round: The newest round of leadership confirmation; counts from 0 in each leadership.
+        answered_rounds: The newest round that it has answered; at most `round`.
+        learners: Who receives the log and has no vote yet.
+    """
+
+    next_index: dict[str, int] = field(default_factory=dict)
+    match_index: dict[str, int] = field(default_factory=dict)
+    last_reply_at: dict[str, float] = field(default_factory=dict)
+    round: int = 0
+    answered_rounds: dict[str, int] = field(default_factory=dict)
+    learners: set[str] = field(default_factory=set)
+
+    @classmethod
+    def of_new_leader(cls, others: list[str], last_index: int, now: float) -> ReplicationProgress:
+        """Nothing is known to match yet; each voter has a full timeout for its first reply."""
+        return cls(
+            next_index={name: last_index + 1 for name in others},
+            match_index=dict.fromkeys(others, 0),
+            last_reply_at=dict.fromkeys(others, now),
+        )
+
+    def track(self, name: str, next_index: int) -> None:
+        """Begin to replicate to a voter or learner, unless it is replicated to already."""
+        self.next_index.setdefault(name, next_index)
+        self.match_index.setdefault(name, 0)
+
+    def replied_since(self, now: float, timeout_ms: float) -> list[str]:
+        """Whose last reply is less than a timeout ago."""
+        return [name for name, at in self.last_reply_at.items() if now - at < timeout_ms]
+
+    def holders(self, index: int) -> list[str]:
+        """Whose log is known to have the entry at an index."""
+        return [name for name, match_index in self.match_index.items() if match_index >= index]
+
+    def answered(self, number: int) -> list[str]:
+        """Who has answered a round, or a later one."""
+        return [name for name, newest in self.answered_rounds.items() if newest >= number]
+
+    def record_reply(self, name: str, answered_round: int, now: float) -> None:
+        """A reply of whatever outcome has arrived."""
+        self.last_reply_at[name] = now
+        self.answered_rounds[name] = max(self.answered_rounds.get(name, 0), answered_round)
+
+    def record_match(self, name: str, match_index: int) -> None:
+        """The log of a voter or learner equals the leader's up to an index."""
+        self.match_index[name] = max(self.match_index[name], match_index)
+        self.next_index[name] = max(self.next_index[name], self.match_index[name] + 1)
+
+
+def replication_message(
+    progress: ReplicationProgress, name: str, log: RaftLog, leader: str, term: int, commit_index: int
+) -> AppendEntries | InstallSnapshot:
+    """What a leader sends next to a voter or learner: entries, or the snapshot that stands for them."""
+    prev_index = progress.next_index[name] - 1
+    if prev_index < log.snapshot.index:
+        return InstallSnapshot(leader, term, log.snapshot, progress.round)
+    prev_term = log.term_at(prev_index)
+    entries = log.batch_after(prev_index)
+    return AppendEntries(leader, term, prev_index, prev_term, entries, commit_index, progress.round)
--- a/cherrygrade/fleet/consensus/voter.py
+++ b/cherrygrade/fleet/consensus/voter.py
@@ -15,9 +15,10 @@
 from cherrygrade.fleet.config.versions import DiffHunk, PutVersion, QuotaDivisors, SettleVersion, text_digest
 from cherrygrade.fleet.config.versions import PutOutcome as ConfigTold
 from cherrygrade.fleet.consensus import state_machine
-from cherrygrade.fleet.consensus.raft import AnyRaftMessage as Word
-from cherrygrade.fleet.consensus.raft import LogEntry, PersistentState, Raft, Snapshot
-from cherrygrade.fleet.consensus.raft import RaftEffects as Step
+from cherrygrade.fleet.consensus.raft import Raft
+from cherrygrade.fleet.consensus.raft_messages import AnyRaftMessage as Word
+from cherrygrade.fleet.consensus.raft_messages import LogEntry, PersistentState, Snapshot
+from cherrygrade.fleet.consensus.raft_messages import RaftEffects as Step
 from cherrygrade.fleet.consensus.state_machine import StateMachine
 from cherrygrade.fleet.leases.lease_table import Acquire, Expire, Release, digest
 from cherrygrade.fleet.leases.lease_table import LeaseOutcome as LeaseTold
@@ -183,15 +184,15 @@
         self.raft = Raft(me, stored, seed, now)
         self.names = {*names}
         self.books = StateMachine()
-        if stored.base.data:
-            self.books.restore(stored.base.data)
+        if stored.snapshot.data:
+            self.books.restore(stored.snapshot.data)
         self.count = RenewalTracker(drift)
         self.waiting: dict[int, tuple[int, object, str]] = {}
         self.proofs: dict[int, list[tuple[object, AnyRequest]]] = {}
         self._unproven: list[tuple[object, AnyRequest]] = []
         self._prove_at = NEVER
         self._led = 0  # the term of the lead that `count` is of
-        self._applied = stored.base.index
+        self._applied = stored.snapshot.index
         self._since = 0  # bytes of the log behind its base
 
     @property
@@ -199,7 +200,7 @@
         return self.raft.leader.partition("/")[0]
 
     def due(self) -> float:
-        at = min(self.raft.due(), self._prove_at)
+        at = min(self.raft.next_deadline(), self._prove_at)
         if self.leads:
             at = min(at, self.count.due(self.books.leases))
         return at
@@ -207,18 +208,18 @@
     @property
     def leads(self) -> bool:
         """It leads, and all of before is applied here."""
-        return self.raft.leads and self.raft.term_at(self.raft.agreed) == self.raft.term
+        return self.raft.is_leader and self.raft.commits_own_term
 
     # What comes in.
 
     def hear(self, word: Word, now: float) -> VoterEffects:
         does = VoterEffects()
-        self._step(self.raft.hear(word, now), does, now)
+        self._step(self.raft.receive(word, now), does, now)
         return self._settle(does, now)
 
     def tick(self, now: float) -> VoterEffects:
         does = VoterEffects()
-        if now >= self.raft.due():
+        if now >= self.raft.next_deadline():
             self._step(self.raft.tick(now), does, now)
         if self.leads:
             for lease in self.count.over(self.books.leases, now, FREE_AT_ONCE):
@@ -229,7 +230,7 @@
 
     def ask(self, ask: AnyRequest, by: object, now: float) -> VoterEffects:
         does = VoterEffects()
-        if not self.raft.leads:
+        if not self.raft.is_leader:
             why = "it leads" if self.leader else "nobody leads"
             does.answers.append((by, NotLeader(ask.id, self.leader, why)))
         elif len(self.waiting) + len(self._unproven) >= MOST_WAITING:
@@ -249,7 +250,7 @@
 
     def put(self, ask: PutConfig, judged: ConfigVerdict, by: object, now: float) -> VoterEffects:
         """A change of the configuration whose text was judged."""
-        if not self.raft.leads:
+        if not self.raft.is_leader:
             return self.ask(ask, by, now)
         does = VoterEffects()
         if len(self.waiting) + len(self._unproven) >= MOST_WAITING:
@@ -274,8 +275,8 @@
     def let_in(self, name: str, now: float) -> VoterEffects:
         """A store that is no voter's asks to be one: of a name of the settings, and of another mark."""
         does = VoterEffects()
-        if self.raft.leads and name.partition("/")[0] in self.names and name not in self.raft.voters:
-            self._step(self.raft.admit(name, now), does, now)
+        if self.raft.is_leader and name.partition("/")[0] in self.names and name not in self.raft.voters:
+            self._step(self.raft.add_learner(name, now), does, now)
         return self._settle(does, now)
 
     # Its own.
@@ -298,7 +299,7 @@
         asked, self._unproven = self._unproven, []
         if not asked:
             return
-        number, step = self.raft.prove(now)
+        number, step = self.raft.confirm_leadership(now)
         if number:
             self.proofs[number] = asked
         else:
@@ -307,11 +308,11 @@
 
     def _step(self, step: Step, does: VoterEffects, now: float) -> None:
         does.steps.append(step)
-        does.mail += step.mail
+        does.mail += step.messages
         if step.restored is not None:
             self.books.restore(step.restored.data)
             self._applied = step.restored.index
-        for index, entry in step.agreed:
+        for index, entry in step.committed:
             self._apply(index, entry, does, now)
 
     def _apply(self, index: int, entry: LogEntry, does: VoterEffects, now: float) -> None:
@@ -335,7 +336,7 @@
 
     def _settle(self, does: VoterEffects, now: float) -> VoterEffects:
         """What follows from where the log stands now."""
-        led = self.raft.term if self.raft.leads else 0
+        led = self.raft.term if self.raft.is_leader else 0
         anew = led != self._led
         if anew:
             self._led = led
@@ -350,13 +351,13 @@
             self._unproven = []
             self._nobody(asks, does)
         if led:
-            proven = self.raft.proven
+            proven = self.raft.confirmed_round
             for number in [number for number in self.proofs if number <= proven]:
                 for by, ask in self.proofs.pop(number):
                     does.answers.append((by, self._proven(ask, now)))
             self._let_in(does, now)
-        much = len(self.raft.entries) > COMPACT or self._since > COMPACT_BYTES
-        if much and self._applied > self.raft.base.index:
+        much = len(self.raft.log.entries) > COMPACT or self._since > COMPACT_BYTES
+        if much and self._applied > self.raft.log.snapshot.index:
             self._since = 0
             does.steps.append(self.raft.compact(self._applied, self.books.snapshot()))
         return does
@@ -384,7 +385,7 @@
             ask.id,
             self.leader,
             self.raft.term,
-            self.raft.agreed,
+            self.raft.commit_index,
             self.raft.voters,
             [(e.task, e.holder, e.number, self.count.ends(e) - now) for e in leases.leases.values()],
             [(t, f.times, f.why, max(0.0, f.until - leases.now)) for t, f in leases.failed.items()],
@@ -398,14 +399,14 @@
         if double:  # of two marks of one name the one that the leader hears from stays
             name = double.partition("/")[0]
             same = [one for one in voters if one.partition("/")[0] == name]
-            heard = self.raft.heard
-            old = min(same, key=lambda one: (one == self.raft.me, heard.get(one, -NEVER)))
+            heard = self.raft.progress.last_reply_at
+            old = min(same, key=lambda one: (one == self.raft.name, heard.get(one, -NEVER)))
             self._change(voters - {old}, does, now)
-        elif self.raft.newcomers:
-            self._change(voters | {min(self.raft.newcomers)}, does, now)
+        elif self.raft.progress.learners:
+            self._change(voters | {min(self.raft.progress.learners)}, does, now)
 
     def _change(self, voters: set[str], does: VoterEffects, now: float) -> None:
-        _, step = self.raft.change(tuple(sorted(voters)), now)
+        _, step = self.raft.change_voters(tuple(sorted(voters)), now)
         self._step(step, does, now)
 
 
--- a/cherrygrade/fleet/runtime/config_exchange.py
+++ b/cherrygrade/fleet/runtime/config_exchange.py
@@ -320,7 +320,7 @@
             self._learned = told
             self._do(replica.learned(newest, told[0], self.clock(), proven=voter.leads))
             self._set()
-        of = (voter.raft.term, known.moving) if voter.raft.leads and known.moving else (0, 0)
+        of = (voter.raft.term, known.moving) if voter.raft.is_leader and known.moving else (0, 0)
         if of != self._settling_of:
             self._settling_of, self.settling = of, None
             if of[1] and known.parts is not None and newest is not None and newest.old is not None:
--- a/cherrygrade/fleet/runtime/council_server.py
+++ b/cherrygrade/fleet/runtime/council_server.py
@@ -18,8 +18,7 @@
 import msgspec
 
 from cherrygrade.fleet.config.versions import QuotaDivisors, difference
-from cherrygrade.fleet.consensus import raft
-from cherrygrade.fleet.consensus.raft import PersistentState
+from cherrygrade.fleet.consensus.raft_messages import AnyRaftMessage, PersistentState
 from cherrygrade.fleet.consensus.voter import (
     AnyReply,
     AnyRequest,
@@ -49,7 +48,7 @@
 """Of the texts before and after a change: why it is refused, or "" and the divisors of the site that comes of
 it and of the one before. Blocking; it may touch nothing of the dispatcher's."""
 
-_word = msgspec.msgpack.Decoder(raft.AnyRaftMessage)
+_word = msgspec.msgpack.Decoder(AnyRaftMessage)
 _ask = msgspec.msgpack.Decoder(AnyRequest)
 _answer = msgspec.msgpack.Decoder(AnyReply)
 _encode = msgspec.msgpack.Encoder().encode
@@ -225,7 +224,9 @@
             self.store.me, stored, self.council.voters, self._seed, self.clock(), self.council.drift
         )
         votes = self.store.me in self.voter.raft.voters
-        self._log("council", me=self.store.me, term=stored.term, last=self.voter.raft.last, votes=votes)
+        self._log(
+            "council", me=self.store.me, term=stored.term, last=self.voter.raft.log.last_index, votes=votes
+        )
         self._set()
 
     def close(self) -> None:
@@ -258,14 +259,14 @@
         told |= {"said_bytes": self.said_bytes, "writes": self.writes}
         if voter is not None and self.store is not None:
             known, now = voter.raft, self.clock()
-            leads = known.leads
+            leads = known.is_leader
             told |= {
                 "leader": voter.leader,
                 "me": self.store.me,
                 "votes": self.store.me in known.voters,
                 "voters": [*known.voters],
                 "term": known.term,
-                "agreed": known.agreed,
+                "agreed": known.commit_index,
                 "leases": [
                     {
                         "task": one.task,
@@ -317,7 +318,7 @@
             self._do(voter.let_in(msgspec.msgpack.decode(body, type=str), now))
 
     def _asked(self, voter: Voter, ask: AnyRequest, by: CouncilConnection | None) -> None:
-        if not (isinstance(ask, PutConfig) and voter.raft.leads):
+        if not (isinstance(ask, PutConfig) and voter.raft.is_leader):
             self._do(voter.ask(ask, by, self.clock()))
         elif ask.id not in self.judging:  # else it is asked again, and the first answer is on its way
             if len(self.judging) >= MOST_JUDGING:
@@ -358,20 +359,20 @@
             self._let_in_at = now + LET_IN_MS
             for name in self.council.voters:
                 if name != self.name:
-                    self._line(name).say(b"j", self.voter.raft.me)
+                    self._line(name).say(b"j", self.voter.raft.name)
         self._do(self.voter.tick(now))
 
     @property
     def _outside(self) -> bool:
         """It would vote, and its store is no voter's."""
-        return self.voter is not None and self.voter.raft.me not in self.voter.raft.voters
+        return self.voter is not None and self.voter.raft.name not in self.voter.raft.voters
 
     def _do(self, does: VoterEffects) -> None:
         voter = self.voter
         assert voter is not None
-        self._steps.append((does, voter.raft.last))
+        self._steps.append((does, voter.raft.log.last_index))
         if self._writing is None:
-            if any(step.writes for step in does.steps):
+            if any(step.has_writes for step in does.steps):
                 self._writing = asyncio.get_running_loop().create_task(self._write())
             else:
                 self._steps.clear()
@@ -384,7 +385,7 @@
         try:
             while self._steps and self.store is not None:
                 does, last = self._steps[0]
-                if any(step.writes for step in does.steps):
+                if any(step.has_writes for step in does.steps):
                     await loop.run_in_executor(self._disk, self._put, self.store, does, last)
                 self._steps.popleft()
                 self._leave(does)
@@ -396,7 +397,7 @@
     def _put(self, store: VoterStore, does: VoterEffects, last: int) -> None:
         for step in does.steps:
             store.write(step, last)
-            self.writes += step.writes
+            self.writes += step.has_writes
 
     def _leave(self, does: VoterEffects) -> None:
         """What rests on what is on disk."""
--- a/cherrygrade/fleet/runtime/voter_store.py
+++ b/cherrygrade/fleet/runtime/voter_store.py
@@ -19,7 +19,7 @@
 import msgspec
 import xxhash
 
-from cherrygrade.fleet.consensus.raft import LogEntry, PersistentState, RaftEffects, Snapshot
+from cherrygrade.fleet.consensus.raft_messages import LogEntry, PersistentState, RaftEffects, Snapshot
 from cherrygrade.fleet.consensus.voter import founded
 from cherrygrade.fleet.errors import AlreadyFoundedError, NotAVoterError
 
@@ -136,17 +136,17 @@
 
     def write(self, does: RaftEffects, last: int) -> None:
         """All that a step writes, at once; on disk when it returns. `last`: the log's last index after it."""
-        if not does.writes:
+        if not does.has_writes:
             return
         with self._env.begin(write=True) as txn:
-            if does.hard is not None:
-                txn.put(HARD, sealed(HARD, msgspec.msgpack.encode(HardState(*does.hard))))
-            if does.base is not None:
-                txn.put(BASE, sealed(BASE, msgspec.msgpack.encode(does.base)))
-                self._drop(txn, 0, does.base.index)
-            if does.since:
+            if does.term_and_vote is not None:
+                txn.put(HARD, sealed(HARD, msgspec.msgpack.encode(HardState(*does.term_and_vote))))
+            if does.snapshot is not None:
+                txn.put(BASE, sealed(BASE, msgspec.msgpack.encode(does.snapshot)))
+                self._drop(txn, 0, does.snapshot.index)
+            if does.first_index:
                 for at, entry in enumerate(does.entries):
-                    key = place(does.since + at)
+                    key = place(does.first_index + at)
                     txn.put(key, sealed(key, msgspec.msgpack.encode(entry)))
                 self._drop(txn, last + 1, 2**63)
 
@@ -190,7 +190,7 @@
     if (folder / "council.mdb").exists():
         raise AlreadyFoundedError(f"{folder} holds a voter's store")
     store = VoterStore(folder, fleet, name, "0")
-    store.write(RaftEffects(base=founded(voters)), 0)
+    store.write(RaftEffects(snapshot=founded(voters)), 0)
     store.close()
 
 
--- a/cherrygrade/lab/exploration/voters.py
+++ b/cherrygrade/lab/exploration/voters.py
@@ -1,4 +1,4 @@
-"""A model of three voters for exploration: the council's log (`fleet/council/raft.py`), as it is.
+"""A model of three voters for exploration: the council's log (`fleet/consensus/raft.py`), as it is.
 
 Time is left out: anybody may stand at any moment, which covers every clock and every pause. The network is
 the set of all words ever sent: each may come at any time, again, or never. Each voter's disk is kept apart
@@ -11,7 +11,9 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from cherrygrade.fleet.consensus.raft import AnyRaftMessage, LogEntry, PersistentState, Raft, Role, Snapshot
+from cherrygrade.fleet.consensus.raft import Raft
+from cherrygrade.fleet.consensus.raft_messages import AnyRaftMessage, LogEntry, PersistentState, Snapshot
+from cherrygrade.fleet.consensus.raft_role import Role
 from cherrygrade.lab.exploration.explore import Breach, Told
 
 NAMES = ("a", "b", "c")
@@ -61,24 +63,24 @@
 
 def thaw(name: str, voter: Voter) -> Raft:
     raft = Raft(name, PersistentState(voter.term, voter.vote, FIRST, [*voter.entries]), 1, LATE)
-    raft.agreed, raft.role, raft.votes = voter.agreed, Role(voter.role), {*voter.votes}
-    raft.next, raft.match = dict(voter.next), dict(voter.match)
+    raft.commit_index, raft.role, raft.votes = voter.agreed, Role(voter.role), {*voter.votes}
+    raft.progress.next_index, raft.progress.match_index = dict(voter.next), dict(voter.match)
     return raft
 
 
 def freeze(raft: Raft, disk: Disk) -> Voter:
-    entries = tuple(raft.entries)
-    leads = raft.leads
+    entries = tuple(raft.log.entries)
+    leads = raft.is_leader
     return Voter(
         disk,
         raft.term,
         raft.vote,
         entries,
-        raft.agreed,
+        raft.commit_index,
         raft.role.value,
         frozenset(raft.votes),
-        tuple(sorted(raft.next.items())) if leads else (),
-        tuple(sorted(raft.match.items())) if leads else (),
+        tuple(sorted(raft.progress.next_index.items())) if leads else (),
+        tuple(sorted(raft.progress.match_index.items())) if leads else (),
     )
 
 
@@ -93,16 +95,16 @@
         self._after: dict[tuple[int, Voter, str, object], tuple[Voter, int]] = {}
 
     def start(self) -> Now:
-        voter = Voter(Disk(0, "", ()), 0, "", (), 0, Role.FOLLOWS.value, frozenset(), (), ())
+        voter = Voter(Disk(0, "", ()), 0, "", (), 0, Role.FOLLOWER.value, frozenset(), (), ())
         return Now((voter,) * len(NAMES), 0, (), (), 0, 0, 0)
 
     def steps(self, now: Now) -> Iterator[tuple[str, Now]]:
         bounds = self.bounds
         for at, name in enumerate(NAMES):
             voter = now.voters[at]
-            if voter.role != Role.LEADS.value and now.stands < bounds.stands:
+            if voter.role != Role.LEADER.value and now.stands < bounds.stands:
                 yield f"{name} stands", self._does(now._replace(stands=now.stands + 1), at, "stand", None)
-            if voter.role == Role.LEADS.value and now.proposals < bounds.proposals:
+            if voter.role == Role.LEADER.value and now.proposals < bounds.proposals:
                 more = now._replace(proposals=now.proposals + 1)
                 yield f"{name} is asked", self._does(more, at, "propose", b"%d" % now.proposals)
             if now.crashes < bounds.crashes:
@@ -116,7 +118,7 @@
     def _crash(self, now: Now, at: int) -> Now:
         disk = now.voters[at].disk
         vote = "" if self.forgets else disk.vote
-        voter = Voter(disk, disk.term, vote, disk.entries, 0, Role.FOLLOWS.value, frozenset(), (), ())
+        voter = Voter(disk, disk.term, vote, disk.entries, 0, Role.FOLLOWER.value, frozenset(), (), ())
         voters = (*now.voters[:at], voter, *now.voters[at + 1 :])
         return now._replace(voters=voters, crashes=now.crashes + 1)
 
@@ -124,25 +126,25 @@
         key = (at, voter, act, what)
         if key not in self._after:
             raft = thaw(NAMES[at], voter)
-            before = Disk(raft.term, raft.vote, tuple(raft.entries))
+            before = Disk(raft.term, raft.vote, tuple(raft.log.entries))
             if act == "stand":
-                raft.stand(LATE)
-                does = raft._done()
+                raft.start_election(LATE)
+                does = raft._take_effects()
             elif act == "propose":
                 _, does = raft.propose(what, LATE)
             else:
-                does = raft.hear(what, LATE)
+                does = raft.receive(what, LATE)
             disk = voter.disk
             if not self.syncs:  # what the step before wrote is on disk by now, not this one's
                 disk = before
             else:
-                if does.hard is not None:
-                    disk = disk._replace(term=does.hard[0], vote=does.hard[1])
-                if does.since:
-                    disk = disk._replace(entries=(*disk.entries[: does.since - 1], *does.entries))
-                if disk != Disk(raft.term, raft.vote, tuple(raft.entries)):
+                if does.term_and_vote is not None:
+                    disk = disk._replace(term=does.term_and_vote.term, vote=does.term_and_vote.vote)
+                if does.first_index:
+                    disk = disk._replace(entries=(*disk.entries[: does.first_index - 1], *does.entries))
+                if disk != Disk(raft.term, raft.vote, tuple(raft.log.entries)):
                     raise Breach(f"{NAMES[at]}: what it wrote is not what it knows: {disk}")
-            self._after[key] = freeze(raft, disk), self._told.mask(does.mail)
+            self._after[key] = freeze(raft, disk), self._told.mask(does.messages)
         return self._after[key]
 
     def _does(self, now: Now, at: int, act: str, what: Any) -> Now:
@@ -154,7 +156,7 @@
         if prefix[:shorter] != agreed[:shorter]:
             raise Breach(f"{NAMES[at]} takes {prefix} for agreed, where {agreed} is")
         agreed = max(agreed, prefix, key=len)
-        if after.role == Role.LEADS.value:
+        if after.role == Role.LEADER.value:
             if any(term == after.term and name != NAMES[at] for term, name in leaders):
                 raise Breach(f"two lead in term {after.term}: {leaders} and {NAMES[at]}")
             leaders = tuple(sorted({*leaders, (after.term, NAMES[at])}))
@@ -162,7 +164,7 @@
 
     def wrong(self, now: Now) -> str:
         for name, voter in zip(NAMES, now.voters, strict=True):
-            newest = voter.role == Role.LEADS.value and voter.term == max(term for term, _ in now.leaders)
+            newest = voter.role == Role.LEADER.value and voter.term == max(term for term, _ in now.leaders)
             if newest and voter.entries[: len(now.agreed)] != now.agreed:
                 return f"{name} leads in term {voter.term} with {voter.entries}, and {now.agreed} is agreed"
         return ""
--- a/tests/fleet/config/test_config_log.py
+++ b/tests/fleet/config/test_config_log.py
@@ -9,7 +9,9 @@
 
 from cherrygrade.fleet.config.versions import QuotaDivisors, difference
 from cherrygrade.fleet.consensus import state_machine, voter
-from cherrygrade.fleet.consensus.raft import MOST_SENT_BYTES, AppendEntries, PersistentState, Raft
+from cherrygrade.fleet.consensus.raft import Raft
+from cherrygrade.fleet.consensus.raft_log import MAX_BYTES_PER_MESSAGE
+from cherrygrade.fleet.consensus.raft_messages import AppendEntries, PersistentState
 from cherrygrade.fleet.consensus.state_machine import StateMachine
 from cherrygrade.fleet.consensus.voter import (
     AcquireLease,
@@ -92,7 +94,7 @@
 
 
 def test_a_voter_alone_answers_what_it_agreed_with_itself_at_once():
-    one = Voter("d0/0", PersistentState(base=founded(["d0"])), ["d0"], 1, 0.0, 0.005)
+    one = Voter("d0/0", PersistentState(snapshot=founded(["d0"])), ["d0"], 1, 0.0, 0.005)
     one.tick(one.due())
     assert one.leads
     put = one.put(PutConfig("a", "x", 0, "operator"), ConfigVerdict("", SEATS, SEATS), "asker", 2000.0)
@@ -146,7 +148,7 @@
         assert number(council.put(f"a: {at}\n", at, f"id {at}")) == at + 1
     name = council.leader()
     before = council.known(name)
-    assert council.disks[name].base.data
+    assert council.disks[name].snapshot.data
     for one in NAMES:
         council.restart(one)
     council.pass_ms(3000.0)
@@ -160,7 +162,7 @@
     for at in range(8):
         text = "".join(f"key{at}_{line}: {line}\n" for line in range(2000))
         assert number(council.put(text, at, f"id {at}")) == at + 1
-        held = sum(len(entry.payload) for entry in council.voters[council.leader()].raft.entries)
+        held = sum(len(entry.payload) for entry in council.voters[council.leader()].raft.log.entries)
         assert held < 100_000 + 50_000
 
 
@@ -196,20 +198,20 @@
 
 def test_a_message_between_voters_holds_a_bounded_number_of_bytes_and_one_entry_at_least():
     raft = Raft("a/0", PersistentState(0, "", voter.founded(["a", "b", "c"]), []), 1, 0.0)
-    raft.stand(1000.0)
-    raft.hear(voter_vote("b/0", raft.term), 1000.0)
-    assert raft.leads
-    sizes = [300_000] * 9 + [3 * MOST_SENT_BYTES]
+    raft.start_election(1000.0)
+    raft.receive(voter_vote("b/0", raft.term), 1000.0)
+    assert raft.is_leader
+    sizes = [300_000] * 9 + [3 * MAX_BYTES_PER_MESSAGE]
     for size in sizes:
         _, does = raft.propose(bytes(size), 1000.0)
-        said = [word for _, word in does.mail if isinstance(word, AppendEntries)]
+        said = [word for _, word in does.messages if isinstance(word, AppendEntries)]
         assert said
         for word in said:
             length = sum(len(entry.payload) for entry in word.entries)
-            assert len(word.entries) == 1 or length <= MOST_SENT_BYTES
+            assert len(word.entries) == 1 or length <= MAX_BYTES_PER_MESSAGE
 
 
 def voter_vote(name: str, term: int):
-    from cherrygrade.fleet.consensus.raft import VoteReply
+    from cherrygrade.fleet.consensus.raft_messages import VoteReply
 
     return VoteReply(name, term, True)
--- a/tests/fleet/consensus/test_raft.py
+++ b/tests/fleet/consensus/test_raft.py
@@ -9,17 +9,17 @@
 
 import pytest
 
-from cherrygrade.fleet.consensus.raft import (
+from cherrygrade.fleet.consensus.raft import Raft
+from cherrygrade.fleet.consensus.raft_messages import (
     AppendEntries,
     AppendReply,
     LogEntry,
     PersistentState,
-    Raft,
     RaftEffects,
     RequestVote,
-    Role,
     Snapshot,
 )
+from cherrygrade.fleet.consensus.raft_role import Role
 from cherrygrade.lab.exploration.explore import explore
 from cherrygrade.lab.exploration.voters import Bounds, Voters
 
@@ -33,7 +33,7 @@
         self.random, self.lost, self.late_ms = Random(seed), lost, late_ms
         self.now, self.turn, self.seed = 0.0, 0, seed
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.disks = {name: PersistentState(base=Snapshot(voters=names)) for name in names}
+        self.disks = {name: PersistentState(snapshot=Snapshot(voters=names)) for name in names}
         self.voters: dict[str, Raft] = {}
         self.lives = dict.fromkeys(names, 0)
         self.cut: set[frozenset[str]] = set()
@@ -46,7 +46,7 @@
         self.lives[name] += 1
         disk = self.disks[name]
         self.voters[name] = Raft(name, disk, self.seed * 100 + self.lives[name], self.now)
-        self.states[name] = disk.base.data.split(b",") if disk.base.data else []
+        self.states[name] = disk.snapshot.data.split(b",") if disk.snapshot.data else []
         self.wake(name, self.lives[name])
 
     def crash(self, name: str) -> None:
@@ -65,24 +65,24 @@
 
     def carry(self, name: str, does: RaftEffects) -> None:
         disk = self.disks[name]
-        if does.hard is not None:
-            disk.term, disk.vote = does.hard
-        if does.base is not None:
-            kept = disk.entries[max(0, does.base.index - disk.base.index) :]
-            disk.base, disk.entries = does.base, kept
-        if does.since:
-            at = does.since - disk.base.index - 1
+        if does.term_and_vote is not None:
+            disk.term, disk.vote = does.term_and_vote
+        if does.snapshot is not None:
+            kept = disk.entries[max(0, does.snapshot.index - disk.snapshot.index) :]
+            disk.snapshot, disk.entries = does.snapshot, kept
+        if does.first_index:
+            at = does.first_index - disk.snapshot.index - 1
             disk.entries = [*disk.entries[:at], *does.entries]
         raft = self.voters[name]
-        on_disk = (disk.term, disk.vote, disk.base, disk.entries)
-        assert on_disk == (raft.term, raft.vote, raft.base, raft.entries)
+        on_disk = (disk.term, disk.vote, disk.snapshot, disk.entries)
+        assert on_disk == (raft.term, raft.vote, raft.log.snapshot, raft.log.entries)
         if does.restored is not None:
             self.states[name] = does.restored.data.split(b",") if does.restored.data else []
-        for index, entry in does.agreed:
+        for index, entry in does.committed:
             assert self.agreed.setdefault(index, entry) == entry, "two entries agreed at one index"
             if entry.payload:
                 self.states[name].append(entry.payload)
-        for to, word in does.mail:
+        for to, word in does.messages:
             if frozenset((name, to)) not in self.cut and self.random.random() >= self.lost:
                 for _ in range(1 + (self.random.random() < self.lost)):
                     self.later(self.late_ms * self.random.random(), self.came, to, word)
@@ -90,7 +90,7 @@
     def came(self, to: str, word: Any) -> None:
         raft = self.voters.get(to)
         if raft is not None:
-            self.carry(to, raft.hear(word, self.now))
+            self.carry(to, raft.receive(word, self.now))
 
     def run(self, ms: float, holds: Callable[[], bool] = lambda: False) -> bool:
         ends = self.now + ms
@@ -103,7 +103,7 @@
         return holds()
 
     def leader(self) -> Raft | None:
-        leads = [raft for raft in self.voters.values() if raft.leads]
+        leads = [raft for raft in self.voters.values() if raft.is_leader]
         return max(leads, key=lambda raft: raft.term, default=None)
 
     def propose(self, payload: bytes) -> bool:
@@ -111,7 +111,7 @@
         if leader is None:
             return False
         index, does = leader.propose(payload, self.now)
-        self.carry(leader.me, does)
+        self.carry(leader.name, does)
         return index > 0
 
     def split(self, some: str) -> None:
@@ -129,28 +129,28 @@
 
 
 def no_look_at_logs(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(RequestVote, "last_term", property(lambda self: 10**6))
+    patch.setattr(RequestVote, "last_log_term", property(lambda self: 10**6))
 
 
 def half_is_enough(patch: pytest.MonkeyPatch) -> None:
-    def majority(self: Raft, names: Any) -> bool:
+    def is_majority(self: Raft, names: Any) -> bool:
         return 2 * len({*names} & {*self.voters}) + 1 >= len(self.voters)
 
-    patch.setattr(Raft, "majority", majority)
+    patch.setattr(Raft, "is_majority", is_majority)
 
 
 def what_does_not_fit_is_taken(patch: pytest.MonkeyPatch) -> None:
     def take(self: Raft, word: AppendEntries) -> None:
-        if word.index > self.last:
-            self._send(word.by, AppendReply(self.me, self.term, False, self.last))
+        if word.prev_log_index > self.log.last_index:
+            self._send(word.sender, AppendReply(self.name, self.term, False, self.log.last_index))
             return
         if word.entries:
-            self._put(word.index + 1, [*word.entries])
-        match = word.index + len(word.entries)
-        self._agreed(min(word.agreed, match))
-        self._send(word.by, AppendReply(self.me, self.term, True, match))
+            self._replace_from(word.prev_log_index + 1, [*word.entries])
+        match = word.prev_log_index + len(word.entries)
+        self._commit_up_to(min(word.commit_index, match))
+        self._send(word.sender, AppendReply(self.name, self.term, True, match))
 
-    patch.setattr(Raft, "_take", take)
+    patch.setattr(Raft, "_on_append_entries", take)
 
 
 @pytest.mark.parametrize(
@@ -180,16 +180,16 @@
     # Figure 8 of the paper: a majority has it, and who lacks it could still be elected.
     old = PersistentState(2, "", Snapshot(voters=("a", "b", "c")), [LogEntry(1, b"x")])
     raft = Raft("a", old, 1, 0.0)
-    raft.stand(0.0)
-    raft._done()
-    raft._lead(0.0)
-    raft._done()
-    raft.match["b"] = 1
-    raft._agree()
-    assert raft.agreed == 0
-    raft.match["b"] = 2  # its own term's entry carries it
-    raft._agree()
-    assert raft.agreed == 2
+    raft.start_election(0.0)
+    raft._take_effects()
+    raft._become_leader(0.0)
+    raft._take_effects()
+    raft.progress.match_index["b"] = 1
+    raft._advance_commit_index()
+    assert raft.commit_index == 0
+    raft.progress.match_index["b"] = 2  # its own term's entry carries it
+    raft._advance_commit_index()
+    assert raft.commit_index == 2
 
 
 # Days by seed.
@@ -214,9 +214,9 @@
             council.cut = set()
         asked += council.propose(b"%d" % step)
         leader = council.leader()
-        if leader is not None and leader.agreed > leader.base.index + 5:
-            does = leader.compact(leader.agreed, b",".join(council.states[leader.me]))
-            council.carry(leader.me, does)
+        if leader is not None and leader.commit_index > leader.log.snapshot.index + 5:
+            does = leader.compact(leader.commit_index, b",".join(council.states[leader.name]))
+            council.carry(leader.name, does)
     council.cut, council.lost = set(), 0.0
     for name in {*FIVE} - {*council.voters}:
         council.begin(name)
@@ -236,7 +236,7 @@
         council.run(300.0)
         leader = council.leader()
         assert leader is not None
-        council.crash(leader.me)
+        council.crash(leader.name)
         killed = council.now
         assert council.run(5000.0, lambda: council.propose(b"again"))  # noqa: B023
         worst = max(worst, council.now - killed)
@@ -248,7 +248,7 @@
     council.run(3000.0)
     leader = council.leader()
     assert leader is not None
-    other = next(name for name in FIVE if name != leader.me)
+    other = next(name for name in FIVE if name != leader.name)
     term = leader.term
     for _ in range(10):
         council.split(other)
@@ -263,11 +263,11 @@
     council.run(3000.0)
     old = council.leader()
     assert old is not None
-    council.split(old.me)
+    council.split(old.name)
     council.propose(b"lost")
-    agreed = old.agreed
+    agreed = old.commit_index
     council.run(3000.0)
-    assert old.role is not Role.LEADS and old.agreed == agreed
+    assert old.role is not Role.LEADER and old.commit_index == agreed
     assert council.propose(b"kept")
     council.run(500.0)
     council.cut = set()
@@ -283,26 +283,26 @@
     for index in range(10):
         council.propose(b"%d" % index)
     council.run(500.0)
-    council.carry(leader.me, leader.compact(leader.agreed, b",".join(council.states[leader.me])))
+    council.carry(leader.name, leader.compact(leader.commit_index, b",".join(council.states[leader.name])))
     council.disks["d"] = PersistentState()
     council.lives["d"] = 0
     council.begin("d")
     council.run(3000.0)
-    assert council.voters["d"].role is Role.FOLLOWS and not council.voters["d"].elections  # it has no vote
-    told, does = leader.change(("a", "b", "c", "d"), council.now)
+    assert council.voters["d"].role is Role.FOLLOWER and not council.voters["d"].elections  # it has no vote
+    told, does = leader.change_voters(("a", "b", "c", "d"), council.now)
     assert not told  # it lacks the log
-    council.carry(leader.me, does)
-    council.carry(leader.me, leader.admit("d", council.now))
+    council.carry(leader.name, does)
+    council.carry(leader.name, leader.add_learner("d", council.now))
     council.run(500.0)
     assert council.states["d"] == [b"%d" % index for index in range(10)]
-    told, does = leader.change(("a", "b", "c", "d"), council.now)
-    council.carry(leader.me, does)
+    told, does = leader.change_voters(("a", "b", "c", "d"), council.now)
+    council.carry(leader.name, does)
     assert told
-    again, does = leader.change(("a", "b", "d"), council.now)
-    council.carry(leader.me, does)
+    again, does = leader.change_voters(("a", "b", "d"), council.now)
+    council.carry(leader.name, does)
     assert not again  # the one before is not agreed yet
     council.run(500.0)
     assert council.voters["d"].voters == ("a", "b", "c", "d")
-    council.crash(min({"a", "b", "c"} - {leader.me}))
+    council.crash(min({"a", "b", "c"} - {leader.name}))
     council.propose(b"by three")
     assert council.run(1000.0, lambda: council.states["d"][-1:] == [b"by three"])
--- a/tests/fleet/leases/test_leases.py
+++ b/tests/fleet/leases/test_leases.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from cherrygrade.fleet.consensus.raft import PersistentState
+from cherrygrade.fleet.consensus.raft_messages import PersistentState
 from cherrygrade.fleet.consensus.voter import (
     AcquireLease,
     CouncilStatus,
@@ -39,7 +39,7 @@
 
     def _voter(self, name: str) -> Voter:
         disk = self.disks[name]
-        stored = PersistentState(disk.term, disk.vote, disk.base, [*disk.entries])
+        stored = PersistentState(disk.term, disk.vote, disk.snapshot, [*disk.entries])
         return Voter(f"{name}/0", stored, NAMES, 1, self.now, DRIFT)
 
     def restart(self, name: str) -> None:
@@ -48,13 +48,13 @@
     def do(self, name: str, does) -> None:
         disk = self.disks[name]
         for step in does.steps:
-            if step.hard is not None:
-                disk.term, disk.vote = step.hard
-            if step.base is not None:
-                drop = step.base.index - disk.base.index
-                disk.base, disk.entries = step.base, disk.entries[drop:]
-            if step.since:
-                disk.entries = disk.entries[: step.since - disk.base.index - 1] + step.entries
+            if step.term_and_vote is not None:
+                disk.term, disk.vote = step.term_and_vote
+            if step.snapshot is not None:
+                drop = step.snapshot.index - disk.snapshot.index
+                disk.snapshot, disk.entries = step.snapshot, disk.entries[drop:]
+            if step.first_index:
+                disk.entries = disk.entries[: step.first_index - disk.snapshot.index - 1] + step.entries
         self.answers += [answer for _, answer in does.answers]
         for to, word in does.mail:
             near = to.partition("/")[0]
@@ -71,7 +71,7 @@
 
     def leader(self) -> str:
         for _ in range(100):
-            found = [n for n, v in self.voters.items() if v.raft.leads and n not in self.cut]
+            found = [n for n, v in self.voters.items() if v.raft.is_leader and n not in self.cut]
             if found:
                 return found[0]
             self.pass_ms(100.0)
@@ -113,14 +113,14 @@
     council, one = Council(), LeaseHolder("x", 1, TTL, DRIFT)
     for at in range(50):
         assert council.take(one, f"t{at}")
-    before = council.voters[council.leader()].raft.last
+    before = council.voters[council.leader()].raft.log.last_index
     for _ in range(10):
         council.pass_ms(1000.0)
         council.renew(one)
     asked, same = one.renew(council.now)
     short = council.ask(RenewLeases(asked, "x", 1, same))
     assert isinstance(short, LeasesRenewed) and short.same and not short.numbers
-    assert len(one.held) == 50 and council.voters[council.leader()].raft.last == before
+    assert len(one.held) == 50 and council.voters[council.leader()].raft.log.last_index == before
     assert all(one.may(f"t{at}", council.now) for at in range(50))
 
 
@@ -242,7 +242,7 @@
             number = one.give(f"t{at}")
             council.ask(ReleaseLease(one.ask(council.now), f"t{at}", number))
     leader = council.leader()
-    assert council.disks[leader].base.index > 0
+    assert council.disks[leader].snapshot.index > 0
     for name in NAMES:
         council.restart(name)
     council.leader()
@@ -298,7 +298,7 @@
         """To whoever takes itself for the leader, cut off or not."""
         self.council.answers.clear()
         for name, voter in self.council.voters.items():
-            if voter.raft.leads:
+            if voter.raft.is_leader:
                 self.council.do(name, voter.ask(ask, "asker", self.council.now))
         self.council.pass_ms(50.0)
         return next((one for one in self.council.answers if not isinstance(one, NotLeader)), None)
--- a/tests/fleet/runtime/test_voter_store.py
+++ b/tests/fleet/runtime/test_voter_store.py
@@ -11,23 +11,30 @@
 
 import pytest
 
-from cherrygrade.fleet.consensus.raft import LogEntry, PersistentState, RaftEffects, Snapshot
+from cherrygrade.fleet.consensus.raft_messages import (
+    LogEntry,
+    PersistentState,
+    RaftEffects,
+    Snapshot,
+    TermAndVote,
+)
 from cherrygrade.fleet.runtime.voter_store import VoterStore, VoterStoreError, open_store
 
 ROOT = Path(__file__).parents[3]
 WRITER = """
 import sys
 from pathlib import Path
-from cherrygrade.fleet.consensus.raft import Snapshot, RaftEffects, LogEntry
+from cherrygrade.fleet.consensus.raft_messages import Snapshot, RaftEffects, LogEntry, TermAndVote
 from cherrygrade.fleet.runtime.voter_store import VoterStore
 store = VoterStore(Path(sys.argv[1]), "f", "a", "m")
 found = store.load()
-last, term = found.base.index + len(found.entries), found.term
+last, term = found.snapshot.index + len(found.entries), found.term
 while True:
     last, term = last + 1, term + 1
-    does = RaftEffects(hard=(term, "a"), since=last, entries=[LogEntry(term, b"%d" % last * 50)])
+    entries = [LogEntry(term, b"%d" % last * 50)]
+    does = RaftEffects(term_and_vote=TermAndVote(term, "a"), first_index=last, entries=entries)
     if last % 7 == 0:
-        does.base = Snapshot(last - 3, term - 3, ("a",), b"state")
+        does.snapshot = Snapshot(last - 3, term - 3, ("a",), b"state")
     store.write(does, last)
     print(last, term, flush=True)
 """
@@ -36,14 +43,16 @@
 def filled(folder: Path, count: int = 6) -> VoterStore:
     store = VoterStore(folder, "f", "a", "m")
     entries = [LogEntry(1, b"%d" % at) for at in range(count)]
-    store.write(RaftEffects(hard=(1, "a"), since=1, entries=entries), count)
+    store.write(RaftEffects(term_and_vote=TermAndVote(1, "a"), first_index=1, entries=entries), count)
     return store
 
 
 def test_what_was_written_is_read_back_and_what_it_replaced_is_gone(tmp_path: Path) -> None:
     store = filled(tmp_path)
-    store.write(RaftEffects(hard=(2, ""), since=4, entries=[LogEntry(2, b"other")]), 4)
-    store.write(RaftEffects(base=Snapshot(2, 1, ("a", "b"), b"state")), 4)
+    store.write(
+        RaftEffects(term_and_vote=TermAndVote(2, ""), first_index=4, entries=[LogEntry(2, b"other")]), 4
+    )
+    store.write(RaftEffects(snapshot=Snapshot(2, 1, ("a", "b"), b"state")), 4)
     store.close()
     store = VoterStore(tmp_path, "f", "a", "another mark")
     assert store.me == "a/m"
@@ -69,10 +78,10 @@
         store = VoterStore(tmp_path, "f", "a", "m")
         held = store.load()
         store.close()
-        last = held.base.index + len(held.entries)
+        last = held.snapshot.index + len(held.entries)
         assert (last, held.term) >= told and last - told[0] <= 1
         assert [entry.payload for entry in held.entries] == [
-            b"%d" % at * 50 for at in range(held.base.index + 1, last + 1)
+            b"%d" % at * 50 for at in range(held.snapshot.index + 1, last + 1)
         ]
     assert told[0] > 100
 
--- a/tests/golden/test_disk.py
+++ b/tests/golden/test_disk.py
@@ -9,7 +9,7 @@
 import pytest
 from support import golden
 
-from cherrygrade.fleet.consensus.raft import LogEntry, RaftEffects, Snapshot
+from cherrygrade.fleet.consensus.raft_messages import LogEntry, RaftEffects, Snapshot, TermAndVote
 from cherrygrade.fleet.runtime import voter_store
 from cherrygrade.fleet.runtime.sealed_file import SealedFile, SealedFileError
 
@@ -31,12 +31,19 @@
     store = voter_store.VoterStore(folder, FLEET, VOTER, "5eed")
     store.write(
         RaftEffects(
-            hard=(3, "voter-2/0"), since=1, entries=[LogEntry(1, b"one"), LogEntry(2, b"two", ("a", "b"))]
+            term_and_vote=TermAndVote(3, "voter-2/0"),
+            first_index=1,
+            entries=[LogEntry(1, b"one"), LogEntry(2, b"two", ("a", "b"))],
         ),
         2,
     )
-    store.write(RaftEffects(since=2, entries=[LogEntry(3, b"other two"), LogEntry(3, b"three")]), 3)
-    store.write(RaftEffects(hard=(4, ""), base=Snapshot(1, 1, ("voter-1/5eed", "voter-2/0"), b"state")), 3)
+    store.write(RaftEffects(first_index=2, entries=[LogEntry(3, b"other two"), LogEntry(3, b"three")]), 3)
+    store.write(
+        RaftEffects(
+            term_and_vote=TermAndVote(4, ""), snapshot=Snapshot(1, 1, ("voter-1/5eed", "voter-2/0"), b"state")
+        ),
+        3,
+    )
     store.close()
 
 
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -12,7 +12,7 @@
 from support import golden
 
 from cherrygrade.fleet.config import replica, versions
-from cherrygrade.fleet.consensus import disruption_budget, drain_permits, raft, state_machine, voter
+from cherrygrade.fleet.consensus import disruption_budget, drain_permits, raft_messages, state_machine, voter
 from cherrygrade.fleet.leases import lease_table
 from cherrygrade.fleet.membership import messages as membership_messages
 from cherrygrade.fleet.membership import reachability, table
@@ -77,15 +77,15 @@
     "fleet.council.permits.Permit": drain_permits.DrainPermit,
     "fleet.council.permits.Told": drain_permits.PermitOutcome,
     "fleet.council.permits.State": drain_permits.DrainPermitsState,
-    "fleet.council.raft.Entry": raft.LogEntry,
-    "fleet.council.raft.Base": raft.Snapshot,
-    "fleet.council.raft.Stored": raft.PersistentState,
-    "fleet.council.raft.Word": raft.RaftMessage,
-    "fleet.council.raft.AskVote": raft.RequestVote,
-    "fleet.council.raft.Vote": raft.VoteReply,
-    "fleet.council.raft.Append": raft.AppendEntries,
-    "fleet.council.raft.Appended": raft.AppendReply,
-    "fleet.council.raft.Install": raft.InstallSnapshot,
+    "fleet.council.raft.Entry": raft_messages.LogEntry,
+    "fleet.council.raft.Base": raft_messages.Snapshot,
+    "fleet.council.raft.Stored": raft_messages.PersistentState,
+    "fleet.council.raft.Word": raft_messages.RaftMessage,
+    "fleet.council.raft.AskVote": raft_messages.RequestVote,
+    "fleet.council.raft.Vote": raft_messages.VoteReply,
+    "fleet.council.raft.Append": raft_messages.AppendEntries,
+    "fleet.council.raft.Appended": raft_messages.AppendReply,
+    "fleet.council.raft.Install": raft_messages.InstallSnapshot,
     "fleet.council.voter.Ask": voter.CouncilRequest,
     "fleet.council.voter.AskTake": voter.AcquireLease,
     "fleet.council.voter.AskGive": voter.ReleaseLease,
