--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -29,15 +29,15 @@
 
 from cherrygrade.client.library import Client, Ok
 from cherrygrade.compiled import dispatcher
-from cherrygrade.fleet.consensus.raft_messages import AnyRaftMessage
-from cherrygrade.fleet.consensus.voter import (
+from cherrygrade.fleet.consensus.council_messages import (
     AcquireLease,
     LeaseAcquired,
     LeasesRenewed,
     RenewLeases,
-    Voter,
-    VoterEffects,
 )
+from cherrygrade.fleet.consensus.raft_messages import AnyRaftMessage
+from cherrygrade.fleet.consensus.voter import Voter
+from cherrygrade.fleet.consensus.voter_effects import VoterEffects
 from cherrygrade.fleet.leases.lease_table import digest
 from cherrygrade.fleet.runtime.status_query import ask
 from cherrygrade.fleet.runtime.voter_store import VoterStore, found
@@ -834,7 +834,7 @@
         self._one(me, call, parts, mail)
         while mail:
             to, data = mail.pop(0)
-            self._one(to, lambda word, now, to=to: self.voters[to].hear(word, now), (data,), mail)
+            self._one(to, lambda word, now, to=to: self.voters[to].receive(word, now), (data,), mail)
 
     def _one(
         self, me: str, call: Callable[..., VoterEffects], parts: tuple[Any, ...], mail: list[Any]
@@ -842,23 +842,23 @@
         began = time.thread_time()
         told = [self.decode.decode(part) if isinstance(part, bytes) else part for part in parts]
         does = call(*told, self.now)
-        for step in does.steps:
+        for step in does.raft_effects:
             self.stores[me].write(step, self.voters[me].raft.log.last_index)
             self.writes += step.has_writes
-        for to, word in does.mail:
+        for to, word in does.messages:
             data = self.encode(word)
             self.bytes[me] += len(data) + 1
             self.words[me] += 1
             if to in self.voters:
                 mail.append((to, data))
-        for _, answer in does.answers:
+        for _, answer in does.replies:
             self.answers.append(answer)
             self.bytes[me] += len(self.encode(answer)) + 1
             self.words[me] += 1
         self.spent[me] += time.thread_time() - began
 
     def ask(self, me: str, asked: AcquireLease | RenewLeases) -> None:
-        self.do(me, lambda now: self.voters[me].ask(asked, "", now))
+        self.do(me, lambda now: self.voters[me].request(asked, "", now))
 
     def forget(self) -> None:
         """What was spent and said so far."""
@@ -867,7 +867,7 @@
 
     def leader(self) -> str:
         for _ in range(4000):
-            leads = [me for me, voter in self.voters.items() if voter.leads]
+            leads = [me for me, voter in self.voters.items() if voter.is_ready_leader]
             if leads:
                 return leads[0]
             self.pass_time(20.0)
@@ -876,7 +876,7 @@
     def pass_time(self, ms: float) -> None:
         self.now += ms
         for me, voter in self.voters.items():
-            if voter.due() <= self.now:
+            if voter.next_deadline() <= self.now:
                 self.do(me, voter.tick)
 
     def disk(self) -> float:
@@ -898,7 +898,7 @@
             for at in range(count):
                 hall.ask(lead, AcquireLease(f"a{at}", f"task/{at}", f"d{at % 580}", BIRTH, 10_000.0))
             others = [me for me in hall.voters if me != lead]
-            granted = sum(isinstance(one, LeaseAcquired) and bool(one.told.number) for one in hall.answers)
+            granted = sum(isinstance(one, LeaseAcquired) and bool(one.outcome.number) for one in hall.answers)
             if granted != count or hall.leader() != lead:
                 book.short.append(f"council: {granted} of {count} leases granted")
             follower = sum(hall.spent[me] for me in others) / len(others)
@@ -922,7 +922,7 @@
         holder = f"d{at % many}"
         hall.ask(lead, AcquireLease(f"a{at}", f"task/{at}", holder, BIRTH, 600_000.0))
         took = hall.answers[-1]
-        numbers.setdefault(holder, []).append((f"task/{at}", took.told.number))
+        numbers.setdefault(holder, []).append((f"task/{at}", took.outcome.number))
     hall.forget()
     began, turn = hall.now, 0
     for _ in range(rounds):
@@ -930,9 +930,11 @@
             hall.ask(lead, RenewLeases(f"{holder}/{BIRTH}/{turn}", holder, BIRTH, digest(some)))
             turn += 1
             hall.pass_time(3333.0 / many if number < many - 1 else 3333.0 / many + 25.0)
-    same = sum(isinstance(one, LeasesRenewed) and one.same for one in hall.answers)
+    same = sum(isinstance(one, LeasesRenewed) and one.unchanged for one in hall.answers)
     if same != many * rounds:
-        odd = next((one for one in hall.answers if not isinstance(one, LeasesRenewed) or not one.same), None)
+        odd = next(
+            (one for one in hall.answers if not isinstance(one, LeasesRenewed) or not one.unchanged), None
+        )
         book.short.append(f"council: {same} of {many * rounds} renewals; {type(odd).__name__} {odd}")
     seconds = (hall.now - began) / 1000.0
     others = [me for me in hall.voters if me != lead]
--- a/cherrygrade/fleet/consensus/disruption_budget.py
+++ b/cherrygrade/fleet/consensus/disruption_budget.py
@@ -1,7 +1,7 @@
-"""What is out, and what more may go: limits over the fleet of record, whoever took what out.
+"""The disruption budget: which dispatchers and nodes are out of use, and how many more may be drained.
 
-What failed by itself, what the register drained unasked and what nobody knows of takes from the same limits
-as what was granted: failures make drains wait. Free of I/O, clock and chance.
+What failed, what was drained without a permit and what is unknown counts against the same limits as what was
+drained by permit: failures make drains wait. Free of I/O, clock and chance.
 """
 
 from __future__ import annotations
@@ -10,11 +10,20 @@
 
 import msgspec
 
-DISPATCHER, NODE = "dispatcher", "node"
+MAX_NAMES_IN_REFUSAL = 8
+NEVER_DRAINED = -1e15
+"""A time in ms before any other."""
 
 
 class Resource(msgspec.Struct, array_like=True, frozen=True):
-    """One of the fleet of record: a dispatcher or a node, its zone, the shards that it holds."""
+    """A dispatcher or node of the fleet of record.
+
+    Attributes:
+        name: Unique in the fleet.
+        kind: What it is; resources of one kind share a limit.
+        zone: Its zone; "" where it has none.
+        shards: The shards that it holds.
+    """
 
     name: str
     kind: str
@@ -23,22 +32,29 @@
 
 
 class DisruptionLimit(msgspec.Struct, array_like=True, frozen=True):
-    """Of one kind: how many may be out, as a number and as a share of all (one at least, so that a small
-    fleet can be kept up at all); in one zone, 0: no limit of its own; how many holders of each shard stay;
-    ms between two that go."""
+    """How many resources of one kind may be out at a time.
+
+    Attributes:
+        max_count: As a number.
+        max_share: As a share of all; it allows one at least, so that a small fleet can be maintained.
+        max_per_zone: In one zone; 0 for no such limit.
+        min_holders: How many holders of each shard stay in use.
+        min_interval_ms: Between two drains.
+    """
 
-    most: int = 1
-    share: float = 1.0
-    zone: int = 0
-    holders: int = 1
-    apart_ms: float = 0.0
+    max_count: int = 1
+    max_share: float = 1.0
+    max_per_zone: int = 0
+    min_holders: int = 1
+    min_interval_ms: float = 0.0
 
-    def of(self, count: int) -> int:
-        return min(self.most, max(1, int(self.share * count)))
+    def max_out_of(self, count: int) -> int:
+        """How many may be out of this many resources."""
+        return min(self.max_count, max(1, int(self.max_share * count)))
 
 
 class ResourceState(Enum):
-    """How a thing stands. All but IN are out."""
+    """The state of a resource; it is out in all but IN. The values are stored and shown."""
 
     IN = "in use"
     UNKNOWN = "nobody knows"
@@ -50,63 +66,101 @@
 
 
 class DisruptionBudget:
-    """All tables hold the things of record and go with them."""
+    """The resources of record and their states.
+
+    Attributes:
+        limits: By kind; a kind without one has the default limit.
+        resources: The fleet of record, by name.
+        states: The state of each resource; has the keys of `resources`.
+        state_since: The leaders' time in ms since when; has the keys of `resources`.
+        last_drain_at: By kind, the leaders' time in ms of the last permit.
+    """
 
     def __init__(self, limits: dict[str, DisruptionLimit]) -> None:
         self.limits = limits
-        self.things: dict[str, Resource] = {}
-        self.why: dict[str, ResourceState] = {}
-        self.since: dict[str, float] = {}
-        self.last_at: dict[str, float] = {}  # when one of a kind was let go last
-
-    def add(self, thing: Resource, now: float) -> None:
-        """It counts as out until somebody has seen it in use."""
-        self.things[thing.name] = thing
-        if thing.name not in self.why:
-            self.why[thing.name], self.since[thing.name] = ResourceState.UNKNOWN, now
-
-    def drop(self, name: str) -> None:
-        """It is gone for good, and the fleet of record is one less."""
-        for table in (self.things, self.why, self.since):
-            table.pop(name, None)
-
-    def stands(self, name: str, why: ResourceState, now: float) -> None:
-        if name in self.things and self.why[name] is not why:
-            self.why[name], self.since[name] = why, now
-
-    def out(self, kind: str, but: str = "") -> list[str]:
+        self.resources: dict[str, Resource] = {}
+        self.states: dict[str, ResourceState] = {}
+        self.state_since: dict[str, float] = {}
+        self.last_drain_at: dict[str, float] = {}
+
+    def add(self, resource: Resource, now: float) -> None:
+        """Add or replace a resource; a new one counts as out until it was seen in use."""
+        self.resources[resource.name] = resource
+        if resource.name not in self.states:
+            self.states[resource.name] = ResourceState.UNKNOWN
+            self.state_since[resource.name] = now
+
+    def remove(self, name: str) -> None:
+        """Remove a resource that is gone for good."""
+        self.resources.pop(name, None)
+        self.states.pop(name, None)
+        self.state_since.pop(name, None)
+
+    def set_state(self, name: str, state: ResourceState, now: float) -> None:
+        """Record the state of a resource; an unknown name is ignored."""
+        if name in self.resources and self.states[name] is not state:
+            self.states[name] = state
+            self.state_since[name] = now
+
+    def names_out(self, kind: str, except_name: str = "") -> list[str]:
+        """The names of resources of a kind that are out."""
         return [
             name
-            for name, thing in self.things.items()
-            if thing.kind == kind and name != but and self.why[name] is not ResourceState.IN
+            for name, resource in self.resources.items()
+            if resource.kind == kind and name != except_name and self.states[name] is not ResourceState.IN
         ]
 
-    def waits_for(self, name: str, now: float) -> list[str]:
-        """Why it may not go out now, each for a person to read; empty where it may."""
-        thing = self.things.get(name)
-        if thing is None:
+    def refusals(self, name: str, now: float) -> list[str]:
+        """Why a resource may not be drained now, each as a text for people; empty where it may."""
+        resource = self.resources.get(name)
+        if resource is None:
             return [f"{name} is not of the fleet of record"]
-        limit = self.limits.get(thing.kind, DisruptionLimit())
-        same = [one for one in self.things.values() if one.kind == thing.kind]
-        out, found = self.out(thing.kind, name), list[str]()
-        most = limit.of(len(same))
-        if len(out) >= most:
-            found.append(f"{len(out)} of {most} {thing.kind}s are out: {self._told(out)}")
-        near = [one for one in out if self.things[one].zone == thing.zone]
-        if limit.zone and len(near) >= limit.zone:
-            found.append(f"{len(near)} of {limit.zone} are out in zone {thing.zone}: {self._told(near)}")
-        for shard in thing.shards:
-            holders = [one.name for one in same if shard in one.shards and one.name != name]
-            stay = [one for one in holders if self.why[one] is ResourceState.IN]
-            if len(stay) < limit.holders:
-                lacking = self._told([one for one in holders if one not in stay]) or "no other holds it"
-                found.append(f"shard {shard} would keep {len(stay)} of {limit.holders} holders: {lacking}")
-        wait = self.last_at.get(thing.kind, -1e15) + limit.apart_ms - now
-        if wait > 0.0:
-            found.append(
-                f"the last {thing.kind} went {limit.apart_ms - wait:.0f} ms ago, {limit.apart_ms:.0f} apart"
-            )
-        return found
+        limit = self.limits.get(resource.kind, DisruptionLimit())
+        return [
+            *self._count_refusals(resource, limit),
+            *self._shard_refusals(resource, limit),
+            *self._interval_refusals(resource, limit, now),
+        ]
 
-    def _told(self, names: list[str]) -> str:
-        return ", ".join(f"{name} ({self.why[name].value})" for name in sorted(names)[:8])
+    def _count_refusals(self, resource: Resource, limit: DisruptionLimit) -> list[str]:
+        refusals: list[str] = []
+        kind = resource.kind
+        out = self.names_out(kind, resource.name)
+        max_out = limit.max_out_of(len(self._of_kind(kind)))
+        if len(out) >= max_out:
+            refusals.append(f"{len(out)} of {max_out} {kind}s are out: {self._describe(out)}")
+        in_zone = [name for name in out if self.resources[name].zone == resource.zone]
+        if limit.max_per_zone and len(in_zone) >= limit.max_per_zone:
+            refusals.append(
+                f"{len(in_zone)} of {limit.max_per_zone} are out in zone {resource.zone}: "
+                f"{self._describe(in_zone)}"
+            )
+        return refusals
+
+    def _shard_refusals(self, resource: Resource, limit: DisruptionLimit) -> list[str]:
+        refusals: list[str] = []
+        others = [other for other in self._of_kind(resource.kind) if other.name != resource.name]
+        for shard in resource.shards:
+            holders = [other.name for other in others if shard in other.shards]
+            in_use = [name for name in holders if self.states[name] is ResourceState.IN]
+            if len(in_use) < limit.min_holders:
+                missing = [name for name in holders if name not in in_use]
+                lacking = self._describe(missing) or "no other holds it"
+                refusals.append(
+                    f"shard {shard} would keep {len(in_use)} of {limit.min_holders} holders: {lacking}"
+                )
+        return refusals
+
+    def _interval_refusals(self, resource: Resource, limit: DisruptionLimit, now: float) -> list[str]:
+        interval_ms = limit.min_interval_ms
+        wait_ms = self.last_drain_at.get(resource.kind, NEVER_DRAINED) + interval_ms - now
+        if wait_ms <= 0.0:
+            return []
+        return [f"the last {resource.kind} went {interval_ms - wait_ms:.0f} ms ago, {interval_ms:.0f} apart"]
+
+    def _of_kind(self, kind: str) -> list[Resource]:
+        return [resource for resource in self.resources.values() if resource.kind == kind]
+
+    def _describe(self, names: list[str]) -> str:
+        shown = sorted(names)[:MAX_NAMES_IN_REFUSAL]
+        return ", ".join(f"{name} ({self.states[name].value})" for name in shown)
--- a/cherrygrade/fleet/consensus/fencing.py
+++ b/cherrygrade/fleet/consensus/fencing.py
@@ -1,21 +1,25 @@
-"""Orders at whoever carries them out: one with a lower number than was seen does nothing.
+"""Fencing: an order with a lower number than one that was accepted before is refused.
 
-Free of I/O and clock.
+For whoever carries out the orders of leaders and lease holders. Free of I/O and clock.
 """
 
 from __future__ import annotations
 
 
 class FencingGuard:
-    """An old leader's or holder's come to nothing. `seen`: the highest number for each thing or task of the
-    fleet's; who has something to lose keeps it over a restart, on disk before it carries an order out."""
+    """Refuses the orders of former leaders and holders.
 
-    def __init__(self, seen: dict[str, int] | None = None) -> None:
-        self.seen = dict(seen or {})
+    Attributes:
+        highest: By resource or task, the highest number accepted; never decreases. Whoever has something to
+            lose stores it, before an order is carried out, and gives it back after a restart.
+    """
 
-    def take(self, name: str, number: int) -> bool:
-        """Whether to carry it out; the same one again is carried out again, as its answer may be lost."""
-        if number < self.seen.get(name, 0):
+    def __init__(self, highest: dict[str, int] | None = None) -> None:
+        self.highest = dict(highest or {})
+
+    def accept(self, name: str, number: int) -> bool:
+        """Whether to carry an order out; one that is repeated is, as its answer may be lost."""
+        if number < self.highest.get(name, 0):
             return False
-        self.seen[name] = number
+        self.highest[name] = number
         return True
--- a/cherrygrade/fleet/consensus/state_machine.py
+++ b/cherrygrade/fleet/consensus/state_machine.py
@@ -1,5 +1,7 @@
-"""What the council's log comes to: permits, leases and versions of the configuration, the same on every
-voter. Free of I/O and clock."""
+"""The replicated state machine: drain permits, leases and versions of the configuration.
+
+The same committed entries lead to the same state on every voter. Free of I/O and clock.
+"""
 
 from __future__ import annotations
 
@@ -9,65 +11,97 @@
 from cherrygrade.fleet.consensus import drain_permits
 from cherrygrade.fleet.leases import lease_table
 
-PERMIT, LEASE, CONFIG = b"p", b"l", b"c"  # what an entry begins with
-Told = drain_permits.PermitOutcome | lease_table.LeaseOutcome | versions.PutOutcome
-_lease = msgspec.msgpack.Decoder(lease_table.AnyLeaseCommand)
+DRAIN_PREFIX = b"p"
+"""The first byte of an entry's payload names the part of the state that the command is for."""
+LEASE_PREFIX = b"l"
+CONFIG_PREFIX = b"c"
+
+CommandOutcome = drain_permits.PermitOutcome | lease_table.LeaseOutcome | versions.PutOutcome
+"""What a command came to."""
+
+_lease_decoder = msgspec.msgpack.Decoder(lease_table.AnyLeaseCommand)
 
 
 class StateMachineSnapshot(msgspec.Struct, array_like=True):
+    """The whole state; positional on the wire and on disk.
+
+    Attributes:
+        permits: The encoded `DrainPermitsState`.
+        leases: The leases.
+        versions: The configuration; None in a snapshot by a program that did not have it.
+    """
+
     permits: bytes
     leases: lease_table.LeaseTableState
     versions: versions.VersionLogState | None = None
-    """Left out by a program of before the configuration."""
 
 
-def permit(op: drain_permits.AnyDrainCommand) -> bytes:
-    return PERMIT + msgspec.msgpack.encode(op)
+def encode_drain_command(command: drain_permits.AnyDrainCommand) -> bytes:
+    """The payload of a log entry."""
+    return DRAIN_PREFIX + msgspec.msgpack.encode(command)
 
 
-def lease(op: lease_table.AnyLeaseCommand) -> bytes:
-    return LEASE + msgspec.msgpack.encode(op)
+def encode_lease_command(command: lease_table.AnyLeaseCommand) -> bytes:
+    """The payload of a log entry."""
+    return LEASE_PREFIX + msgspec.msgpack.encode(command)
 
 
-def config(op: versions.AnyConfigCommand) -> bytes:
-    return CONFIG + versions.encode(op)
+def encode_config_command(command: versions.AnyConfigCommand) -> bytes:
+    """The payload of a log entry."""
+    return CONFIG_PREFIX + versions.encode(command)
 
 
 class StateMachine:
+    """The state after all applied entries.
+
+    Attributes:
+        permits: Which dispatchers and nodes may be drained.
+        leases: Who holds the lease of which task.
+        versions: The versions of the configuration.
+    """
+
     def __init__(self) -> None:
-        self.permits, self.leases, self.versions = (
-            drain_permits.DrainPermits(),
-            lease_table.LeaseTable(),
-            versions.VersionLog(),
-        )
+        self.permits = drain_permits.DrainPermits()
+        self.leases = lease_table.LeaseTable()
+        self.versions = versions.VersionLog()
 
     @property
     def now(self) -> float:
-        """The leaders' time; it never goes back."""
+        """The leaders' time in ms, as of the newest entry; it never goes back."""
         return max(self.permits.now, self.leases.now, self.versions.now)
 
-    def apply(self, index: int, payload: bytes) -> Told | None:
-        """One agreed entry; None where it says nothing. One that can't be read does nothing, on every voter
-        alike."""
-        if payload[:1] == PERMIT:
-            return self.permits.apply(index, payload[1:])
-        if payload[:1] == CONFIG:
-            return self.versions.apply(index, payload[1:])
-        if payload[:1] != LEASE:
+    def apply(self, index: int, payload: bytes) -> CommandOutcome | None:
+        """Apply one committed entry.
+
+        Returns:
+            What it came to; None for an entry without a command. One that can't be read changes nothing, on
+            every voter alike.
+        """
+        prefix = payload[:1]
+        body = payload[1:]
+        if prefix == DRAIN_PREFIX:
+            return self.permits.apply(index, body)
+        if prefix == CONFIG_PREFIX:
+            return self.versions.apply(index, body)
+        if prefix != LEASE_PREFIX:
             return None
         try:
-            op = _lease.decode(payload[1:])
+            command = _lease_decoder.decode(body)
         except (msgspec.MsgspecError, UnicodeDecodeError):
             return lease_table.LeaseOutcome(waits="an entry that can't be read")
-        return self.leases.apply(index, op)
+        return self.leases.apply(index, command)
 
     def snapshot(self) -> bytes:
-        return msgspec.msgpack.encode(
-            StateMachineSnapshot(self.permits.snapshot(), self.leases.state(), self.versions.state())
-        )
+        """The whole state, encoded."""
+        state = StateMachineSnapshot(self.permits.snapshot(), self.leases.state(), self.versions.state())
+        return msgspec.msgpack.encode(state)
 
     def restore(self, data: bytes) -> None:
-        """ValidationError where it is no snapshot."""
+        """Replace the state by an encoded one.
+
+        Raises:
+            msgspec.ValidationError: It is no snapshot.
+        """
         state = msgspec.msgpack.decode(data, type=StateMachineSnapshot)
         self.permits.restore(state.permits)
         self.leases.restore(state.leases)
--- a/cherrygrade/fleet/consensus/voter.py
+++ b/cherrygrade/fleet/consensus/voter.py
@@ -1,415 +1,376 @@
-"""One voter of the council: its part of the log, what the log comes to, and answers to whoever asks.
+"""One voter of the council: its Raft state, the replicated state machine, and replies to requests.
 
-Asks are answered by the leader alone, once what they rest on is agreed or proven; any other voter says who
-leads. An ask that was not answered may be put again under its id, here or to another: nothing is done twice.
-Free of I/O, clock and chance: what a call comes to is a `VoterEffects`, whose steps' writes come before
-all else.
+Only the leader carries requests out, and replies once the entry is committed or its leadership is confirmed
+(Raft's read index, Ongaro 2014, section 6.4); any other voter names the leader. A request without a reply may
+be repeated under its id, here or at another voter: it has an effect once.
+
+Free of I/O, clock and chance: calls in, a `VoterEffects` out. Times are milliseconds of one clock.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
-
-import msgspec
-
-from cherrygrade.fleet.config.versions import DiffHunk, PutVersion, QuotaDivisors, SettleVersion, text_digest
-from cherrygrade.fleet.config.versions import PutOutcome as ConfigTold
-from cherrygrade.fleet.consensus import state_machine
+from typing import NamedTuple
+
+from cherrygrade.fleet.config.versions import PutOutcome, PutVersion, SettleVersion, text_digest
+from cherrygrade.fleet.consensus.council_messages import (
+    AcquireLease,
+    AnyReply,
+    AnyRequest,
+    ConfigPut,
+    LeaseAcquired,
+    NotLeader,
+    PutConfig,
+    ReleaseLease,
+)
+from cherrygrade.fleet.consensus.council_reads import reply_to_read
 from cherrygrade.fleet.consensus.raft import Raft
-from cherrygrade.fleet.consensus.raft_messages import AnyRaftMessage as Word
-from cherrygrade.fleet.consensus.raft_messages import LogEntry, PersistentState, Snapshot
-from cherrygrade.fleet.consensus.raft_messages import RaftEffects as Step
-from cherrygrade.fleet.consensus.state_machine import StateMachine
-from cherrygrade.fleet.leases.lease_table import Acquire, Expire, Release, digest
-from cherrygrade.fleet.leases.lease_table import LeaseOutcome as LeaseTold
+from cherrygrade.fleet.consensus.raft_messages import (
+    AnyRaftMessage,
+    LogEntry,
+    PersistentState,
+    RaftEffects,
+    Snapshot,
+)
+from cherrygrade.fleet.consensus.state_machine import (
+    CommandOutcome,
+    StateMachine,
+    encode_config_command,
+    encode_lease_command,
+)
+from cherrygrade.fleet.consensus.voter_effects import ConfigVerdict, VoterEffects
+from cherrygrade.fleet.leases.lease_table import Acquire, Expire, LeaseOutcome, Release
 from cherrygrade.fleet.leases.renewal_tracker import NEVER, RenewalTracker
 
-COMPACT = 512  # entries, after which the log becomes a snapshot
-COMPACT_BYTES = 8_388_608  # or so many bytes of them
-MOST_WAITING = 4096  # asks that have no answer yet; more are told to come again
-FREE_AT_ONCE = 256  # entries of a beat, so that the log is not flooded as a fleet of holders dies
-PROOF_MS = 20.0  # proofs are asked for together: one round answers for all who came in it
-
-
-class CouncilRequest(msgspec.Struct, array_like=True, frozen=True, tag_field="ask", tag="Ask"):
-    id: str
-
-
-class AcquireLease(CouncilRequest, frozen=True, tag="take"):
-    task: str
-    holder: str
-    birth: int
-    for_ms: float
-
-
-class ReleaseLease(CouncilRequest, frozen=True, tag="give"):
-    task: str
-    number: int
-    failed: str = ""
-
-
-class RenewLeases(CouncilRequest, frozen=True, tag="renew"):
-    """All leases of this life. `same`: the digest of what it holds, so that an answer need not say it all."""
-
-    holder: str
-    birth: int
-    same: int = 0
-
-
-class ListFreeTasks(CouncilRequest, frozen=True, tag="free"):
-    """Which of these are free and do not rest."""
-
-    tasks: list[str]
-
-
-class ShowCouncil(CouncilRequest, frozen=True, tag="show"):
-    """Who votes, leads, and holds what: for people."""
-
-
-class PutConfig(CouncilRequest, frozen=True, tag="put"):
-    """A new version of the configuration, whole, behind `based_on`: the newest that its asker saw, 0 for the
-    first. The carrier judges the text before the voter hears of it."""
-
-    text: str
-    based_on: int
-    by: str
-
-
-class ShowConfig(CouncilRequest, frozen=True, tag="config"):
-    """What the log has of the configuration; `number`: with this version's text."""
-
-    number: int = 0
-
-
-class CouncilReply(msgspec.Struct, array_like=True, frozen=True, tag_field="answer", tag="Answer"):
-    id: str
-
-
-class NotLeader(CouncilReply, frozen=True, tag="elsewhere"):
-    """Not here; `leader` "" where nobody is known to lead."""
-
-    leader: str
-    why: str = ""
-
+COMPACT_AFTER_ENTRIES = 512
+"""The log is replaced by a snapshot once it holds more entries,"""
+COMPACT_AFTER_BYTES = 8_388_608
+"""or once more bytes of payload were applied since the last one."""
+MAX_PENDING_REQUESTS = 4096
+"""Requests without a reply yet; more are refused."""
+MAX_EXPIRIES_PER_TICK = 256
+"""Leases ended in one tick, so that the log is not flooded when many holders die at once."""
+CONFIRMATION_DELAY_MS = 20.0
+"""Reads are collected for so long: one round of messages confirms the leadership for all of them."""
+MAX_AUTHOR_LENGTH = 100
 
-class LeaseAcquired(CouncilReply, frozen=True, tag="took"):
-    told: LeaseTold
 
+class PendingProposal(NamedTuple):
+    """The client that waits for an entry: the entry's term, the client and its request's id."""
 
-class LeasesRenewed(CouncilReply, frozen=True, tag="renewed"):
-    """`same`: all that was asked for, and nothing else, is renewed; else `numbers` is."""
-
-    numbers: dict[str, int]
-    same: bool = False
-
-
-class FreeTasks(CouncilReply, frozen=True, tag="freed"):
-    tasks: list[str]
-
-
-class CouncilStatus(CouncilReply, frozen=True, tag="shown"):
-    leader: str
     term: int
-    index: int
-    voters: tuple[str, ...]
-    leases: list[tuple[str, str, int, float]]
-    """Task, holder, number, ms that are left by the leader's count."""
-    failed: list[tuple[str, int, str, float]]
-    """Task, times in a row, the last reason, ms that it rests yet."""
-
-
-class ConfigPut(CouncilReply, frozen=True, tag="put"):
-    """The number of the version that it became, or why there is none."""
-
-    told: ConfigTold
-
-
-class VersionSummary(msgspec.Struct, array_like=True, frozen=True):
-    """One version of the log's, without its text; `at`: the leaders' time, ms."""
-
-    number: int
-    digest: str
-    by: str
-    at: float
-    length: int
-
-
-class ConfigStatus(CouncilReply, frozen=True, tag="config"):
-    """`stage` 0: there is no configuration. `moving`: the version whose parts still move, 0: none.
-    `lines`: those that are kept, the newest last. `text`: None where the version asked for is not kept."""
-
-    stage: int
-    settled: int
-    moving: int
-    lines: list[VersionSummary]
-    text: str | None
-    leader: str
+    client: object
+    request_id: str
 
 
-AnyRequest = AcquireLease | ReleaseLease | RenewLeases | ListFreeTasks | ShowCouncil | PutConfig | ShowConfig
-AnyReply = NotLeader | LeaseAcquired | LeasesRenewed | FreeTasks | CouncilStatus | ConfigPut | ConfigStatus
+class PendingRead(NamedTuple):
+    """A request that waits for the confirmation of the leadership, and its client."""
 
-
-@dataclass(frozen=True, slots=True)
-class ConfigVerdict:
-    """What came of judging a text: why it is refused, or the divisors of the site that comes of it, `old` of
-    the site before it, and the difference against the text it is based on where that is the shorter."""
-
-    why: str
-    parts: QuotaDivisors | None = None
-    old: QuotaDivisors | None = None
-    hunks: tuple[DiffHunk, ...] | None = None
-
-
-@dataclass(slots=True)
-class VoterEffects:
-    """The steps' writes first, then all else."""
-
-    steps: list[Step] = field(default_factory=list)
-    mail: list[tuple[str, Word]] = field(default_factory=list)
-    answers: list[tuple[object, AnyReply]] = field(default_factory=list)
-    """To whom, as they were named in `ask`."""
+    client: object
+    request: AnyRequest
 
 
 class Voter:
-    """`waiting` (by index) and `proofs` (by round) are emptied by agreement, proof, or the lead's end.
-
-    `names`: who may be voter, by the settings. A voter's own name is `NAME/MARK` of its store; one that is
-    not among the voters asks to be let in, and takes the place of the one with another mark of its name.
+    """One voter of the council.
+
+    Attributes:
+        raft: The replicated log. A voter's own name there is `NAME/MARK`, with the mark of its store; one
+            that is not among the voters asks to be added, and replaces the one of its name.
+        allowed_names: Which names may vote, by the settings.
+        state_machine: The state at the last applied index.
+        renewals: When leases end, by this leader's count; has no meaning while not leader.
+        proposals: By log index, who waits for the entry; emptied by commit or the end of the leadership.
+        reads: By confirmation round, who waits for it; emptied by confirmation or the end of the leadership.
     """
 
     def __init__(
-        self, me: str, stored: PersistentState, names: list[str], seed: int, now: float, drift: float
+        self,
+        name: str,
+        stored: PersistentState,
+        allowed_names: list[str],
+        seed: int,
+        now: float,
+        drift: float,
     ) -> None:
-        self.raft = Raft(me, stored, seed, now)
-        self.names = {*names}
-        self.books = StateMachine()
+        """Begin with what is on disk.
+
+        Args:
+            name: `NAME/MARK`.
+            stored: What is on disk.
+            allowed_names: Which names may vote.
+            seed: Of the election timeouts.
+            now: In ms.
+            drift: The share by which two clocks' pace may differ.
+
+        Raises:
+            msgspec.ValidationError: The stored snapshot can't be read.
+        """
+        self.raft = Raft(name, stored, seed, now)
+        self.allowed_names = {*allowed_names}
+        self.state_machine = StateMachine()
         if stored.snapshot.data:
-            self.books.restore(stored.snapshot.data)
-        self.count = RenewalTracker(drift)
-        self.waiting: dict[int, tuple[int, object, str]] = {}
-        self.proofs: dict[int, list[tuple[object, AnyRequest]]] = {}
-        self._unproven: list[tuple[object, AnyRequest]] = []
-        self._prove_at = NEVER
-        self._led = 0  # the term of the lead that `count` is of
-        self._applied = stored.snapshot.index
-        self._since = 0  # bytes of the log behind its base
+            self.state_machine.restore(stored.snapshot.data)
+        self.renewals = RenewalTracker(drift)
+        self.proposals: dict[int, PendingProposal] = {}
+        self.reads: dict[int, list[PendingRead]] = {}
+        self._queued_reads: list[PendingRead] = []
+        self._confirm_at = NEVER
+        self._tracked_term = 0  # the term of the leadership that `renewals` is of; 0 for none
+        self._applied_index = stored.snapshot.index
+        self._applied_bytes = 0  # since the last compaction
 
     @property
     def leader(self) -> str:
+        """The name of the leader, as far as it is known; else ""."""
         return self.raft.leader.partition("/")[0]
 
-    def due(self) -> float:
-        at = min(self.raft.next_deadline(), self._prove_at)
-        if self.leads:
-            at = min(at, self.count.due(self.books.leases))
-        return at
-
     @property
-    def leads(self) -> bool:
-        """It leads, and all of before is applied here."""
+    def is_ready_leader(self) -> bool:
+        """Whether it leads, and all that was committed before its term is applied here."""
         return self.raft.is_leader and self.raft.commits_own_term
 
-    # What comes in.
+    def next_deadline(self) -> float:
+        """The time in ms at which `tick` is to be called."""
+        deadline = min(self.raft.next_deadline(), self._confirm_at)
+        if self.is_ready_leader:
+            deadline = min(deadline, self.renewals.due(self.state_machine.leases))
+        return deadline
 
-    def hear(self, word: Word, now: float) -> VoterEffects:
-        does = VoterEffects()
-        self._step(self.raft.receive(word, now), does, now)
-        return self._settle(does, now)
+    # Events.
+
+    def receive(self, message: AnyRaftMessage, now: float) -> VoterEffects:
+        """Handle a message of another voter."""
+        effects = VoterEffects()
+        self._take(self.raft.receive(message, now), effects, now)
+        return self._finish(effects, now)
 
     def tick(self, now: float) -> VoterEffects:
-        does = VoterEffects()
+        """Do what is due: Raft's timers, leases that end, and the confirmation of queued reads."""
+        effects = VoterEffects()
         if now >= self.raft.next_deadline():
-            self._step(self.raft.tick(now), does, now)
-        if self.leads:
-            for lease in self.count.over(self.books.leases, now, FREE_AT_ONCE):
-                self._propose(state_machine.lease(Expire(self._at(now), lease.task, lease.number)), does, now)
-        if now >= self._prove_at:
-            self._prove(does, now)
-        return self._settle(does, now)
-
-    def ask(self, ask: AnyRequest, by: object, now: float) -> VoterEffects:
-        does = VoterEffects()
+            self._take(self.raft.tick(now), effects, now)
+        if self.is_ready_leader:
+            for lease in self.renewals.over(self.state_machine.leases, now, MAX_EXPIRIES_PER_TICK):
+                command = Expire(self._leader_time(now), lease.task, lease.number)
+                self._propose(encode_lease_command(command), effects, now)
+        if now >= self._confirm_at:
+            self._confirm_reads(effects, now)
+        return self._finish(effects, now)
+
+    def request(self, request: AnyRequest, client: object, now: float) -> VoterEffects:
+        """Handle a request; the reply to `client` may come with a later call's effects."""
+        effects = VoterEffects()
         if not self.raft.is_leader:
-            why = "it leads" if self.leader else "nobody leads"
-            does.answers.append((by, NotLeader(ask.id, self.leader, why)))
-        elif len(self.waiting) + len(self._unproven) >= MOST_WAITING:
-            does.answers.append((by, NotLeader(ask.id, "", "too much is asked at once")))
-        elif isinstance(ask, AcquireLease):
-            op = Acquire(self._at(now), ask.id, ask.task, ask.holder, ask.birth, ask.for_ms)
-            self._propose(state_machine.lease(op), does, now, by, ask.id)
-        elif isinstance(ask, ReleaseLease):
-            op_ = Release(self._at(now), ask.task, ask.number, ask.failed)
-            self._propose(state_machine.lease(op_), does, now, by, ask.id)
-        elif isinstance(ask, PutConfig):
-            does.answers.append((by, NotLeader(ask.id, "", "it was not judged")))
+            reason = "it leads" if self.leader else "nobody leads"
+            effects.reply(client, NotLeader(request.id, self.leader, reason))
+        elif self._is_overloaded:
+            effects.reply(client, NotLeader(request.id, "", "too much is asked at once"))
+        elif isinstance(request, AcquireLease):
+            acquire = Acquire(
+                self._leader_time(now),
+                request.id,
+                request.task,
+                request.holder,
+                request.birth,
+                request.duration_ms,
+            )
+            self._propose(encode_lease_command(acquire), effects, now, client, request.id)
+        elif isinstance(request, ReleaseLease):
+            release = Release(self._leader_time(now), request.task, request.number, request.failure)
+            self._propose(encode_lease_command(release), effects, now, client, request.id)
+        elif isinstance(request, PutConfig):
+            effects.reply(client, NotLeader(request.id, "", "it was not judged"))
         else:
-            self._unproven.append((by, ask))
-            self._prove_at = min(self._prove_at, now + PROOF_MS)
-        return self._settle(does, now)
-
-    def put(self, ask: PutConfig, judged: ConfigVerdict, by: object, now: float) -> VoterEffects:
-        """A change of the configuration whose text was judged."""
+            self._queued_reads.append(PendingRead(client, request))
+            self._confirm_at = min(self._confirm_at, now + CONFIRMATION_DELAY_MS)
+        return self._finish(effects, now)
+
+    def put_config(
+        self, request: PutConfig, verdict: ConfigVerdict, client: object, now: float
+    ) -> VoterEffects:
+        """Handle a change of the configuration whose text was judged."""
         if not self.raft.is_leader:
-            return self.ask(ask, by, now)
-        does = VoterEffects()
-        if len(self.waiting) + len(self._unproven) >= MOST_WAITING:
-            does.answers.append((by, NotLeader(ask.id, "", "too much is asked at once")))
-        elif judged.why or judged.parts is None:
-            does.answers.append((by, ConfigPut(ask.id, ConfigTold(waits=judged.why))))
+            return self.request(request, client, now)
+        effects = VoterEffects()
+        if self._is_overloaded:
+            effects.reply(client, NotLeader(request.id, "", "too much is asked at once"))
+        elif verdict.refusal or verdict.divisors is None:
+            effects.reply(client, ConfigPut(request.id, PutOutcome(waits=verdict.refusal)))
         else:
-            text = ask.text if judged.hunks is None else None
-            at, digest = self._at(now), text_digest(ask.text)
-            hunks, parts = judged.hunks or (), judged.parts
-            op = PutVersion(at, ask.id, ask.based_on, text, hunks, digest, ask.by[:100], parts, judged.old)
-            self._propose(state_machine.config(op), does, now, by, ask.id)
-        return self._settle(does, now)
-
-    def settle(self, number: int, now: float) -> VoterEffects:
-        """All of record use the smaller parts of the move that began with this version."""
-        does = VoterEffects()
-        if self.leads and self.books.versions.moving == number:
-            self._propose(state_machine.config(SettleVersion(self._at(now), number)), does, now)
-        return self._settle(does, now)
-
-    def let_in(self, name: str, now: float) -> VoterEffects:
-        """A store that is no voter's asks to be one: of a name of the settings, and of another mark."""
-        does = VoterEffects()
-        if self.raft.is_leader and name.partition("/")[0] in self.names and name not in self.raft.voters:
-            self._step(self.raft.add_learner(name, now), does, now)
-        return self._settle(does, now)
-
-    # Its own.
-
-    def _at(self, now: float) -> float:
-        """The leaders' time: it goes on from what the log has, by this one's clock, and never back."""
-        return max(self.books.now, now)
+            command = PutVersion(
+                self._leader_time(now),
+                request.id,
+                request.based_on,
+                request.text if verdict.hunks is None else None,
+                verdict.hunks or (),
+                text_digest(request.text),
+                request.author[:MAX_AUTHOR_LENGTH],
+                verdict.divisors,
+                verdict.old_divisors,
+            )
+            self._propose(encode_config_command(command), effects, now, client, request.id)
+        return self._finish(effects, now)
+
+    def settle_config(self, number: int, now: float) -> VoterEffects:
+        """All dispatchers of record use the smaller quota parts of the move that began with this version."""
+        effects = VoterEffects()
+        if self.is_ready_leader and self.state_machine.versions.moving == number:
+            command = SettleVersion(self._leader_time(now), number)
+            self._propose(encode_config_command(command), effects, now)
+        return self._finish(effects, now)
+
+    def admit(self, name: str, now: float) -> VoterEffects:
+        """Begin to add a voter, as `NAME/MARK`: one of an allowed name whose store does not vote yet."""
+        effects = VoterEffects()
+        allowed = name.partition("/")[0] in self.allowed_names
+        if self.raft.is_leader and allowed and name not in self.raft.voters:
+            self._take(self.raft.add_learner(name, now), effects, now)
+        return self._finish(effects, now)
+
+    # Proposals and reads.
+
+    @property
+    def _is_overloaded(self) -> bool:
+        return len(self.proposals) + len(self._queued_reads) >= MAX_PENDING_REQUESTS
+
+    def _leader_time(self, now: float) -> float:
+        """The time of the log: it goes on from the newest entry by this voter's clock, and never back."""
+        return max(self.state_machine.now, now)
 
     def _propose(
-        self, payload: bytes, does: VoterEffects, now: float, by: object = None, asked: str = ""
+        self, payload: bytes, effects: VoterEffects, now: float, client: object = None, request_id: str = ""
     ) -> None:
-        """`asked`: the id of who waits for what comes of it; a voter alone agrees within the step."""
-        index, step = self.raft.propose(payload, now)
-        if asked:
-            self.waiting[index] = (self.raft.term, by, asked)
-        self._step(step, does, now)
-
-    def _prove(self, does: VoterEffects, now: float) -> None:
-        self._prove_at = NEVER
-        asked, self._unproven = self._unproven, []
-        if not asked:
+        index, raft_effects = self.raft.propose(payload, now)
+        if request_id:
+            # Before the effects are taken: a single voter commits within the call.
+            self.proposals[index] = PendingProposal(self.raft.term, client, request_id)
+        self._take(raft_effects, effects, now)
+
+    def _confirm_reads(self, effects: VoterEffects, now: float) -> None:
+        self._confirm_at = NEVER
+        queued = self._queued_reads
+        self._queued_reads = []
+        if not queued:
             return
-        number, step = self.raft.confirm_leadership(now)
+        number, raft_effects = self.raft.confirm_leadership(now)
         if number:
-            self.proofs[number] = asked
-        else:
-            self._nobody(asked, does)
-        self._step(step, does, now)
-
-    def _step(self, step: Step, does: VoterEffects, now: float) -> None:
-        does.steps.append(step)
-        does.mail += step.messages
-        if step.restored is not None:
-            self.books.restore(step.restored.data)
-            self._applied = step.restored.index
-        for index, entry in step.committed:
-            self._apply(index, entry, does, now)
-
-    def _apply(self, index: int, entry: LogEntry, does: VoterEffects, now: float) -> None:
-        self._applied = index
-        told = self.books.apply(index, entry.payload)
-        self._since += len(entry.payload)
-        if isinstance(told, LeaseTold) and told.number == index:  # granted here and now
-            held = next((one for one in self.books.leases.leases.values() if one.number == index), None)
-            if held is not None:
-                life = (held.holder, held.birth)
-                self.count.answered[life] = max(now, self.count.answered.get(life, -NEVER))
-        term, by, asked = self.waiting.pop(index, (0, None, ""))
-        if not asked:
-            return
-        if term == entry.term and isinstance(told, LeaseTold):
-            does.answers.append((by, LeaseAcquired(asked, told)))
-        elif term == entry.term and isinstance(told, ConfigTold):
-            does.answers.append((by, ConfigPut(asked, told)))
+            self.reads[number] = queued
         else:
-            does.answers.append((by, NotLeader(asked, self.leader, "another entry took its place")))
-
-    def _settle(self, does: VoterEffects, now: float) -> VoterEffects:
-        """What follows from where the log stands now."""
-        led = self.raft.term if self.raft.is_leader else 0
-        anew = led != self._led
-        if anew:
-            self._led = led
-            self.count.lead(now if led else NEVER)
-        if anew or not led:
-            lost = {at: one for at, one in self.waiting.items() if one[0] != led}
-            for at, (_, by, asked) in lost.items():
-                del self.waiting[at]
-                does.answers.append((by, NotLeader(asked, self.leader, "the lead was lost")))
-            asks = [one for some in [*self.proofs.values(), self._unproven] for one in some]
-            self.proofs.clear()
-            self._unproven = []
-            self._nobody(asks, does)
-        if led:
-            proven = self.raft.confirmed_round
-            for number in [number for number in self.proofs if number <= proven]:
-                for by, ask in self.proofs.pop(number):
-                    does.answers.append((by, self._proven(ask, now)))
-            self._let_in(does, now)
-        much = len(self.raft.log.entries) > COMPACT or self._since > COMPACT_BYTES
-        if much and self._applied > self.raft.log.snapshot.index:
-            self._since = 0
-            does.steps.append(self.raft.compact(self._applied, self.books.snapshot()))
-        return does
-
-    def _nobody(self, asks: list[tuple[object, AnyRequest]], does: VoterEffects) -> None:
-        does.answers += [(by, NotLeader(ask.id, self.leader, "the lead was lost")) for by, ask in asks]
-
-    def _proven(self, ask: AnyRequest, now: float) -> AnyReply:
-        leases = self.books.leases
-        if isinstance(ask, RenewLeases):
-            numbers = self.count.renews(leases, ask.holder, ask.birth, now)
-            same = bool(numbers) and digest(numbers.items()) == ask.same
-            return LeasesRenewed(ask.id, {} if same else numbers, same)
-        if isinstance(ask, ListFreeTasks):
-            return FreeTasks(ask.id, [task for task in ask.tasks if leases.free(task, self._at(now))])
-        if isinstance(ask, ShowConfig):
-            known = self.books.versions
-            lines = [
-                VersionSummary(v.number, v.digest.hex(), v.by, v.at, len(v.text)) for v in known.kept.values()
-            ]
-            found = known.kept.get(ask.number)
-            text = found.text if found is not None else None
-            return ConfigStatus(ask.id, known.stage, known.settled, known.moving, lines, text, self.leader)
-        return CouncilStatus(
-            ask.id,
-            self.leader,
-            self.raft.term,
-            self.raft.commit_index,
-            self.raft.voters,
-            [(e.task, e.holder, e.number, self.count.ends(e) - now) for e in leases.leases.values()],
-            [(t, f.times, f.why, max(0.0, f.until - leases.now)) for t, f in leases.failed.items()],
-        )
-
-    def _let_in(self, does: VoterEffects, now: float) -> None:
-        """A newcomer that has the log becomes a voter, then the one whose place it takes goes."""
+            self._refuse_reads(queued, effects)
+        self._take(raft_effects, effects, now)
+
+    def _refuse_reads(self, reads: list[PendingRead], effects: VoterEffects) -> None:
+        for read in reads:
+            effects.reply(read.client, NotLeader(read.request.id, self.leader, "the lead was lost"))
+
+    # The log.
+
+    def _take(self, raft_effects: RaftEffects, effects: VoterEffects, now: float) -> None:
+        """Apply what is committed, and pass the rest on."""
+        effects.raft_effects.append(raft_effects)
+        effects.messages += raft_effects.messages
+        if raft_effects.restored is not None:
+            self.state_machine.restore(raft_effects.restored.data)
+            self._applied_index = raft_effects.restored.index
+        for index, entry in raft_effects.committed:
+            self._apply(index, entry, effects, now)
+
+    def _apply(self, index: int, entry: LogEntry, effects: VoterEffects, now: float) -> None:
+        self._applied_index = index
+        outcome = self.state_machine.apply(index, entry.payload)
+        self._applied_bytes += len(entry.payload)
+        if isinstance(outcome, LeaseOutcome) and outcome.number == index:
+            self._track_granted_lease(index, now)
+        proposal = self.proposals.pop(index, None)
+        if proposal is not None:
+            reply = self._reply_to_proposal(proposal, entry, outcome)
+            effects.reply(proposal.client, reply)
+
+    def _track_granted_lease(self, number: int, now: float) -> None:
+        """The reply that grants a lease counts as a renewal of its holder."""
+        leases = self.state_machine.leases.leases.values()
+        granted = next((lease for lease in leases if lease.number == number), None)
+        if granted is not None:
+            life = (granted.holder, granted.birth)
+            answered = self.renewals.answered
+            answered[life] = max(now, answered.get(life, -NEVER))
+
+    def _reply_to_proposal(
+        self, proposal: PendingProposal, entry: LogEntry, outcome: CommandOutcome | None
+    ) -> AnyReply:
+        if proposal.term == entry.term and isinstance(outcome, LeaseOutcome):
+            return LeaseAcquired(proposal.request_id, outcome)
+        if proposal.term == entry.term and isinstance(outcome, PutOutcome):
+            return ConfigPut(proposal.request_id, outcome)
+        return NotLeader(proposal.request_id, self.leader, "another entry took its place")
+
+    def _finish(self, effects: VoterEffects, now: float) -> VoterEffects:
+        """Do what follows from the state of the log after an event."""
+        led_term = self.raft.term if self.raft.is_leader else 0
+        changed = led_term != self._tracked_term
+        if changed:
+            self._tracked_term = led_term
+            self.renewals.lead(now if led_term else NEVER)
+        if changed or not led_term:
+            self._refuse_pending(led_term, effects)
+        if led_term:
+            self._reply_to_confirmed_reads(effects, now)
+            self._update_voters(effects, now)
+        self._compact_if_long(effects)
+        return effects
+
+    def _refuse_pending(self, led_term: int, effects: VoterEffects) -> None:
+        lost = {index: proposal for index, proposal in self.proposals.items() if proposal.term != led_term}
+        for index, proposal in lost.items():
+            del self.proposals[index]
+            reply = NotLeader(proposal.request_id, self.leader, "the lead was lost")
+            effects.reply(proposal.client, reply)
+        unconfirmed = [read for reads in [*self.reads.values(), self._queued_reads] for read in reads]
+        self.reads.clear()
+        self._queued_reads = []
+        self._refuse_reads(unconfirmed, effects)
+
+    def _reply_to_confirmed_reads(self, effects: VoterEffects, now: float) -> None:
+        confirmed = self.raft.confirmed_round
+        for number in [number for number in self.reads if number <= confirmed]:
+            for read in self.reads.pop(number):
+                leader_time = self._leader_time(now)
+                reply = reply_to_read(
+                    read.request, self.raft, self.state_machine, self.renewals, now, leader_time
+                )
+                effects.reply(read.client, reply)
+
+    def _compact_if_long(self, effects: VoterEffects) -> None:
+        entries = len(self.raft.log.entries)
+        is_long = entries > COMPACT_AFTER_ENTRIES or self._applied_bytes > COMPACT_AFTER_BYTES
+        if is_long and self._applied_index > self.raft.log.snapshot.index:
+            self._applied_bytes = 0
+            data = self.state_machine.snapshot()
+            effects.raft_effects.append(self.raft.compact(self._applied_index, data))
+
+    # Voters.
+
+    def _update_voters(self, effects: VoterEffects, now: float) -> None:
+        """Make a learner that has the log a voter, then remove the voter that it replaces."""
         voters = {*self.raft.voters}
-        names = [one.partition("/")[0] for one in voters]
-        double = next((one for one in sorted(voters) if names.count(one.partition("/")[0]) > 1), "")
-        if double:  # of two marks of one name the one that the leader hears from stays
-            name = double.partition("/")[0]
-            same = [one for one in voters if one.partition("/")[0] == name]
-            heard = self.raft.progress.last_reply_at
-            old = min(same, key=lambda one: (one == self.raft.name, heard.get(one, -NEVER)))
-            self._change(voters - {old}, does, now)
+        names = [voter.partition("/")[0] for voter in voters]
+        doubled = next((one for one in sorted(voters) if names.count(one.partition("/")[0]) > 1), "")
+        if doubled:
+            # Of two marks of one name the one that the leader hears from stays.
+            name = doubled.partition("/")[0]
+            same_name = [voter for voter in voters if voter.partition("/")[0] == name]
+            last_reply_at = self.raft.progress.last_reply_at
+            replaced = min(
+                same_name, key=lambda voter: (voter == self.raft.name, last_reply_at.get(voter, -NEVER))
+            )
+            self._change_voters(voters - {replaced}, effects, now)
         elif self.raft.progress.learners:
-            self._change(voters | {min(self.raft.progress.learners)}, does, now)
+            self._change_voters(voters | {min(self.raft.progress.learners)}, effects, now)
 
-    def _change(self, voters: set[str], does: VoterEffects, now: float) -> None:
-        _, step = self.raft.change_voters(tuple(sorted(voters)), now)
-        self._step(step, does, now)
+    def _change_voters(self, voters: set[str], effects: VoterEffects, now: float) -> None:
+        _, raft_effects = self.raft.change_voters(tuple(sorted(voters)), now)
+        self._take(raft_effects, effects, now)
 
 
-def founded(names: list[str]) -> Snapshot:
-    """Where the log of a new council begins: who votes."""
+def founding_snapshot(names: list[str]) -> Snapshot:
+    """What the log of a new council begins with: its voters, each with the mark of a first store."""
     return Snapshot(0, 0, tuple(sorted(f"{name}/0" for name in names)), b"")
--- a/cherrygrade/fleet/runtime/config_exchange.py
+++ b/cherrygrade/fleet/runtime/config_exchange.py
@@ -312,13 +312,13 @@
         voter, replica = self.council_server.voter if self.council_server is not None else None, self.replica
         if voter is None or replica is None:
             return
-        known = voter.books.versions
-        newest, told = known.newest, (known.stage, voter.leads)
+        known = voter.state_machine.versions
+        newest, told = known.newest, (known.stage, voter.is_ready_leader)
         if told != self._learned:
             if newest is not None and told[0] > self._learned[0]:
                 self.log("configuration agreed", number=newest.number, stage=told[0], by=newest.by)
             self._learned = told
-            self._do(replica.learned(newest, told[0], self.clock(), proven=voter.leads))
+            self._do(replica.learned(newest, told[0], self.clock(), proven=voter.is_ready_leader))
             self._set()
         of = (voter.raft.term, known.moving) if voter.raft.is_leader and known.moving else (0, 0)
         if of != self._settling_of:
--- a/cherrygrade/fleet/runtime/council_server.py
+++ b/cherrygrade/fleet/runtime/council_server.py
@@ -18,16 +18,10 @@
 import msgspec
 
 from cherrygrade.fleet.config.versions import QuotaDivisors, difference
+from cherrygrade.fleet.consensus.council_messages import AnyReply, AnyRequest, NotLeader, PutConfig
 from cherrygrade.fleet.consensus.raft_messages import AnyRaftMessage, PersistentState
-from cherrygrade.fleet.consensus.voter import (
-    AnyReply,
-    AnyRequest,
-    ConfigVerdict,
-    NotLeader,
-    PutConfig,
-    Voter,
-    VoterEffects,
-)
+from cherrygrade.fleet.consensus.voter import Voter
+from cherrygrade.fleet.consensus.voter_effects import ConfigVerdict, OutgoingReply, VoterEffects
 from cherrygrade.fleet.errors import CouncilUnreachableError, VoterStoppedError
 from cherrygrade.fleet.runtime.addresses import address
 from cherrygrade.fleet.runtime.voter_store import VoterStore, open_store
@@ -272,11 +266,13 @@
                         "task": one.task,
                         "holder": one.holder,
                         "number": one.number,
-                        "left_ms": round(voter.count.ends(one) - now) if leads else None,
+                        "left_ms": round(voter.renewals.ends(one) - now) if leads else None,
                     }
-                    for one in voter.books.leases.leases.values()
+                    for one in voter.state_machine.leases.leases.values()
                 ],
-                "failed": {task: [one.times, one.why] for task, one in voter.books.leases.failed.items()},
+                "failed": {
+                    task: [one.times, one.why] for task, one in voter.state_machine.leases.failed.items()
+                },
             }
         return told
 
@@ -311,18 +307,20 @@
             if kind == b"q":
                 line.say(b"n", NotLeader(_ask.decode(body).id, "", "this one does not vote"))
         elif kind == b"r":
-            self._do(voter.hear(_word.decode(body), now))
+            self._do(voter.receive(_word.decode(body), now))
         elif kind == b"q":
             self._asked(voter, _ask.decode(body), line)
         else:
-            self._do(voter.let_in(msgspec.msgpack.decode(body, type=str), now))
+            self._do(voter.admit(msgspec.msgpack.decode(body, type=str), now))
 
     def _asked(self, voter: Voter, ask: AnyRequest, by: CouncilConnection | None) -> None:
         if not (isinstance(ask, PutConfig) and voter.raft.is_leader):
-            self._do(voter.ask(ask, by, self.clock()))
+            self._do(voter.request(ask, by, self.clock()))
         elif ask.id not in self.judging:  # else it is asked again, and the first answer is on its way
             if len(self.judging) >= MOST_JUDGING:
-                does = VoterEffects(answers=[(by, NotLeader(ask.id, "", "too many changes at once"))])
+                does = VoterEffects(
+                    replies=[OutgoingReply(by, NotLeader(ask.id, "", "too many changes at once"))]
+                )
                 self._do(does)
                 return
             task = asyncio.get_running_loop().create_task(self._put_judged(ask, by))
@@ -332,23 +330,23 @@
         voter = self.voter
         try:
             assert voter is not None
-            newest = voter.books.versions.newest
+            newest = voter.state_machine.versions.newest
             before = newest.text if newest is not None else ""
             loop = asyncio.get_running_loop()
             found = await loop.run_in_executor(self._judges, judged, self._judge, before, ask.text)
             if newest is not None and newest.number != ask.based_on:
                 found = ConfigVerdict(
-                    found.why, found.parts, found.old
+                    found.refusal, found.divisors, found.old_divisors
                 )  # refused by the log, whose word it is
             if self.voter is voter:
-                self._do(voter.put(ask, found, by, self.clock()))
+                self._do(voter.put_config(ask, found, by, self.clock()))
         finally:
             self.judging.pop(ask.id, None)
 
     def settle(self, number: int) -> None:
         """All of record use the smaller parts of the move that began with this version."""
         if self.voter is not None:
-            self._do(self.voter.settle(number, self.clock()))
+            self._do(self.voter.settle_config(number, self.clock()))
 
     def _beat(self) -> None:
         self._timer = None
@@ -372,7 +370,7 @@
         assert voter is not None
         self._steps.append((does, voter.raft.log.last_index))
         if self._writing is None:
-            if any(step.has_writes for step in does.steps):
+            if any(step.has_writes for step in does.raft_effects):
                 self._writing = asyncio.get_running_loop().create_task(self._write())
             else:
                 self._steps.clear()
@@ -385,7 +383,7 @@
         try:
             while self._steps and self.store is not None:
                 does, last = self._steps[0]
-                if any(step.has_writes for step in does.steps):
+                if any(step.has_writes for step in does.raft_effects):
                     await loop.run_in_executor(self._disk, self._put, self.store, does, last)
                 self._steps.popleft()
                 self._leave(does)
@@ -395,7 +393,7 @@
             self._writing = None
 
     def _put(self, store: VoterStore, does: VoterEffects, last: int) -> None:
-        for step in does.steps:
+        for step in does.raft_effects:
             store.write(step, last)
             self.writes += step.has_writes
 
@@ -404,9 +402,9 @@
         voter = self.voter
         if voter is None:
             return
-        for to, word in does.mail:
+        for to, word in does.messages:
             self._line(to.partition("/")[0]).say(b"r", word)
-        for by, answer in does.answers:
+        for by, answer in does.replies:
             if isinstance(by, CouncilConnection):
                 by.say(b"n", answer)
             else:
@@ -428,7 +426,9 @@
             return
         if self._timer is not None:
             self._timer.cancel()
-        due = min(self.voter.due(), self._let_in_at) if self._outside else self.voter.due()
+        due = (
+            min(self.voter.next_deadline(), self._let_in_at) if self._outside else self.voter.next_deadline()
+        )
         at = max(due, self.clock()) / 1000.0
         self._timer = asyncio.get_running_loop().call_at(at, self._beat)
 
@@ -453,7 +453,7 @@
             if answer is None:
                 self.leader = ""
                 continue
-            why = answer.why
+            why = answer.reason
             self.leader = answer.leader if answer.leader != name else ""
             if not self.leader:
                 await asyncio.sleep(AGAIN_S)
--- a/cherrygrade/fleet/runtime/lease_tasks.py
+++ b/cherrygrade/fleet/runtime/lease_tasks.py
@@ -10,7 +10,7 @@
 import json
 from collections.abc import Callable
 
-from cherrygrade.fleet.consensus.voter import (
+from cherrygrade.fleet.consensus.council_messages import (
     AcquireLease,
     FreeTasks,
     LeaseAcquired,
@@ -112,7 +112,7 @@
         except CouncilUnreachableError:
             return
         if isinstance(answer, LeasesRenewed):
-            for task in self.holding.renewed(asked, answer.numbers, self.clock(), answer.same):
+            for task in self.holding.renewed(asked, answer.numbers, self.clock(), answer.unchanged):
                 self._log("lease lost", task=task)
             strays, self.holding.strays = self.holding.strays, {}
             for task, number in strays.items():
@@ -135,9 +135,9 @@
         ask = AcquireLease(asked, task, self.holding.name, self.holding.birth, self.council.lease_ms)
         answer = await self.council_server.ask(ask, WITHIN_S)
         if isinstance(answer, LeaseAcquired) and self.holding.granted(
-            asked, task, answer.told.number, self.clock()
+            asked, task, answer.outcome.number, self.clock()
         ):
-            self._log("lease held", task=task, number=answer.told.number)
+            self._log("lease held", task=task, number=answer.outcome.number)
 
     async def give(self, task: str, failed: str = "") -> bool:
         """Back to the council; False where an order is still out, or it is not held."""
--- a/cherrygrade/fleet/runtime/operator_commands.py
+++ b/cherrygrade/fleet/runtime/operator_commands.py
@@ -21,7 +21,7 @@
 
 from cherrygrade.errors import OperatorError
 from cherrygrade.fleet.config.versions import MOST_TEXT
-from cherrygrade.fleet.consensus.voter import ConfigPut, ConfigStatus, PutConfig, ShowConfig
+from cherrygrade.fleet.consensus.council_messages import ConfigPut, ConfigStatus, PutConfig, ShowConfig
 from cherrygrade.fleet.errors import (
     ConfigNotFoundError,
     ConfigRefusedError,
@@ -116,7 +116,7 @@
         based_on = request.based_on
         if based_on < 0:
             shown = await self._shown(f"{request.id}/newest")
-            based_on = shown.lines[-1].number if shown.lines else 0
+            based_on = shown.versions[-1].number if shown.versions else 0
         ask = PutConfig(request.id, request.text, based_on, request.by)
         asking = asyncio.get_running_loop().create_task(self.council_server.ask(ask, JUDGE_S))
         try:
@@ -133,9 +133,13 @@
         finally:
             asking.cancel()
         assert isinstance(found, ConfigPut)
-        if found.told.waits:
-            raise ConfigRefusedError(found.told.waits)
-        return {"number": found.told.number, "stage": found.told.stage, "mark": f"{found.told.mark:016x}"}
+        if found.outcome.waits:
+            raise ConfigRefusedError(found.outcome.waits)
+        return {
+            "number": found.outcome.number,
+            "stage": found.outcome.stage,
+            "mark": f"{found.outcome.mark:016x}",
+        }
 
     async def _show(self, number: int) -> dict[str, Any]:
         here = self.config.status()
@@ -148,7 +152,7 @@
                 raise
             return {"here": here, "council": trouble.what, "lines": []}
         if number and shown.text is None:
-            kept = [one.number for one in shown.lines]
+            kept = [one.number for one in shown.versions]
             told = f"{kept[0]} to {kept[-1]}" if kept else "none yet"
             raise ConfigNotFoundError(f"version {number} is not kept: {told}")
         return {
@@ -157,7 +161,7 @@
             "text": shown.text,
             "settled": shown.settled,
             "moving": shown.moving,
-            "lines": [msgspec.structs.asdict(one) for one in shown.lines],
+            "lines": [msgspec.structs.asdict(one) for one in shown.versions],
         }
 
     async def _missing(self, number: int) -> dict[str, Any]:
--- a/cherrygrade/fleet/runtime/voter_store.py
+++ b/cherrygrade/fleet/runtime/voter_store.py
@@ -20,7 +20,7 @@
 import xxhash
 
 from cherrygrade.fleet.consensus.raft_messages import LogEntry, PersistentState, RaftEffects, Snapshot
-from cherrygrade.fleet.consensus.voter import founded
+from cherrygrade.fleet.consensus.voter import founding_snapshot
 from cherrygrade.fleet.errors import AlreadyFoundedError, NotAVoterError
 
 SIZE = 256 * 1024 * 1024  # at most; the file grows as it is used
@@ -190,7 +190,7 @@
     if (folder / "council.mdb").exists():
         raise AlreadyFoundedError(f"{folder} holds a voter's store")
     store = VoterStore(folder, fleet, name, "0")
-    store.write(RaftEffects(snapshot=founded(voters)), 0)
+    store.write(RaftEffects(snapshot=founding_snapshot(voters)), 0)
     store.close()
 
 
--- a/cherrygrade/lab/exploration/holders.py
+++ b/cherrygrade/lab/exploration/holders.py
@@ -1,5 +1,5 @@
 """A model of one task's lease for exploration: two leaders after each other, two holders, one receiver, with
-the product's own `leases/` and `council/orders.py`.
+the product's own `leases/` and `consensus/fencing.py`.
 
 The log is taken as agreed where the true leader writes it (that is the voters' model's matter). Real time
 goes in steps; each process has a clock of its own pace, as far apart as the drift allows. Words may come at
@@ -278,7 +278,7 @@
         if minds[at].life == order.life:
             one.ordered(TASK, order.number, -1)
             minds[at] = self._mind(one, order.life)
-        if not orders.take(TASK, order.number):
+        if not orders.accept(TASK, order.number):
             return now._replace(flying=flying, minds=tuple(minds))
         if order.number < now.last:
             raise Breach(f"{order.number} of {order.holder} is carried out behind {now.last}")
--- a/cherrygrade/standin/receiver.py
+++ b/cherrygrade/standin/receiver.py
@@ -43,7 +43,7 @@
             while line := await reader.readline():
                 order = json.loads(line)
                 task, number = str(order["task"]), int(order["number"])
-                done = self.orders.take(task, number) or not self.numbered
+                done = self.orders.accept(task, number) or not self.numbered
                 who = [order["holder"], order["birth"], order["count"]]
                 told = [time.monotonic() * 1000.0, task, number, *who, done]
                 self._record.write(json.dumps(told) + "\n")
--- a/tests/fleet/config/test_config_log.py
+++ b/tests/fleet/config/test_config_log.py
@@ -9,22 +9,21 @@
 
 from cherrygrade.fleet.config.versions import QuotaDivisors, difference
 from cherrygrade.fleet.consensus import state_machine, voter
-from cherrygrade.fleet.consensus.raft import Raft
-from cherrygrade.fleet.consensus.raft_log import MAX_BYTES_PER_MESSAGE
-from cherrygrade.fleet.consensus.raft_messages import AppendEntries, PersistentState
-from cherrygrade.fleet.consensus.state_machine import StateMachine
-from cherrygrade.fleet.consensus.voter import (
+from cherrygrade.fleet.consensus.council_messages import (
     AcquireLease,
     ConfigPut,
     ConfigStatus,
-    ConfigVerdict,
     LeaseAcquired,
     NotLeader,
     PutConfig,
     ShowConfig,
-    Voter,
-    founded,
 )
+from cherrygrade.fleet.consensus.raft import Raft
+from cherrygrade.fleet.consensus.raft_log import MAX_BYTES_PER_MESSAGE
+from cherrygrade.fleet.consensus.raft_messages import AppendEntries, PersistentState
+from cherrygrade.fleet.consensus.state_machine import StateMachine
+from cherrygrade.fleet.consensus.voter import Voter, founding_snapshot
+from cherrygrade.fleet.consensus.voter_effects import ConfigVerdict
 
 SEATS = QuotaDivisors(3)
 
@@ -35,11 +34,11 @@
     def put(self, text: str, based_on: int, id: str, name: str = "", parts: QuotaDivisors = SEATS):
         self.answers.clear()
         name = name or self.leader()
-        before = self.voters[name].books.versions.newest
+        before = self.voters[name].state_machine.versions.newest
         hunks = difference(before.text, text) if before is not None and before.number == based_on else None
         judged = ConfigVerdict("", parts, SEATS, hunks)
         ask = PutConfig(id, text, based_on, "operator")
-        self.do(name, self.voters[name].put(ask, judged, "asker", self.now))
+        self.do(name, self.voters[name].put_config(ask, judged, "asker", self.now))
         self.pass_ms(300.0)
         return self.answers[0] if self.answers else None
 
@@ -49,20 +48,20 @@
         return found
 
     def known(self, name: str) -> list[tuple[int, str, str]]:
-        kept = self.voters[name].books.versions.kept.values()
+        kept = self.voters[name].state_machine.versions.kept.values()
         return [(one.number, one.text, one.digest.hex()) for one in kept]
 
 
 def number(answer: object) -> int:
     assert isinstance(answer, ConfigPut), answer
-    assert not answer.told.waits, answer.told.waits
-    return answer.told.number
+    assert not answer.outcome.waits, answer.outcome.waits
+    return answer.outcome.number
 
 
 def refusal(answer: object) -> str:
     assert isinstance(answer, ConfigPut), answer
-    assert answer.told.number == 0 and answer.told.waits
-    return answer.told.waits
+    assert answer.outcome.number == 0 and answer.outcome.waits
+    return answer.outcome.waits
 
 
 def test_a_change_becomes_the_next_version_on_every_voter_and_shows():
@@ -71,9 +70,9 @@
     assert number(council.put("a: 2\n", 1, "two")) == 2
     assert council.known("a") == council.known("b") == council.known("c")
     shown = council.shown(1)
-    assert [one.number for one in shown.lines] == [1, 2] and shown.text == "a: 1\n"
+    assert [one.number for one in shown.versions] == [1, 2] and shown.text == "a: 1\n"
     assert (shown.stage, shown.settled, shown.moving) == (5, 2, 0)
-    assert shown.lines[-1].by == "operator" and council.shown(9).text is None
+    assert shown.versions[-1].by == "operator" and council.shown(9).text is None
 
 
 def test_of_two_at_once_the_log_takes_one_and_the_other_is_told_which_came_first():
@@ -94,15 +93,15 @@
 
 
 def test_a_voter_alone_answers_what_it_agreed_with_itself_at_once():
-    one = Voter("d0/0", PersistentState(snapshot=founded(["d0"])), ["d0"], 1, 0.0, 0.005)
-    one.tick(one.due())
-    assert one.leads
-    put = one.put(PutConfig("a", "x", 0, "operator"), ConfigVerdict("", SEATS, SEATS), "asker", 2000.0)
-    (answer,) = put.answers
+    one = Voter("d0/0", PersistentState(snapshot=founding_snapshot(["d0"])), ["d0"], 1, 0.0, 0.005)
+    one.tick(one.next_deadline())
+    assert one.is_ready_leader
+    put = one.put_config(PutConfig("a", "x", 0, "operator"), ConfigVerdict("", SEATS, SEATS), "asker", 2000.0)
+    (answer,) = put.replies
     assert answer[0] == "asker" and number(answer[1]) == 1
-    ((_, took),) = one.ask(AcquireLease("b", "task", "d0", 1, 5000.0), "asker", 2000.0).answers
-    assert isinstance(took, LeaseAcquired) and took.told.number
-    assert not one.waiting
+    ((_, took),) = one.request(AcquireLease("b", "task", "d0", 1, 5000.0), "asker", 2000.0).replies
+    assert isinstance(took, LeaseAcquired) and took.outcome.number
+    assert not one.proposals
 
 
 def test_who_does_not_lead_says_who_does_and_an_unjudged_text_is_never_proposed():
@@ -112,11 +111,11 @@
     answer = council.put("a: 1\n", 0, "one", other)
     assert isinstance(answer, NotLeader) and answer.leader == leader
     answer = council.ask(PutConfig("one", "a: 1\n", 0, "operator"))
-    assert isinstance(answer, NotLeader) and "not judged" in answer.why
+    assert isinstance(answer, NotLeader) and "not judged" in answer.reason
     refused = ConfigVerdict("needs a restart: bounds.most_body")
     council.answers.clear()
     ask = PutConfig("one", "a: 1\n", 0, "operator")
-    council.do(leader, council.voters[leader].put(ask, refused, "asker", council.now))
+    council.do(leader, council.voters[leader].put_config(ask, refused, "asker", council.now))
     assert refusal(council.answers[0]) == "needs a restart: bounds.most_body"
     council.pass_ms(500.0)
     assert not council.known(leader)
@@ -126,23 +125,23 @@
     council = Voters()
     leader = council.leader()
     assert number(council.put("a: 1\n", 0, "one", parts=QuotaDivisors(5))) == 1
-    versions = council.voters[leader].books.versions
+    versions = council.voters[leader].state_machine.versions
     assert (versions.stage, versions.moving) == (2, 1)
     assert "parts still move" in refusal(council.put("a: 2\n", 1, "two", parts=QuotaDivisors(7)))
     for name in NAMES:
         if name != leader:
-            council.do(name, council.voters[name].settle(1, council.now))
+            council.do(name, council.voters[name].settle_config(1, council.now))
     council.pass_ms(300.0)
     assert versions.moving == 1
     for _ in range(2):
-        council.do(leader, council.voters[leader].settle(1, council.now))
+        council.do(leader, council.voters[leader].settle_config(1, council.now))
         council.pass_ms(300.0)
     assert (versions.stage, versions.moving) == (3, 0)
-    assert {voter.books.versions.stage for voter in council.voters.values()} == {3}
+    assert {voter.state_machine.versions.stage for voter in council.voters.values()} == {3}
 
 
 def test_a_restart_behind_a_snapshot_has_the_versions_again(monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr(voter, "COMPACT", 5)
+    monkeypatch.setattr(voter, "COMPACT_AFTER_ENTRIES", 5)
     council = Voters()
     for at in range(12):
         assert number(council.put(f"a: {at}\n", at, f"id {at}")) == at + 1
@@ -157,7 +156,7 @@
 
 
 def test_a_log_of_much_text_becomes_a_snapshot_too(monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr(voter, "COMPACT_BYTES", 100_000)
+    monkeypatch.setattr(voter, "COMPACT_AFTER_BYTES", 100_000)
     council = Voters()
     for at in range(8):
         text = "".join(f"key{at}_{line}: {line}\n" for line in range(2000))
@@ -176,7 +175,7 @@
 def test_a_snapshot_of_before_restores_and_one_of_now_is_read_by_a_program_of_before():
     council = Voters()
     assert isinstance(council.ask(AcquireLease("t1", "task", "x", 1, 3000.0)), LeaseAcquired)
-    known = council.voters[council.leader()].books
+    known = council.voters[council.leader()].state_machine
     old = msgspec.msgpack.encode(OldState(known.permits.snapshot(), known.leases.state()))
     assert number(council.put("a: 1\n", 0, "one")) == 1
     again = StateMachine()
@@ -197,7 +196,7 @@
 
 
 def test_a_message_between_voters_holds_a_bounded_number_of_bytes_and_one_entry_at_least():
-    raft = Raft("a/0", PersistentState(0, "", voter.founded(["a", "b", "c"]), []), 1, 0.0)
+    raft = Raft("a/0", PersistentState(0, "", founding_snapshot(["a", "b", "c"]), []), 1, 0.0)
     raft.start_election(1000.0)
     raft.receive(voter_vote("b/0", raft.term), 1000.0)
     assert raft.is_leader
--- a/tests/fleet/consensus/test_raft.py
+++ b/tests/fleet/consensus/test_raft.py
@@ -164,7 +164,7 @@
     ],
     ids=["a vote forgotten", "an answer before the disk", "old logs win", "half", "unfit"],
 )
-def test_planted_breakages_are_found(
+def test_planted_faults_are_found(
     more: dict[str, bool], plant: Callable[[pytest.MonkeyPatch], None] | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if plant is not None:
@@ -176,7 +176,7 @@
     raise AssertionError(f"not found: {found}")
 
 
-def test_an_older_terms_entry_is_not_agreed_by_its_copies_alone() -> None:
+def test_entry_of_an_older_term_is_not_committed_by_replicas_alone() -> None:
     # Figure 8 of the paper: a majority has it, and who lacks it could still be elected.
     old = PersistentState(2, "", Snapshot(voters=("a", "b", "c")), [LogEntry(1, b"x")])
     raft = Raft("a", old, 1, 0.0)
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_five_voters_through_crashes_cuts_and_losses_agree_and_go_on(seed: int) -> None:
+def test_five_voters_agree_through_crashes_partitions_and_message_loss(seed: int) -> None:
     council = Council(FIVE, seed, lost=0.1, late_ms=30.0)
     asked = 0
     for step in range(60):
@@ -228,7 +228,7 @@
     assert asked > 5
 
 
-def test_another_leads_soon_after_the_leader_is_killed() -> None:
+def test_new_leader_is_elected_soon_after_the_leader_crashes() -> None:
     worst = 0.0
     for seed in range(100):
         council = Council(FIVE, seed)
@@ -243,7 +243,7 @@
     assert worst < 3000.0, worst
 
 
-def test_a_flapping_link_to_one_voter_makes_no_elections() -> None:
+def test_flapping_link_to_one_voter_causes_no_election() -> None:
     council = Council(FIVE, 3)
     council.run(3000.0)
     leader = council.leader()
@@ -258,7 +258,7 @@
     assert council.leader() is leader and leader.term == term
 
 
-def test_a_leader_cut_off_with_the_few_leads_no_more_and_agrees_to_nothing() -> None:
+def test_leader_in_a_minority_steps_down_and_commits_nothing() -> None:
     council = Council(FIVE, 4)
     council.run(3000.0)
     old = council.leader()
@@ -275,7 +275,7 @@
     assert all(state == [b"kept"] for state in council.states.values())
 
 
-def test_voters_are_changed_one_at_a_time_and_a_newcomer_only_once_it_has_the_log() -> None:
+def test_voters_change_one_at_a_time_and_a_learner_votes_only_once_it_has_the_log() -> None:
     council = Council(("a", "b", "c"), 5)
     council.run(3000.0)
     leader = council.leader()
--- a/tests/fleet/leases/test_leases.py
+++ b/tests/fleet/leases/test_leases.py
@@ -6,8 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from cherrygrade.fleet.consensus.raft_messages import PersistentState
-from cherrygrade.fleet.consensus.voter import (
+from cherrygrade.fleet.consensus.council_messages import (
     AcquireLease,
     CouncilStatus,
     LeaseAcquired,
@@ -16,9 +15,9 @@
     ReleaseLease,
     RenewLeases,
     ShowCouncil,
-    Voter,
-    founded,
 )
+from cherrygrade.fleet.consensus.raft_messages import PersistentState
+from cherrygrade.fleet.consensus.voter import Voter, founding_snapshot
 from cherrygrade.fleet.leases.lease_client import LeaseClient
 from cherrygrade.fleet.leases.lease_holder import MARGIN_MS, LeaseHolder, turn
 from cherrygrade.fleet.leases.lease_table import Acquire, LeaseTable, Release
@@ -32,7 +31,7 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.disks = {name: PersistentState(0, "", founded(NAMES), []) for name in NAMES}
+        self.disks = {name: PersistentState(0, "", founding_snapshot(NAMES), []) for name in NAMES}
         self.voters = {name: self._voter(name) for name in NAMES}
         self.cut: set[str] = set()
         self.answers: list[object] = []
@@ -47,7 +46,7 @@
 
     def do(self, name: str, does) -> None:
         disk = self.disks[name]
-        for step in does.steps:
+        for step in does.raft_effects:
             if step.term_and_vote is not None:
                 disk.term, disk.vote = step.term_and_vote
             if step.snapshot is not None:
@@ -55,18 +54,18 @@
                 disk.snapshot, disk.entries = step.snapshot, disk.entries[drop:]
             if step.first_index:
                 disk.entries = disk.entries[: step.first_index - disk.snapshot.index - 1] + step.entries
-        self.answers += [answer for _, answer in does.answers]
-        for to, word in does.mail:
+        self.answers += [answer for _, answer in does.replies]
+        for to, word in does.messages:
             near = to.partition("/")[0]
             if not {name, near} & self.cut:
-                self.do(near, self.voters[near].hear(word, self.now))
+                self.do(near, self.voters[near].receive(word, self.now))
 
     def pass_ms(self, ms: float) -> None:
         ends = self.now + ms
         while self.now < ends:
             self.now += 10.0
             for name, voter in self.voters.items():
-                if self.now >= voter.due():
+                if self.now >= voter.next_deadline():
                     self.do(name, voter.tick(self.now))
 
     def leader(self) -> str:
@@ -80,7 +79,7 @@
     def ask(self, ask, name: str = ""):
         self.answers.clear()
         name = name or self.leader()
-        self.do(name, self.voters[name].ask(ask, "asker", self.now))
+        self.do(name, self.voters[name].request(ask, "asker", self.now))
         self.pass_ms(60.0)
         return self.answers[0] if self.answers else None
 
@@ -88,13 +87,13 @@
         asked = holding.ask(self.now, task)
         answer = self.ask(AcquireLease(asked, task, holding.name, holding.birth, TTL))
         assert isinstance(answer, LeaseAcquired)
-        return holding.granted(asked, task, answer.told.number, self.now)
+        return holding.granted(asked, task, answer.outcome.number, self.now)
 
     def renew(self, holding: LeaseHolder) -> None:
         asked, same = holding.renew(self.now)
         answer = self.ask(RenewLeases(asked, holding.name, holding.birth, same))
         if isinstance(answer, LeasesRenewed):
-            holding.renewed(asked, answer.numbers, self.now, answer.same)
+            holding.renewed(asked, answer.numbers, self.now, answer.unchanged)
 
 
 def test_one_holds_a_task_and_the_next_one_once_its_time_is_counted_out_by_both():
@@ -102,7 +101,7 @@
     assert council.take(one, "t") and not council.take(two, "t")
     number = one.may("t", council.now)
     ends = one.held["t"].ends
-    while council.voters[council.leader()].books.leases.leases:
+    while council.voters[council.leader()].state_machine.leases.leases:
         council.pass_ms(10.0)
     assert council.now > ends + MARGIN_MS  # it stopped before it was freed
     assert not one.may("t", council.now)
@@ -119,7 +118,7 @@
         council.renew(one)
     asked, same = one.renew(council.now)
     short = council.ask(RenewLeases(asked, "x", 1, same))
-    assert isinstance(short, LeasesRenewed) and short.same and not short.numbers
+    assert isinstance(short, LeasesRenewed) and short.unchanged and not short.numbers
     assert len(one.held) == 50 and council.voters[council.leader()].raft.log.last_index == before
     assert all(one.may(f"t{at}", council.now) for at in range(50))
 
@@ -130,7 +129,9 @@
     old = council.leader()
     council.cut = {old}
     council.answers.clear()
-    council.do(old, council.voters[old].ask(RenewLeases(one.ask(council.now), "x", 1), "asker", council.now))
+    council.do(
+        old, council.voters[old].request(RenewLeases(one.ask(council.now), "x", 1), "asker", council.now)
+    )
     council.pass_ms(2000.0)
     assert not any(isinstance(answer, LeasesRenewed) for answer in council.answers)
     assert isinstance(council.answers[0], NotLeader)
@@ -144,7 +145,7 @@
     ends = one.held["t"].ends
     council.cut = {council.leader()}
     council.leader()
-    while council.voters[council.leader()].books.leases.leases:
+    while council.voters[council.leader()].state_machine.leases.leases:
         council.pass_ms(10.0)
     assert council.now > ends + MARGIN_MS
 
@@ -159,10 +160,10 @@
     assert (
         isinstance(first, LeaseAcquired)
         and isinstance(again, LeaseAcquired)
-        and first.told.number == again.told.number
+        and first.outcome.number == again.outcome.number
     )
     begun = one.asked[asked]
-    assert one.granted(asked, "t", again.told.number, council.now)
+    assert one.granted(asked, "t", again.outcome.number, council.now)
     assert one.held["t"].ends == begun + TTL * (1.0 - DRIFT) - MARGIN_MS
 
 
@@ -170,7 +171,7 @@
     council, old, new = Council(), LeaseHolder("x", 1, TTL, DRIFT), LeaseHolder("x", 2, TTL, DRIFT)
     assert council.take(old, "t") and not council.take(new, "t")
     council.renew(new)
-    assert council.voters[council.leader()].books.leases.of("x", 1)
+    assert council.voters[council.leader()].state_machine.leases.of("x", 1)
 
 
 def test_a_task_is_not_given_back_while_an_order_is_out():
@@ -200,7 +201,9 @@
     council.renew(one)
     assert {*one.strays} == {"lapsed", "unheard"}
     assert isinstance(unheard, LeaseAcquired)
-    assert not one.granted(late, "unheard", unheard.told.number, council.now)  # it comes after all: too late
+    assert not one.granted(
+        late, "unheard", unheard.outcome.number, council.now
+    )  # it comes after all: too late
     for task, number in one.strays.items():
         council.ask(ReleaseLease(one.ask(council.now), task, number))
         assert council.take(two, task)
@@ -247,7 +250,7 @@
         council.restart(name)
     council.leader()
     council.pass_ms(200.0)
-    assert [*council.voters[council.leader()].books.leases.leases] == ["t150"]
+    assert [*council.voters[council.leader()].state_machine.leases.leases] == ["t150"]
 
 
 def test_a_voter_that_lost_its_store_is_let_in_and_takes_its_old_marks_place():
@@ -258,12 +261,12 @@
     council.voters[lost] = Voter(f"{lost}/9", PersistentState(), NAMES, 1, council.now, DRIFT)
     for _ in range(20):
         leader = council.leader()
-        council.do(leader, council.voters[leader].let_in(f"{lost}/9", council.now))
+        council.do(leader, council.voters[leader].admit(f"{lost}/9", council.now))
         council.pass_ms(100.0)
     expected = sorted(f"{name}/{9 if name == lost else 0}" for name in NAMES)
     assert sorted(council.voters[council.leader()].raft.voters) == expected
     stranger = council.leader()
-    council.do(stranger, council.voters[stranger].let_in("stranger/1", council.now))
+    council.do(stranger, council.voters[stranger].admit("stranger/1", council.now))
     council.pass_ms(500.0)
     assert len(council.voters[council.leader()].raft.voters) == 3
 
@@ -299,7 +302,7 @@
         self.council.answers.clear()
         for name, voter in self.council.voters.items():
             if voter.raft.is_leader:
-                self.council.do(name, voter.ask(ask, "asker", self.council.now))
+                self.council.do(name, voter.request(ask, "asker", self.council.now))
         self.council.pass_ms(50.0)
         return next((one for one in self.council.answers if not isinstance(one, NotLeader)), None)
 
@@ -310,7 +313,7 @@
         answer = self.put(AcquireLease(asked, task, name, holding.birth, TTL))
         self.council.pass_ms(1500.0 * late)
         if isinstance(answer, LeaseAcquired) and not lost:
-            holding.granted(asked, task, answer.told.number, self.at(name))
+            holding.granted(asked, task, answer.outcome.number, self.at(name))
 
     @rule(name=st.sampled_from("xyz"), late=st.booleans())
     def renew(self, name: str, late: bool) -> None:
@@ -319,7 +322,7 @@
         answer = self.put(RenewLeases(asked, name, holding.birth, same))
         self.council.pass_ms(1500.0 * late)
         if isinstance(answer, LeasesRenewed):
-            holding.renewed(asked, answer.numbers, self.at(name), answer.same)
+            holding.renewed(asked, answer.numbers, self.at(name), answer.unchanged)
         strays, holding.strays = holding.strays, {}
         for task, number in strays.items():
             self.put(ReleaseLease(holding.ask(self.at(name)), task, number))
--- a/tests/golden/test_framing.py
+++ b/tests/golden/test_framing.py
@@ -67,9 +67,11 @@
 
 
 def write_entry(one: dict[str, Any]) -> bytes:
-    write = {"permit": state_machine.permit, "lease": state_machine.lease, "config": state_machine.config}[
-        one["kind"]
-    ]
+    write = {
+        "permit": state_machine.encode_drain_command,
+        "lease": state_machine.encode_lease_command,
+        "config": state_machine.encode_config_command,
+    }[one["kind"]]
     return write(value_of(one))
 
 
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -12,7 +12,13 @@
 from support import golden
 
 from cherrygrade.fleet.config import replica, versions
-from cherrygrade.fleet.consensus import disruption_budget, drain_permits, raft_messages, state_machine, voter
+from cherrygrade.fleet.consensus import (
+    council_messages,
+    disruption_budget,
+    drain_permits,
+    raft_messages,
+    state_machine,
+)
 from cherrygrade.fleet.leases import lease_table
 from cherrygrade.fleet.membership import messages as membership_messages
 from cherrygrade.fleet.membership import reachability, table
@@ -86,23 +92,23 @@
     "fleet.council.raft.Append": raft_messages.AppendEntries,
     "fleet.council.raft.Appended": raft_messages.AppendReply,
     "fleet.council.raft.Install": raft_messages.InstallSnapshot,
-    "fleet.council.voter.Ask": voter.CouncilRequest,
-    "fleet.council.voter.AskTake": voter.AcquireLease,
-    "fleet.council.voter.AskGive": voter.ReleaseLease,
-    "fleet.council.voter.AskRenew": voter.RenewLeases,
-    "fleet.council.voter.AskFree": voter.ListFreeTasks,
-    "fleet.council.voter.AskShow": voter.ShowCouncil,
-    "fleet.council.voter.AskPut": voter.PutConfig,
-    "fleet.council.voter.AskConfig": voter.ShowConfig,
-    "fleet.council.voter.Answer": voter.CouncilReply,
-    "fleet.council.voter.Elsewhere": voter.NotLeader,
-    "fleet.council.voter.Took": voter.LeaseAcquired,
-    "fleet.council.voter.Renewed": voter.LeasesRenewed,
-    "fleet.council.voter.Freed": voter.FreeTasks,
-    "fleet.council.voter.Shown": voter.CouncilStatus,
-    "fleet.council.voter.Configured": voter.ConfigPut,
-    "fleet.council.voter.Line": voter.VersionSummary,
-    "fleet.council.voter.ConfigShown": voter.ConfigStatus,
+    "fleet.council.voter.Ask": council_messages.CouncilRequest,
+    "fleet.council.voter.AskTake": council_messages.AcquireLease,
+    "fleet.council.voter.AskGive": council_messages.ReleaseLease,
+    "fleet.council.voter.AskRenew": council_messages.RenewLeases,
+    "fleet.council.voter.AskFree": council_messages.ListFreeTasks,
+    "fleet.council.voter.AskShow": council_messages.ShowCouncil,
+    "fleet.council.voter.AskPut": council_messages.PutConfig,
+    "fleet.council.voter.AskConfig": council_messages.ShowConfig,
+    "fleet.council.voter.Answer": council_messages.CouncilReply,
+    "fleet.council.voter.Elsewhere": council_messages.NotLeader,
+    "fleet.council.voter.Took": council_messages.LeaseAcquired,
+    "fleet.council.voter.Renewed": council_messages.LeasesRenewed,
+    "fleet.council.voter.Freed": council_messages.FreeTasks,
+    "fleet.council.voter.Shown": council_messages.CouncilStatus,
+    "fleet.council.voter.Configured": council_messages.ConfigPut,
+    "fleet.council.voter.Line": council_messages.VersionSummary,
+    "fleet.council.voter.ConfigShown": council_messages.ConfigStatus,
     "fleet.leases.grants.Op": lease_table.LeaseCommand,
     "fleet.leases.grants.Take": lease_table.Acquire,
     "fleet.leases.grants.Give": lease_table.Release,
