--- a/cherrygrade/fleet/config/replica.py
+++ b/cherrygrade/fleet/config/replica.py
@@ -17,13 +17,9 @@
 
 import msgspec
 
-from cherrygrade.fleet.config.versions import (
-    ConfigContentError,
-    ConfigVersion,
-    VersionContent,
-    content,
-    taken,
-)
+from cherrygrade.fleet.config.errors import ConfigContentError
+from cherrygrade.fleet.config.version_content import VersionContent, content_for, verified_version
+from cherrygrade.fleet.config.versions import ConfigVersion
 
 MOST_IN = 8  # fetches served at once; who comes more is told "busy"
 FAN = 3  # members that a new stage is pushed to, once: one at least of another zone
@@ -177,7 +173,7 @@
 
     @property
     def mark(self) -> int:
-        return self.version.mark if self.version is not None else 0
+        return self.version.digest_prefix if self.version is not None else 0
 
     @property
     def sure(self) -> bool:
@@ -257,7 +253,7 @@
         its word. A follower's own log may lag."""
         if version is not None and stage > self._believed[0]:
             self._hold(version)
-            self._believed = (stage, version.mark)
+            self._believed = (stage, version.digest_prefix)
         if proven:
             self._heard = True
             self._look_sure()
@@ -266,17 +262,17 @@
     def wanted(self, wanted: FetchRequest) -> FetchResponse:
         """Somebody fetches; where content is given, `served` has to follow once the stream ends."""
         version = self.held.get(wanted.number)
-        if version is None or version.mark != wanted.mark:
+        if version is None or version.digest_prefix != wanted.mark:
             return FetchResponse(None, "gone")
         if self._serving >= MOST_IN:
             return FetchResponse(None, "busy")
         self._serving += 1
         base = self.held.get(wanted.base)
-        if base is None or base.mark != wanted.base_mark:
+        if base is None or base.digest_prefix != wanted.base_mark:
             return FetchResponse(VersionContent(version))
         key = (version.number, base.number)
         if key not in self._contents:
-            self._contents[key] = content(version, base)
+            self._contents[key] = content_for(version, base)
             while len(self._contents) > MOST_HELD:
                 self._contents.popitem(last=False)
         return FetchResponse(self._contents[key])
@@ -295,7 +291,7 @@
                 self.hinted.pop(by, None)
             return self._advance(now)
         try:
-            version = taken(gave.content, stage // 2, mark, self.version)
+            version = verified_version(gave.content, stage // 2, mark, self.version)
         except ConfigContentError as wrong:
             return self._failed(by, f"{by}: {wrong}", now)
         self._hold(version)
@@ -335,12 +331,12 @@
         self._hold(version)
         self._bits = 1 << self.seat if self.seat >= 0 else 0
         self._full_at = NEVER
-        self._merge(stage, version.mark, b"", now)
+        self._merge(stage, version.digest_prefix, b"", now)
         self._pushing = True
         self._drop_said()
         self.hinted = OrderedDict((by, word) for by, word in self.hinted.items() if word[0] > stage)
         if self._believed[0] < stage:
-            self._believed = (stage, version.mark)
+            self._believed = (stage, version.digest_prefix)
         self._look_sure()
         self._stirred = True
         return self._advance(now)
@@ -444,7 +440,9 @@
         stage, mark = self._believed
         version = self.held.get(stage // 2)
         return (
-            self._into(version, stage) if version is not None and version.mark == mark else ReplicaEffects()
+            self._into(version, stage)
+            if version is not None and version.digest_prefix == mark
+            else ReplicaEffects()
         )
 
     def _into(self, version: ConfigVersion, stage: int) -> ReplicaEffects:
@@ -565,7 +563,7 @@
             return
         stage, mark = self._believed
         number = stage // 2
-        if (version := self.held.get(number)) is not None and version.mark == mark:
+        if (version := self.held.get(number)) is not None and version.digest_prefix == mark:
             return  # it goes into force
         tellers = [by for by, word in self.hinted.items() if word[0] // 2 >= number]
         tellers += [by for by, words in self.said.items() if words[-1][0] // 2 >= number]
--- a/cherrygrade/fleet/consensus/council_reads.py
+++ b/cherrygrade/fleet/consensus/council_reads.py
@@ -81,9 +81,11 @@
 def _config_status(request: ShowConfig, state_machine: StateMachine, leader: str) -> ConfigStatus:
     log = state_machine.versions
     summaries = [
-        VersionSummary(version.number, version.digest.hex(), version.by, version.at, len(version.text))
-        for version in log.kept.values()
+        VersionSummary(
+            version.number, version.digest.hex(), version.author, version.created_at, len(version.text)
+        )
+        for version in log.versions.values()
     ]
-    wanted = log.kept.get(request.number)
+    wanted = log.versions.get(request.number)
     text = wanted.text if wanted is not None else None
-    return ConfigStatus(request.id, log.stage, log.settled, log.moving, summaries, text, leader)
+    return ConfigStatus(request.id, log.stage, log.settled_number, log.moving_number, summaries, text, leader)
--- a/cherrygrade/fleet/consensus/state_machine.py
+++ b/cherrygrade/fleet/consensus/state_machine.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from cherrygrade.fleet.config import versions
+from cherrygrade.fleet.config import version_log, versions
 from cherrygrade.fleet.consensus import drain_permits
 from cherrygrade.fleet.leases import lease_table
 
@@ -33,7 +33,7 @@
 
     permits: bytes
     leases: lease_table.LeaseTableState
-    versions: versions.VersionLogState | None = None
+    versions: version_log.VersionLogState | None = None
 
 
 def encode_drain_command(command: drain_permits.AnyDrainCommand) -> bytes:
@@ -63,7 +63,7 @@
     def __init__(self) -> None:
         self.permits = drain_permits.DrainPermits()
         self.leases = lease_table.LeaseTable()
-        self.versions = versions.VersionLog()
+        self.versions = version_log.VersionLog()
 
     @property
     def now(self) -> float:
@@ -105,6 +105,6 @@
         state = msgspec.msgpack.decode(data, type=StateMachineSnapshot)
         self.permits.restore(state.permits)
         self.leases.restore(state.leases)
-        self.versions = versions.VersionLog()
+        self.versions = version_log.VersionLog()
         if state.versions is not None:
             self.versions.restore(state.versions)
--- a/cherrygrade/fleet/consensus/voter.py
+++ b/cherrygrade/fleet/consensus/voter.py
@@ -194,7 +194,7 @@
         if self._is_overloaded:
             effects.reply(client, NotLeader(request.id, "", "too much is asked at once"))
         elif verdict.refusal or verdict.divisors is None:
-            effects.reply(client, ConfigPut(request.id, PutOutcome(waits=verdict.refusal)))
+            effects.reply(client, ConfigPut(request.id, PutOutcome(refusal=verdict.refusal)))
         else:
             command = PutVersion(
                 self._leader_time(now),
@@ -213,7 +213,7 @@
     def settle_config(self, number: int, now: float) -> VoterEffects:
         """All dispatchers of record use the smaller quota parts of the move that began with this version."""
         effects = VoterEffects()
-        if self.is_ready_leader and self.state_machine.versions.moving == number:
+        if self.is_ready_leader and self.state_machine.versions.moving_number == number:
             command = SettleVersion(self._leader_time(now), number)
             self._propose(encode_config_command(command), effects, now)
         return self._finish(effects, now)
--- a/cherrygrade/fleet/consensus/voter_effects.py
+++ b/cherrygrade/fleet/consensus/voter_effects.py
@@ -5,7 +5,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from cherrygrade.fleet.config.versions import DiffHunk, QuotaDivisors
+from cherrygrade.fleet.config.text_diff import DiffHunk
+from cherrygrade.fleet.config.versions import QuotaDivisors
 from cherrygrade.fleet.consensus.council_messages import AnyReply
 from cherrygrade.fleet.consensus.raft_messages import OutgoingMessage, RaftEffects
 
--- a/cherrygrade/fleet/runtime/config_exchange.py
+++ b/cherrygrade/fleet/runtime/config_exchange.py
@@ -316,15 +316,22 @@
         newest, told = known.newest, (known.stage, voter.is_ready_leader)
         if told != self._learned:
             if newest is not None and told[0] > self._learned[0]:
-                self.log("configuration agreed", number=newest.number, stage=told[0], by=newest.by)
+                self.log("configuration agreed", number=newest.number, stage=told[0], by=newest.author)
             self._learned = told
             self._do(replica.learned(newest, told[0], self.clock(), proven=voter.is_ready_leader))
             self._set()
-        of = (voter.raft.term, known.moving) if voter.raft.is_leader and known.moving else (0, 0)
+        of = (
+            (voter.raft.term, known.moving_number) if voter.raft.is_leader and known.moving_number else (0, 0)
+        )
         if of != self._settling_of:
             self._settling_of, self.settling = of, None
-            if of[1] and known.parts is not None and newest is not None and newest.old is not None:
-                count = seats(known.parts, newest.old)
+            if (
+                of[1]
+                and known.divisors is not None
+                and newest is not None
+                and newest.old_divisors is not None
+            ):
+                count = seats(known.divisors, newest.old_divisors)
                 self.settling = JointPhase(2 * of[1], count, self._seed, self.clock())
             self._set()
 
@@ -452,9 +459,9 @@
         facts = {"number": version.number, "stage": stage, "digest": version.digest.hex()[:16]}
         if why:
             means = "This dispatcher stays on what it has."
-            self.log("configuration refused", what=why, means=means, by=version.by, **facts)
+            self.log("configuration refused", what=why, means=means, by=version.author, **facts)
         else:
-            self.log("configuration in force", by=version.by, since=self.since, **facts)
+            self.log("configuration in force", by=version.author, since=self.since, **facts)
         return why
 
     def _tell(self, does: ReplicaEffects) -> None:
@@ -516,7 +523,7 @@
             "stage": replica.stage,
             "number": version.number if version is not None else 0,
             "digest": version.digest.hex() if version is not None else "",
-            "by": version.by if version is not None else "",
+            "by": version.author if version is not None else "",
             "settled": bool(replica.stage % 2),
             "since": self.since,
             "sure": replica.sure,
--- a/cherrygrade/fleet/runtime/council_server.py
+++ b/cherrygrade/fleet/runtime/council_server.py
@@ -17,7 +17,8 @@
 import lmdb
 import msgspec
 
-from cherrygrade.fleet.config.versions import QuotaDivisors, difference
+from cherrygrade.fleet.config.text_diff import difference
+from cherrygrade.fleet.config.versions import QuotaDivisors
 from cherrygrade.fleet.consensus.council_messages import AnyReply, AnyRequest, NotLeader, PutConfig
 from cherrygrade.fleet.consensus.raft_messages import AnyRaftMessage, PersistentState
 from cherrygrade.fleet.consensus.voter import Voter
--- a/cherrygrade/fleet/runtime/operator_commands.py
+++ b/cherrygrade/fleet/runtime/operator_commands.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from cherrygrade.errors import OperatorError
-from cherrygrade.fleet.config.versions import MOST_TEXT
+from cherrygrade.fleet.config.versions import MAX_TEXT_BYTES
 from cherrygrade.fleet.consensus.council_messages import ConfigPut, ConfigStatus, PutConfig, ShowConfig
 from cherrygrade.fleet.errors import (
     ConfigNotFoundError,
@@ -133,12 +133,12 @@
         finally:
             asking.cancel()
         assert isinstance(found, ConfigPut)
-        if found.outcome.waits:
-            raise ConfigRefusedError(found.outcome.waits)
+        if found.outcome.refusal:
+            raise ConfigRefusedError(found.outcome.refusal)
         return {
             "number": found.outcome.number,
             "stage": found.outcome.stage,
-            "mark": f"{found.outcome.mark:016x}",
+            "mark": f"{found.outcome.digest_prefix:016x}",
         }
 
     async def _show(self, number: int) -> dict[str, Any]:
@@ -278,8 +278,8 @@
             raise ConfigNotFoundError(
                 f"{file}: {wrong}" if isinstance(wrong, OSError) else str(wrong)
             ) from wrong
-        if len(text.encode()) > MOST_TEXT:
-            raise ConfigNotFoundError(f"{file} has more than {MOST_TEXT} bytes")
+        if len(text.encode()) > MAX_TEXT_BYTES:
+            raise ConfigNotFoundError(f"{file} has more than {MAX_TEXT_BYTES} bytes")
         return await _put(text, place)
 
     return told(doing)
--- a/cherrygrade/gateway/process.py
+++ b/cherrygrade/gateway/process.py
@@ -451,7 +451,7 @@
 
         assert self.agent is not None and self.company is not None
         sure = self._sure()
-        old = version.old if version is not None and stage % 2 == 0 else None
+        old = version.old_divisors if version is not None and stage % 2 == 0 else None
         into = terms(site, parts(self.place.number, divisors(site), old, sure), old)
         pressed = partial(presses, top=into.top, tight=into.tight)
         held = self._held()
--- a/cherrygrade/lab/exploration/config.py
+++ b/cherrygrade/lab/exploration/config.py
@@ -17,13 +17,13 @@
 
 from cherrygrade.fleet.config.joint_phase import JointPhase, SeatedMember, parts
 from cherrygrade.fleet.config.replica import ConfigReplica, FetchResponse, ReplicaEffects, StoredConfig
+from cherrygrade.fleet.config.version_content import VersionContent
+from cherrygrade.fleet.config.version_log import VersionLog
 from cherrygrade.fleet.config.versions import (
     ConfigVersion,
     PutVersion,
     QuotaDivisors,
     SettleVersion,
-    VersionContent,
-    VersionLog,
     encode,
     text_digest,
 )
@@ -55,7 +55,9 @@
     assert log.newest is not None
     found.append((log.newest, log.stage))
     newest = log.newest
-    forged = ConfigVersion(2, newest.before, "forged\n", "", 0.0, newest.old, newest.moved)
+    forged = ConfigVersion(
+        2, newest.previous_digest, "forged\n", "", 0.0, newest.old_divisors, newest.move_started
+    )
     return Log(tuple(found), counts, forged)
 
 
@@ -162,7 +164,7 @@
         self.bounds, self.planted = bounds, planted
         self.log = log_of(bounds.before, bounds.after)
         self.versions = {version.number: version for version, _ in self.log.entries}
-        self.marks = {version.number: version.mark for version in self.versions.values()}
+        self.marks = {version.number: version.digest_prefix for version in self.versions.values()}
         self.numbers = {mark: number for number, mark in self.marks.items()}
         self._told: Told[Word] = Told()
 
@@ -421,7 +423,7 @@
                 return f"{NAMES[at]} is on stage {mind.stage}, which is not agreed on"
             if mind.number:
                 version = self.versions[mind.number]
-                old = version.old if not mind.stage & 1 and not self.planted.grows_early else None
+                old = version.old_divisors if not mind.stage & 1 and not self.planted.grows_early else None
                 own = parts(at, self.log.parts[mind.number], old, mind.sure)
                 through += 1.0 / max(own.counts) if own.has else 0.0
             elif mind.sure:  # on its own file, which says what version 1 says
--- a/cherrygrade/lab/scale/follow.py
+++ b/cherrygrade/lab/scale/follow.py
@@ -27,7 +27,7 @@
         """A hollow member's `in_force`: it has nothing to put anything into, and refuses none."""
 
         def in_force(version: ConfigVersion, stage: int) -> str:
-            self._note(member, life, stage, f"{version.mark:016x}")
+            self._note(member, life, stage, f"{version.digest_prefix:016x}")
             return ""
 
         return in_force
--- a/cherrygrade/lab/virtual/spread.py
+++ b/cherrygrade/lab/virtual/spread.py
@@ -26,14 +26,8 @@
     ReplicaEffects,
     StoredConfig,
 )
-from cherrygrade.fleet.config.versions import (
-    PutVersion,
-    QuotaDivisors,
-    SettleVersion,
-    VersionLog,
-    encode,
-    text_digest,
-)
+from cherrygrade.fleet.config.version_log import VersionLog
+from cherrygrade.fleet.config.versions import PutVersion, QuotaDivisors, SettleVersion, encode, text_digest
 
 PROBE_MS = 400.0
 WHICH, HERE, PUSH = 300, 120, 70  # bytes of a page, as written by members/pages.py at most
@@ -128,16 +122,16 @@
         """Agreed on as the log has it; the leader hears first, the followers with its next words."""
         self._turn += 1
         based = self.log.newest.number if self.log.newest is not None else 0
-        parts = parts or self.log.parts or QuotaDivisors(self.count)
+        parts = parts or self.log.divisors or QuotaDivisors(self.count)
         op = PutVersion(self.now, f"{self._turn}", based, text, (), text_digest(text), "ann", parts, parts)
         told = self.log.apply(0, encode(op))
-        assert told.number, told.waits
+        assert told.number, told.refusal
         self.put_at[told.number] = self.now
         self._agree()
         return told.number
 
     def settle(self) -> None:
-        assert self.log.apply(0, encode(SettleVersion(self.now, self.log.moving))).number
+        assert self.log.apply(0, encode(SettleVersion(self.now, self.log.moving_number))).number
         self._agree()
 
     def _agree(self) -> None:
--- a/tests/fleet/config/test_config_log.py
+++ b/tests/fleet/config/test_config_log.py
@@ -7,7 +7,8 @@
 import pytest
 from fleet.leases.test_leases import NAMES, Council
 
-from cherrygrade.fleet.config.versions import QuotaDivisors, difference
+from cherrygrade.fleet.config.text_diff import difference
+from cherrygrade.fleet.config.versions import QuotaDivisors
 from cherrygrade.fleet.consensus import state_machine, voter
 from cherrygrade.fleet.consensus.council_messages import (
     AcquireLease,
@@ -48,20 +49,20 @@
         return found
 
     def known(self, name: str) -> list[tuple[int, str, str]]:
-        kept = self.voters[name].state_machine.versions.kept.values()
+        kept = self.voters[name].state_machine.versions.versions.values()
         return [(one.number, one.text, one.digest.hex()) for one in kept]
 
 
 def number(answer: object) -> int:
     assert isinstance(answer, ConfigPut), answer
-    assert not answer.outcome.waits, answer.outcome.waits
+    assert not answer.outcome.refusal, answer.outcome.refusal
     return answer.outcome.number
 
 
 def refusal(answer: object) -> str:
     assert isinstance(answer, ConfigPut), answer
-    assert answer.outcome.number == 0 and answer.outcome.waits
-    return answer.outcome.waits
+    assert answer.outcome.number == 0 and answer.outcome.refusal
+    return answer.outcome.refusal
 
 
 def test_a_change_becomes_the_next_version_on_every_voter_and_shows():
@@ -126,17 +127,17 @@
     leader = council.leader()
     assert number(council.put("a: 1\n", 0, "one", parts=QuotaDivisors(5))) == 1
     versions = council.voters[leader].state_machine.versions
-    assert (versions.stage, versions.moving) == (2, 1)
+    assert (versions.stage, versions.moving_number) == (2, 1)
     assert "parts still move" in refusal(council.put("a: 2\n", 1, "two", parts=QuotaDivisors(7)))
     for name in NAMES:
         if name != leader:
             council.do(name, council.voters[name].settle_config(1, council.now))
     council.pass_ms(300.0)
-    assert versions.moving == 1
+    assert versions.moving_number == 1
     for _ in range(2):
         council.do(leader, council.voters[leader].settle_config(1, council.now))
         council.pass_ms(300.0)
-    assert (versions.stage, versions.moving) == (3, 0)
+    assert (versions.stage, versions.moving_number) == (3, 0)
     assert {voter.state_machine.versions.stage for voter in council.voters.values()} == {3}
 
 
@@ -191,7 +192,7 @@
     held = StateMachine()
     for payload in (b"c", b"c\x93junk", b"c" + msgspec.msgpack.encode(["v", 1.0]), b"x"):
         told = held.apply(1, payload)
-        assert told is None or told.waits
+        assert told is None or told.refusal
     assert held.versions.newest is None
 
 
--- a/tests/fleet/config/test_config_replica.py
+++ b/tests/fleet/config/test_config_replica.py
@@ -23,14 +23,13 @@
     ReplicaEffects,
     StoredConfig,
 )
+from cherrygrade.fleet.config.version_content import VersionContent, content_for
+from cherrygrade.fleet.config.version_log import VersionLog
 from cherrygrade.fleet.config.versions import (
     ConfigVersion,
     PutVersion,
     QuotaDivisors,
     SettleVersion,
-    VersionContent,
-    VersionLog,
-    content,
     encode,
     text_digest,
 )
@@ -52,8 +51,8 @@
             number, encode(PutVersion(1.0, str(number), number, text, (), text_digest(text), "a", now, NINE))
         )
         assert told.number == number + 1
-        if log.moving:
-            log.apply(number, encode(SettleVersion(1.0, log.moving)))
+        if log.moving_number:
+            log.apply(number, encode(SettleVersion(1.0, log.moving_number)))
         assert log.newest is not None
         found.append(log.newest)
     return found
@@ -113,11 +112,11 @@
         self.do(self.replica.fetched(by, gave, self.now))
 
     def gets_version(self, version: ConfigVersion) -> None:
-        self.gets(FetchResponse(content(version, self.replica.version)))
+        self.gets(FetchResponse(content_for(version, self.replica.version)))
 
     def takes(self, version: ConfigVersion, stage: int, by: tuple[str, ...] = ("d1", "d2")) -> None:
         for name in by:
-            self.says(name, stage, version.mark)
+            self.says(name, stage, version.digest_prefix)
         self.beat()
         if self.fetch:
             self.gets_version(version)
@@ -125,21 +124,21 @@
 
 def test_two_members_that_said_it_are_believed_and_one_is_not() -> None:
     one = One()
-    one.says("d1", 3, CHAIN[0].mark)
-    one.says("d1", 3, CHAIN[0].mark)
+    one.says("d1", 3, CHAIN[0].digest_prefix)
+    one.says("d1", 3, CHAIN[0].digest_prefix)
     one.beat()
     assert one.replica.believed == (0, 0) and not one.fetch
-    one.says("d2", 3, CHAIN[0].mark)
+    one.says("d2", 3, CHAIN[0].digest_prefix)
     one.beat()
-    assert one.replica.believed == (3, CHAIN[0].mark)
-    assert one.fetch[0][0] in ("d1", "d2") and one.fetch[0][1] == FetchRequest(1, CHAIN[0].mark)
+    assert one.replica.believed == (3, CHAIN[0].digest_prefix)
+    assert one.fetch[0][0] in ("d1", "d2") and one.fetch[0][1] == FetchRequest(1, CHAIN[0].digest_prefix)
     one.gets_version(CHAIN[0])
     assert one.force == [(1, 3)] and one.replica.stage == 3 and one.replica.status() == ""
 
 
 def test_a_voter_alone_is_believed() -> None:
     one = One()
-    one.says("v1", 3, CHAIN[0].mark)
+    one.says("v1", 3, CHAIN[0].digest_prefix)
     one.beat()
     assert one.fetch[0][0] == "v1"
 
@@ -148,7 +147,7 @@
     one = One()
     for by in ("v0", "v1", "d1", "d2", "d3"):
         for _ in range(3):
-            one.hint(by, 3, CHAIN[0].mark)
+            one.hint(by, 3, CHAIN[0].digest_prefix)
             one.beat()
     assert one.replica.believed == (0, 0) and not one.fetch
 
@@ -225,7 +224,7 @@
 def test_a_lying_member_that_forges_content_is_passed_over() -> None:
     one = One()
     for by in ("d1", "d2"):
-        one.says(by, 3, CHAIN[0].mark)
+        one.says(by, 3, CHAIN[0].digest_prefix)
     one.beat()
     by = one.fetch[0][0]
     forged = msgspec.structs.replace(CHAIN[0], text="forged\n")
@@ -250,20 +249,20 @@
 def test_settled_needs_witnesses_of_its_own() -> None:
     one = One()
     one.takes(MOVED[0], 3)
-    one.says("d1", 4, MOVED[1].mark)
-    one.says("d2", 5, MOVED[1].mark)  # says more: it bears the joint stage out
-    assert one.replica.believed == (4, MOVED[1].mark)
+    one.says("d1", 4, MOVED[1].digest_prefix)
+    one.says("d2", 5, MOVED[1].digest_prefix)  # says more: it bears the joint stage out
+    assert one.replica.believed == (4, MOVED[1].digest_prefix)
     one.beat()
     one.gets_version(MOVED[1])
     assert one.replica.stage == 4
-    one.says("d1", 5, MOVED[1].mark)
+    one.says("d1", 5, MOVED[1].digest_prefix)
     one.beat()
     assert one.force == [(1, 3), (2, 4), (2, 5)] and not one.fetch  # its content is held
 
 
 def test_a_version_that_moves_nothing_is_settled_at_once() -> None:
     one = One()
-    one.says("v0", 2, CHAIN[0].mark)
+    one.says("v0", 2, CHAIN[0].digest_prefix)
     one.beat()
     one.gets_version(CHAIN[0])
     assert one.force == [(1, 3)]
@@ -281,8 +280,8 @@
     one = One()
     one.takes(CHAIN[2], 7)
     for by in ("d3", "v0", "v1"):
-        one.says(by, 5, CHAIN[1].mark)
-        one.hint(by, 5, CHAIN[1].mark)
+        one.says(by, 5, CHAIN[1].digest_prefix)
+        one.hint(by, 5, CHAIN[1].digest_prefix)
     one.do(one.replica.learned(CHAIN[1], 5, one.now))
     one.beat()
     assert one.force == [(3, 7)] and not one.fetch and one.replica.stage == 7
@@ -290,9 +289,9 @@
 
 def test_who_is_always_behind_takes_what_it_fetched_all_the_same() -> None:
     one = One()
-    one.says("v0", 3, CHAIN[0].mark)
+    one.says("v0", 3, CHAIN[0].digest_prefix)
     one.beat()
-    one.says("v0", 5, CHAIN[1].mark)
+    one.says("v0", 5, CHAIN[1].digest_prefix)
     one.gets_version(CHAIN[0])
     assert one.force == [(1, 3)]
     one.beat()
@@ -302,7 +301,7 @@
 def test_one_fetch_at_a_time_and_busy_ones_are_passed_over() -> None:
     one = One()
     for by in ("d1", "d2", "d3"):
-        one.says(by, 3, CHAIN[0].mark)
+        one.says(by, 3, CHAIN[0].digest_prefix)
     one.beat()
     one.beat()
     one.beat(500.0)
@@ -317,7 +316,7 @@
 
 def test_an_answer_to_a_fetch_that_was_given_up_does_nothing() -> None:
     one = One()
-    one.says("v0", 3, CHAIN[0].mark)
+    one.says("v0", 3, CHAIN[0].digest_prefix)
     one.beat()
     one.do(one.replica.fetched("v1", FetchResponse(VersionContent(CHAIN[0])), one.now))
     assert not one.force
@@ -330,7 +329,7 @@
 def test_a_fetch_that_fails_is_tried_elsewhere_later_each_time_and_said() -> None:
     one = One()
     for by in ("d1", "d2"):
-        one.says(by, 3, CHAIN[0].mark)
+        one.says(by, 3, CHAIN[0].digest_prefix)
     times: list[float] = []
     for _ in range(6000):
         one.beat(5.0)
@@ -349,7 +348,7 @@
 
 def test_a_fetch_that_its_carrier_forgot_is_given_up() -> None:
     one = One()
-    one.says("v0", 3, CHAIN[0].mark)
+    one.says("v0", 3, CHAIN[0].digest_prefix)
     one.beat()
     for _ in range(30):
         one.beat(200.0)
@@ -360,7 +359,7 @@
     for _ in range(9):
         one = One()
         for by in ("d1", "d2", "d3", "v1"):
-            one.says(by, 3, CHAIN[0].mark)
+            one.says(by, 3, CHAIN[0].digest_prefix)
         one.beat()
         assert one.fetch[0][0] == "d3"
 
@@ -368,14 +367,14 @@
 def test_at_most_eight_are_served_at_once() -> None:
     one = One()
     one.takes(CHAIN[0], 3)
-    wanted = FetchRequest(1, CHAIN[0].mark)
+    wanted = FetchRequest(1, CHAIN[0].digest_prefix)
     for _ in range(MOST_IN):
         assert one.replica.wanted(wanted).content is not None
     assert one.replica.wanted(wanted) == FetchResponse(None, "busy")
     one.replica.served()
     assert one.replica.wanted(wanted).content is not None
     assert one.replica.wanted(FetchRequest(1, 5)) == FetchResponse(None, "gone")
-    assert one.replica.wanted(FetchRequest(2, CHAIN[0].mark)) == FetchResponse(None, "gone")
+    assert one.replica.wanted(FetchRequest(2, CHAIN[0].digest_prefix)) == FetchResponse(None, "gone")
 
 
 def test_a_difference_is_given_where_its_base_is_held() -> None:
@@ -385,17 +384,17 @@
     one = One()
     one.takes(long[0], 3)
     one.takes(long[1], 5)
-    given = one.replica.wanted(FetchRequest(2, long[1].mark, 1, long[0].mark))
-    assert given.content is not None and given.content.base == 1
-    whole = one.replica.wanted(FetchRequest(2, long[1].mark, 1, 99))
-    assert whole.content is not None and whole.content.base == 0
+    given = one.replica.wanted(FetchRequest(2, long[1].digest_prefix, 1, long[0].digest_prefix))
+    assert given.content is not None and given.content.base_number == 1
+    whole = one.replica.wanted(FetchRequest(2, long[1].digest_prefix, 1, 99))
+    assert whole.content is not None and whole.content.base_number == 0
     assert len(msgspec.msgpack.encode(given)) < 300 < len(msgspec.msgpack.encode(whole))
 
 
 def test_it_is_on_disk_before_it_is_in_force_and_told() -> None:
     one = One()
     for by in ("d1", "d2"):
-        one.says(by, 3, CHAIN[0].mark)
+        one.says(by, 3, CHAIN[0].digest_prefix)
     one.beat()
     by, _ = one.fetch.pop()
     does = one.replica.fetched(by, FetchResponse(VersionContent(CHAIN[0])), one.now)
@@ -445,7 +444,7 @@
     one._forced(CHAIN[1], 5)
     assert one.force == [(1, 3)] and one.replica.stage == 3 and not one.replica.sure
     assert one.replica.here() == OwnAdvert(0, UNSURE)
-    one.says("v0", 5, CHAIN[1].mark)
+    one.says("v0", 5, CHAIN[1].digest_prefix)
     assert not one.replica.sure
     one.takes(CHAIN[2], 7, ("v0",))
     assert one.replica.stage == 7 and one.replica.sure
@@ -464,12 +463,12 @@
 
 def test_one_that_is_not_sure_becomes_so_on_what_witnesses_told() -> None:
     one = One(sure=False)
-    one.says("v0", 3, CHAIN[0].mark)
+    one.says("v0", 3, CHAIN[0].digest_prefix)
     assert not one.replica.sure
     one.beat()
     one.gets_version(CHAIN[0])
     assert one.replica.sure and one.replica.stage == 3
-    one.says("v0", 5, CHAIN[1].mark)
+    one.says("v0", 5, CHAIN[1].digest_prefix)
     assert one.replica.sure  # it was, and stays so while it fetches
 
 
@@ -491,7 +490,7 @@
 def test_bits_are_joined_of_the_same_stage_alone_and_ride_on_for_a_while() -> None:
     one = One()
     one.takes(CHAIN[0], 3)
-    mark = CHAIN[0].mark
+    mark = CHAIN[0].digest_prefix
     own = 1 << 11
     assert one.replica.here().bits == own.to_bytes(2, "little")
     one.do(one.replica.hint("d1", 3, mark, one.now, b"\x03\x00"))
@@ -520,9 +519,9 @@
 
 def test_words_of_the_dead_go_with_them() -> None:
     one = One()
-    one.says("d1", 3, CHAIN[0].mark)
+    one.says("d1", 3, CHAIN[0].digest_prefix)
     one.beat(living=[near for near in LIVING if near.name != "d1"])
-    one.says("d2", 3, CHAIN[0].mark)
+    one.says("d2", 3, CHAIN[0].digest_prefix)
     assert one.replica.believed == (0, 0)
 
 
@@ -546,7 +545,7 @@
         lambda one: None,
         lambda one: one.hint("d1", 9, 5),
         lambda one: (one.hint("d1", 9, 5), one.hint("v0", 9, 5)),
-        lambda one: (one.says("v0", 3, CHAIN[0].mark),),
+        lambda one: (one.says("v0", 3, CHAIN[0].digest_prefix),),
         lambda one: one.takes(CHAIN[0], 3),
     ]
     for sure in (True, False):
@@ -585,15 +584,15 @@
     true = {version.number: version for version in MOVED}
     for kind, by, number, more in acts:
         stage = STAGES.get(number, [0])[-1 if more else 0]
-        mark = true[number].mark if number in true else 0
+        mark = true[number].digest_prefix if number in true else 0
         if kind == "says":
             one.says(by, stage, mark)
         elif kind == "hint":
             one.hint(by, stage, mark)
         elif kind == "lies":
             one.says("liar", number, 7)
-            one.hint("liar", 2 * number + 1, true[1 + number % 3].mark)
-            one.says("liar", 2 * number + 1, true[1 + number % 3].mark)
+            one.hint("liar", 2 * number + 1, true[1 + number % 3].digest_prefix)
+            one.says("liar", 2 * number + 1, true[1 + number % 3].digest_prefix)
         elif kind == "gets" and one.fetch:
             version = true.get(number, MOVED[0])
             if more:
@@ -622,7 +621,7 @@
     again = data.draw(st.lists(st.sampled_from(order), max_size=6))
     one = One()
     for by, at in [*order, *again]:
-        one.says(by, 2 * at + 3, CHAIN[at].mark)
+        one.says(by, 2 * at + 3, CHAIN[at].digest_prefix)
         if data.draw(st.booleans()):
             one.beat()
             if one.fetch:
@@ -638,7 +637,7 @@
 def test_cut_away_with_a_restart_it_stays_on_what_it_kept(side: str) -> None:
     one = One(StoredConfig(3, CHAIN[0]))
     for _ in range(50):
-        one.says("d1", 3, CHAIN[0].mark)
+        one.says("d1", 3, CHAIN[0].digest_prefix)
         one.beat(200.0)
     assert one.replica.stage == 3 and one.replica.sure and not one.which
     one.takes(CHAIN[2], 7, ("d1", "d2") if side == "members" else ("v0",))
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -11,7 +11,7 @@
 import pytest
 from support import golden
 
-from cherrygrade.fleet.config import replica, versions
+from cherrygrade.fleet.config import replica, text_diff, version_content, version_log, versions
 from cherrygrade.fleet.consensus import (
     council_messages,
     disruption_budget,
@@ -63,14 +63,14 @@
     "fleet.config.replica.Wanted": replica.FetchRequest,
     "fleet.config.replica.Gave": replica.FetchResponse,
     "fleet.config.versions.Divisors": versions.QuotaDivisors,
-    "fleet.config.versions.Hunk": versions.DiffHunk,
+    "fleet.config.versions.Hunk": text_diff.DiffHunk,
     "fleet.config.versions.Op": versions.ConfigCommand,
     "fleet.config.versions.Put": versions.PutVersion,
     "fleet.config.versions.Settle": versions.SettleVersion,
     "fleet.config.versions.Version": versions.ConfigVersion,
     "fleet.config.versions.Told": versions.PutOutcome,
-    "fleet.config.versions.State": versions.VersionLogState,
-    "fleet.config.versions.Content": versions.VersionContent,
+    "fleet.config.versions.State": version_log.VersionLogState,
+    "fleet.config.versions.Content": version_content.VersionContent,
     "fleet.council.books.State": state_machine.StateMachineSnapshot,
     "fleet.council.outs.Thing": disruption_budget.Resource,
     "fleet.council.outs.Limit": disruption_budget.DisruptionLimit,
