--- a/cherrygrade/fleet/runtime/config_exchange.py
+++ b/cherrygrade/fleet/runtime/config_exchange.py
@@ -18,8 +18,9 @@
 import msgspec
 
 from cherrygrade.fleet.config.joint_phase import JointPhase, SeatedMember, seats
-from cherrygrade.fleet.config.replica import (
-    ConfigReplica,
+from cherrygrade.fleet.config.replica import ConfigReplica
+from cherrygrade.fleet.config.replica_messages import (
+    ApplyVersion,
     FetchRequest,
     FetchResponse,
     ReachableMember,
@@ -164,7 +165,7 @@
         if replica is None or self._serves:
             self.conn.close("nothing to fetch")
             return
-        gave = replica.wanted(wanted)
+        gave = replica.respond_to_fetch(wanted)
         self._serves = gave.content is not None
         word = msgspec.msgpack.encode(gave)
         self.config.given_bytes += len(word)
@@ -175,7 +176,7 @@
         self.config.givers.pop(self, None)
         if self._serves and self.config.replica is not None:
             self._serves = False
-            self.config.replica.served()
+            self.config.replica.response_ended()
 
 
 class ConfigExchange:
@@ -229,14 +230,18 @@
         left = self._left = self.file is not None and self.file.left
         me = (core.name, zone, own.seat, core.record, self.council.voters, self._seed, self.clock())
         replica = self.replica = ConfigReplica(*me, None if left else kept)
-        does = ReplicaEffects(force=(kept.version, kept.stage)) if kept is not None else ReplicaEffects()
+        does = (
+            ReplicaEffects(apply=ApplyVersion(kept.version, kept.stage))
+            if kept is not None
+            else ReplicaEffects()
+        )
         if left and kept is not None:
             # Parts may have been dealt out anew without one that left by its own word: it goes by what it
             # kept, and is sure of it only once others said so.
-            does = replica.learned(kept.version, kept.stage, self.clock())
-        while does.force is not None:  # what was before it, where it is refused
-            version, stage = does.force
-            does = replica.forced(stage, await self._force(version, stage), self.clock())
+            does = replica.learn_committed(kept.version, kept.stage, self.clock())
+        while does.apply is not None:  # what was before it, where it is refused
+            version, stage = does.apply
+            does = replica.apply_finished(stage, await self._force(version, stage), self.clock())
         self._do(does)
         self._show()
 
@@ -296,14 +301,16 @@
             config, own = one.config, self.core.config
             if one.first:
                 self._say(one, now)
-                does = replica.answered(one.name, config.stage, config.mark, now, one.nonce, config.bits)
+                does = replica.receive_statement(
+                    one.name, config.stage, config.mark, now, one.nonce, config.bits
+                )
                 if one.nonce and self.settling is not None:
                     self.settling.answered(one.name, one.birth, config.stage, one.nonce)
                     self._settle()
             elif own is not None and (own.stage, own.mark) == (config.stage, config.mark) and not config.bits:
                 continue  # nothing new, and nothing to believe
             else:
-                does = replica.hint(one.name, config.stage, config.mark, now, config.bits)
+                does = replica.receive_advert(one.name, config.stage, config.mark, now, config.bits)
             self._do(does)
         self._set()
 
@@ -318,7 +325,9 @@
             if newest is not None and told[0] > self._learned[0]:
                 self.log("configuration agreed", number=newest.number, stage=told[0], by=newest.author)
             self._learned = told
-            self._do(replica.learned(newest, told[0], self.clock(), proven=voter.is_ready_leader))
+            self._do(
+                replica.learn_committed(newest, told[0], self.clock(), leader_confirmed=voter.is_ready_leader)
+            )
             self._set()
         of = (
             (voter.raft.term, known.moving_number) if voter.raft.is_leader and known.moving_number else (0, 0)
@@ -345,12 +354,12 @@
     def fetched(self, by: str, gave: FetchResponse, length: int) -> None:
         self.fetched_bytes += length
         if self.replica is not None:
-            self._do(self.replica.fetched(by, gave, self.clock()))
+            self._do(self.replica.fetch_finished(by, gave, self.clock()))
             self._set()
 
     def unfetched(self, by: str, why: str) -> None:
         if self.replica is not None:
-            self._do(self.replica.unfetched(by, why, self.clock()))
+            self._do(self.replica.fetch_failed(by, why, self.clock()))
             self._set()
 
     # Time.
@@ -360,8 +369,8 @@
         replica, now = self.replica, self.clock()
         if replica is None or self.core.silent:
             return
-        if now >= replica.due() or not replica.sure:
-            self._do(replica.beat(self._near(), now))
+        if now >= replica.next_deadline() or not replica.is_certain:
+            self._do(replica.tick(self._near(), now))
         if self.settling is not None and now >= self.settling.due():
             for name, nonce in self.settling.beat(self._claims(), now):
                 if name == self.core.name:  # it needs no page to ask itself
@@ -381,8 +390,10 @@
     def _set(self) -> None:
         if self.replica is None or self.council_server is None:
             return
-        due = self.replica.due()
-        if not self.replica.sure:  # as it starts it knows nobody, and whoever comes may have nothing to tell
+        due = self.replica.next_deadline()
+        if (
+            not self.replica.is_certain
+        ):  # as it starts it knows nobody, and whoever comes may have nothing to tell
             due = min(due, self.clock() + UNSURE_MS)
         if self.settling is not None:
             due = min(due, self.settling.due())
@@ -396,7 +407,7 @@
     # What comes of it.
 
     def _do(self, does: ReplicaEffects) -> None:
-        if self._steps or does.keep is not None or does.force is not None:
+        if self._steps or does.store is not None or does.apply is not None:
             self._steps.append(does)
             if self._work is None:
                 self._work = asyncio.get_running_loop().create_task(self._carry())
@@ -409,12 +420,12 @@
         try:
             while self._steps:
                 does = self._steps[0]
-                why = await self._keep(does.keep) if does.keep is not None else ""
+                why = await self._keep(does.store) if does.store is not None else ""
                 after = None
-                if does.force is not None and self.replica is not None:
-                    version, stage = does.force
+                if does.apply is not None and self.replica is not None:
+                    version, stage = does.apply
                     why = why or await self._force(version, stage)
-                    after = self.replica.forced(stage, why, self.clock())
+                    after = self.replica.apply_finished(stage, why, self.clock())
                 self._steps.popleft()
                 self._show()
                 self._tell(does)
@@ -455,7 +466,7 @@
         if not why:
             self.since = self.clock()
         if self.replica is not None:  # the fleet of record may be another now; bits go by its seats
-            self.replica.seats = max(self.core.record, self.core.roll.own.seat + 1)
+            self.replica.seats.count = max(self.core.record, self.core.roll.own.seat + 1)
         facts = {"number": version.number, "stage": stage, "digest": version.digest.hex()[:16]}
         if why:
             means = "This dispatcher stays on what it has."
@@ -466,10 +477,10 @@
 
     def _tell(self, does: ReplicaEffects) -> None:
         core = self.core
-        for name, nonce in does.which:
+        for name, nonce in does.questions:
             self._post(core.which(name, nonce))
-        if does.push:
-            self._post(core.hint(does.push))
+        if does.push_to:
+            self._post(core.hint(does.push_to))
         if does.fetch is not None:
             self._fetch(*does.fetch)
 
@@ -484,10 +495,10 @@
         """What pages say from now on."""
         replica = self.replica
         if replica is not None:
-            here = replica.here()
-            self.core.config = ConfigAdvert(here.stage, here.mark, here.bits)
+            here = replica.own_advert()
+            self.core.config = ConfigAdvert(here.stage, here.digest_prefix, here.bits)
             self.core.config_why = replica.status()[:120]
-            if self._left and replica.sure and self.file is not None:
+            if self._left and replica.is_certain and self.file is not None:
                 self._left = False
                 self._disk.submit(self.file.leave, False)
 
@@ -526,7 +537,7 @@
             "by": version.author if version is not None else "",
             "settled": bool(replica.stage % 2),
             "since": self.since,
-            "sure": replica.sure,
+            "sure": replica.is_certain,
             "trouble": replica.status(),
             "kept": self.kept_why or str(self.file.file if self.file is not None else ""),
             "fetched_bytes": self.fetched_bytes,
@@ -541,7 +552,7 @@
         replica = self.replica
         if replica is None:
             return []
-        here, loop = replica.here(), asyncio.get_running_loop()
+        here, loop = replica.own_advert(), asyncio.get_running_loop()
         bits = here.bits if here.stage >= 2 * number else b""
         full = here.stage >= 2 * number and not here.bits
         wanting = []
--- a/cherrygrade/gateway/process.py
+++ b/cherrygrade/gateway/process.py
@@ -441,7 +441,7 @@
     def _sure(self) -> bool:
         """Whether it is known here what the fleet's configuration is."""
         config = self.agent.config if self.agent is not None else None
-        return config is None or (config.replica is not None and config.replica.sure)
+        return config is None or (config.replica is not None and config.replica.is_certain)
 
     def _go_over(self, site: SiteSettings, version: ConfigVersion | None, stage: int) -> None:
         """Between two rounds. All is built first; behind that nothing fails."""
--- a/cherrygrade/lab/exploration/config.py
+++ b/cherrygrade/lab/exploration/config.py
@@ -16,8 +16,10 @@
 from typing import NamedTuple
 
 from cherrygrade.fleet.config.joint_phase import JointPhase, SeatedMember, parts
-from cherrygrade.fleet.config.replica import ConfigReplica, FetchResponse, ReplicaEffects, StoredConfig
+from cherrygrade.fleet.config.replica import ConfigReplica
+from cherrygrade.fleet.config.replica_messages import FetchResponse, ReplicaEffects, StageDigest, StoredConfig
 from cherrygrade.fleet.config.version_content import VersionContent
+from cherrygrade.fleet.config.version_fetch import CurrentFetch
 from cherrygrade.fleet.config.version_log import VersionLog
 from cherrygrade.fleet.config.versions import (
     ConfigVersion,
@@ -27,6 +29,7 @@
     encode,
     text_digest,
 )
+from cherrygrade.fleet.config.witness_questions import PendingQuestion
 from cherrygrade.lab.exploration.explore import Breach, Told
 
 NAMES, VOTERS = ("a", "b", "c"), ("a", "b")
@@ -184,11 +187,13 @@
         one.stage = mind.stage
         if mind.number:
             one.version = self.log.forged if mind.forged else self.versions[mind.number]
-            one._hold(one.version)
-        one._sure, one._heard = mind.sure, mind.heard
-        one._believed = (mind.believed[0], self._mark(mind.believed[1]))
-        one.said = {by: [(s, self._mark(m)) for s, m in words] for by, words in mind.said}
-        one._asks = {nonce: (by, 0.0) for nonce, by in mind.asks}
+            one.store.add(one.version)
+        one._is_certain, one.witnesses.heard = mind.sure, mind.heard
+        one.witnesses.believed = StageDigest(mind.believed[0], self._mark(mind.believed[1]))
+        one.witnesses.statements = {
+            by: [StageDigest(s, self._mark(m)) for s, m in words] for by, words in mind.said
+        }
+        one.questions.pending = {nonce: PendingQuestion(by, 0.0) for nonce, by in mind.asks}
         return one
 
     def _mark(self, number: int) -> int:
@@ -197,18 +202,21 @@
     def _mind(self, one: ConfigReplica, mind: Mind) -> Mind:
         words = tuple(
             (by, tuple((s, self.numbers.get(m, m)) for s, m in words))
-            for by, words in sorted(one.said.items())
+            for by, words in sorted(one.witnesses.statements.items())
+        )
+        believed = (
+            one.believed.stage,
+            self.numbers.get(one.believed.digest_prefix, one.believed.digest_prefix),
         )
-        believed = (one._believed[0], self.numbers.get(one._believed[1], one._believed[1]))
         return mind._replace(
             stage=one.stage,
             number=one.version.number if one.version is not None else 0,
             forged=one.version is not None and one.version.text == self.log.forged.text,
-            sure=one._sure,
-            heard=one._heard,
+            sure=one._is_certain,
+            heard=one.witnesses.heard,
             believed=believed,
             said=words,
-            asks=frozenset((nonce, by) for nonce, (by, _) in one._asks.items()),
+            asks=frozenset((nonce, by) for nonce, (by, _) in one.questions.pending.items()),
         )
 
     def _settling(self, asking: Asking) -> JointPhase:
@@ -241,7 +249,7 @@
             for known in range(mind.known, (now.agreed if name != "a" else mind.known) + 1):
                 one = self._replica(name, mind)
                 version, stage = self.log.entries[known]
-                does = one.learned(version, stage, 0.0, proven=name == "a")
+                does = one.learn_committed(version, stage, 0.0, leader_confirmed=name == "a")
                 known_ = now._replace(minds=self._with(now, at, mind._replace(known=known)))
                 yield from self._after(known_, at, one, does, f"{name} has {stage} of its log", now)
         wants = not lies and (not mind.sure or mind.stage < 5)
@@ -289,34 +297,34 @@
         return [self._told_of(name, mind)]
 
     def _told_of(self, name: str, mind: Mind) -> tuple[int, int]:
-        here = self._replica(name, mind).here()
-        return here.stage, self.numbers.get(here.mark, here.mark)
+        here = self._replica(name, mind).own_advert()
+        return here.stage, self.numbers.get(here.digest_prefix, here.digest_prefix)
 
     def _hears(self, now: Now, at: int, word: Word) -> Iterator[tuple[str, Now]]:
         name, mind = NAMES[at], now.minds[at]
         one = self._replica(name, mind)
         mark = self._mark(word.mark)
         if self.planted.goes_back and word.by in VOTERS and word.stage:
-            one.stage, one._believed = 0, (0, 0)
+            one.stage, one.witnesses.believed = 0, StageDigest(0, 0)
         if self.planted.trusts_one:
-            one.voters = [*NAMES]
-        does = one.answered(word.by, word.stage, mark, 0.0, word.nonce)
+            one.witnesses.voters = [*NAMES]
+        does = one.receive_statement(word.by, word.stage, mark, 0.0, word.nonce)
         yield from self._after(now, at, one, does, f"{name} hears {word.by}'s {word.stage}")
 
     def _content(self, now: Now, at: int, name: str) -> Iterator[tuple[str, Now]]:
         mind = now.minds[at]
         one = self._replica(name, mind)
-        stage, mark = one._believed
-        if not one._wants or stage // 2 in one.held:
+        stage, mark = one.believed
+        if not one.wants_version or stage // 2 in one.store.versions:
             return
         for version in (*self.versions.values(), self.log.forged):
             one = self._replica(name, mind)
-            one._out = ("x", 0.0, stage, mark)
+            one.fetch.current = CurrentFetch("x", 0.0, StageDigest(stage, mark))
             if self.planted.undigested:
-                one._hold(version)
-                does = one._into(version, stage)
+                one.store.add(version)
+                does = one.apply(version, stage)
             else:
-                does = one.fetched("x", FetchResponse(VersionContent(version)), 0.0)
+                does = one.fetch_finished("x", FetchResponse(VersionContent(version)), 0.0)
             yield from self._after(now, at, one, does, f"{name} is given {version.text.strip()}")
 
     def _after(
@@ -330,10 +338,10 @@
     ) -> Iterator[tuple[str, Now]]:
         """On disk and in force with what a call came to, until it comes to nothing more."""
         disk, high = now.minds[at].disk, [*now.high]
-        while does.force is not None:
-            assert does.keep is not None
-            disk = (does.keep.stage, does.keep.version.number)
-            does = one.forced(does.force[1], "", 0.0)
+        while does.apply is not None:
+            assert does.store is not None
+            disk = (does.store.stage, does.store.version.number)
+            does = one.apply_finished(does.apply[1], "", 0.0)
             if one.stage < high[at]:
                 raise Breach(f"{NAMES[at]} goes back from stage {high[at]} to {one.stage}")
             high[at] = one.stage
@@ -349,9 +357,9 @@
         kept = StoredConfig(stage, version) if version is not None else None
         one = ConfigReplica(name, ZONE, at, 3, [*VOTERS], 1, float(mind.life + 1), kept)
         if kept is not None:
-            one.forced(stage, "", 0.0)
+            one.apply_finished(stage, "", 0.0)
         elif self.planted.sure_at_once:
-            one._sure = True
+            one._is_certain = True
         anew = self._mind(one, Mind(mind.life + 1, disk, known=mind.known))
         high = [*now.high]
         high[at] = max(high[at], stage) if stage else 0
--- a/cherrygrade/lab/scale/follow.py
+++ b/cherrygrade/lab/scale/follow.py
@@ -7,7 +7,8 @@
 
 import msgspec
 
-from cherrygrade.fleet.config.replica import ConfigReplica, FetchResponse, ReplicaEffects
+from cherrygrade.fleet.config.replica import ConfigReplica
+from cherrygrade.fleet.config.replica_messages import ApplyVersion, FetchResponse, ReplicaEffects
 from cherrygrade.fleet.config.versions import ConfigVersion
 from cherrygrade.fleet.runtime.fleet_agent import FleetAgent
 from cherrygrade.lab.scale.rows import Row
@@ -36,7 +37,7 @@
         """What it says by its pages, whatever came to `in_force`."""
         replica = agent.config.replica if agent.config is not None else None
         if replica is not None and (replica.stage or member in self._last):
-            self._note(member, life, replica.stage, f"{replica.mark:016x}")
+            self._note(member, life, replica.stage, f"{replica.digest_prefix:016x}")
 
     def _note(self, member: int, life: int, stage: int, mark: str) -> None:
         now = (life, stage, mark)
@@ -61,8 +62,8 @@
     replica = config.replica
     return {
         "in_force": replica.stage // 2,
-        "asked_voters": replica.asked_voters,
-        "asked_members": replica.asked_members,
+        "asked_voters": replica.questions.asked_voters,
+        "asked_members": replica.questions.asked_members,
         "fetched_bytes": config.fetched_bytes,
         "given_bytes": config.given_bytes,
     }
@@ -71,30 +72,30 @@
 def _takes_any(replica: ConfigReplica) -> None:
     """What came is taken as it is, and not as its digest says: here it came with another text."""
 
-    def fetched(by: str, gave: FetchResponse, now: float) -> ReplicaEffects:
-        replica._out = None
-        if gave.content is None:
+    def fetched(name: str, response: FetchResponse, now: float) -> ReplicaEffects:
+        replica.fetch.current = None
+        if response.content is None:
             return ReplicaEffects()
-        version = msgspec.structs.replace(gave.content.version, text="// torn on its way\n")
-        replica._hold(version)
-        return replica._into(version, 2 * version.number + 1)
+        version = msgspec.structs.replace(response.content.version, text="// torn on its way\n")
+        replica.store.add(version)
+        return replica.apply(version, 2 * version.number + 1)
 
-    replica.fetched = fetched  # type: ignore[method-assign]
+    replica.fetch_finished = fetched  # type: ignore[method-assign]
 
 
 def _goes_back(replica: ConfigReplica) -> None:
     """Its second version is in force once; then it is on its first one again, and stays there."""
-    forced, were = replica.forced, list[tuple[ConfigVersion | None, int]]()
+    forced, were = replica.apply_finished, list[tuple[ConfigVersion | None, int]]()
 
-    def goes(stage: int, why: str, now: float) -> ReplicaEffects:
-        does = forced(stage, why, now)
+    def goes(stage: int, refusal: str, now: float) -> ReplicaEffects:
+        does = forced(stage, refusal, now)
         were.append((replica.version, replica.stage))
         if len(were) == 2:
             replica.version, replica.stage = were[0]
-            replica._forcing = (were[1][0] or ConfigVersion(0, b"", "", "", 0.0), NEVER_STAGE)
+            replica._applying = ApplyVersion(were[1][0] or ConfigVersion(0, b"", "", "", 0.0), NEVER_STAGE)
         return does
 
-    replica.forced = goes  # type: ignore[method-assign]
+    replica.apply_finished = goes  # type: ignore[method-assign]
 
 
 NEVER_STAGE = -1  # of a version that seems to be on its way into force, so that none other is
--- a/cherrygrade/lab/virtual/spread.py
+++ b/cherrygrade/lab/virtual/spread.py
@@ -18,8 +18,8 @@
 
 import msgspec
 
-from cherrygrade.fleet.config.replica import (
-    ConfigReplica,
+from cherrygrade.fleet.config.replica import ConfigReplica
+from cherrygrade.fleet.config.replica_messages import (
     FetchResponse,
     OwnAdvert,
     ReachableMember,
@@ -92,7 +92,7 @@
         self._due = [float("inf")] * count
         for at, one in enumerate(self.replicas):
             if kept:  # sure of what the fleet is on, as after a while
-                one.learned(None, 0, 0.0, proven=True)
+                one.learn_committed(None, 0, 0.0, leader_confirmed=True)
             self.later(PROBE_MS * self.random.random(), self._probe, at)
             self._look(at)
 
@@ -146,7 +146,7 @@
 
     def _learn(self, at: int, newest: Any, stage: int) -> None:
         if at not in self.killed:
-            self._do(at, self.replicas[at].learned(newest, stage, self.now))
+            self._do(at, self.replicas[at].learn_committed(newest, stage, self.now))
 
     # Ways.
 
@@ -180,7 +180,7 @@
     # What members do.
 
     def _look(self, at: int) -> None:
-        due = max(self.replicas[at].due(), self.now + 1.0)
+        due = max(self.replicas[at].next_deadline(), self.now + 1.0)
         if due < self._due[at] - 0.5 and due < 1e14:
             self._due[at] = due
             self.later(due - self.now, self._beat, at, due)
@@ -190,7 +190,7 @@
             return
         self._due[at] = float("inf")
         living = [one for one in self.near if self.of[one.name] not in self.killed]
-        self._do(at, self.replicas[at].beat(living, self.now))
+        self._do(at, self.replicas[at].tick(living, self.now))
 
     def _probe(self, at: int) -> None:
         self.later(PROBE_MS, self._probe, at)
@@ -204,34 +204,36 @@
     def _probed(self, at: int, by: int, told: OwnAdvert) -> None:
         replica = self.replicas[at]
         if told.stage:
-            self._do(at, replica.hint(f"d{by}", told.stage, told.mark, self.now, told.bits))
+            self._do(
+                at, replica.receive_advert(f"d{by}", told.stage, told.digest_prefix, self.now, told.bits)
+            )
         here = self._here(at)
         if here.stage:
             self._send(at, by, "answer", 0, self._answered, by, at, here, 0)
 
     def _answered(self, at: int, by: int, told: OwnAdvert, nonce: int) -> None:
         bits = told.bits if nonce else b""
-        told_ = (f"d{by}", told.stage, told.mark, self.now, nonce, bits)
-        self._do(at, self.replicas[at].answered(*told_))
+        told_ = (f"d{by}", told.stage, told.digest_prefix, self.now, nonce, bits)
+        self._do(at, self.replicas[at].receive_statement(*told_))
 
     def _asked(self, at: int, by: int, nonce: int) -> None:
         self.asked[at] += 1
         self._send(at, by, "here", HERE, self._answered, by, at, self._here(at), nonce)
 
     def _pushed(self, at: int, by: int, told: OwnAdvert) -> None:
-        self._do(at, self.replicas[at].hint(f"d{by}", told.stage, told.mark, self.now))
+        self._do(at, self.replicas[at].receive_advert(f"d{by}", told.stage, told.digest_prefix, self.now))
 
     def _here(self, at: int) -> OwnAdvert:
-        return OwnAdvert(*self.lies[at]) if at in self.lies else self.replicas[at].here()
+        return OwnAdvert(*self.lies[at]) if at in self.lies else self.replicas[at].own_advert()
 
     def _do(self, at: int, does: ReplicaEffects) -> None:
-        if does.force is not None:
-            self.later(self.ways.force_ms * (0.5 + self.random.random()), self._forced, at, *does.force)
-        for name, nonce in does.which:
+        if does.apply is not None:
+            self.later(self.ways.force_ms * (0.5 + self.random.random()), self._forced, at, *does.apply)
+        for name, nonce in does.questions:
             self._send(at, self.of[name], "which", WHICH, self._asked, self.of[name], at, nonce)
-        if does.push:
+        if does.push_to:
             here = self._here(at)
-            for name in does.push:
+            for name in does.push_to:
                 self._send(at, self.of[name], "push", PUSH, self._pushed, self.of[name], at, here)
         if does.fetch is not None:
             name, wanted = does.fetch
@@ -245,7 +247,7 @@
         if not why:
             self.stages[at].append(stage)
             self.in_force_at.setdefault(version.number, {}).setdefault(at, self.now)
-        self._do(at, self.replicas[at].forced(stage, why, self.now))
+        self._do(at, self.replicas[at].apply_finished(stage, why, self.now))
 
     def _fetch(self, at: int, to: int, wanted: Any) -> None:
         """A round trip for the connection, one for the content."""
@@ -262,22 +264,22 @@
         if self._apart(at, to):
             self.later(1500.0, self._unfetched, at, to)
             return
-        gave = self.replicas[to].wanted(wanted)
+        gave = self.replicas[to].respond_to_fetch(wanted)
         length = len(msgspec.msgpack.encode(gave))
         self._count_bytes(to, length + STREAM // 2)
         self._count_bytes(at, len(msgspec.msgpack.encode(wanted)) + STREAM // 2)
         if gave.content is not None:
             self.served[to] += 1
-            self.later(trip, self.replicas[to].served)
+            self.later(trip, self.replicas[to].response_ended)
         self.later(trip / 2.0, self._fetched, at, to, gave)
 
     def _fetched(self, at: int, by: int, gave: FetchResponse) -> None:
         if at not in self.killed:
-            self._do(at, self.replicas[at].fetched(f"d{by}", gave, self.now))
+            self._do(at, self.replicas[at].fetch_finished(f"d{by}", gave, self.now))
 
     def _unfetched(self, at: int, by: int) -> None:
         if at not in self.killed:
-            self._do(at, self.replicas[at].unfetched(f"d{by}", "refused", self.now))
+            self._do(at, self.replicas[at].fetch_failed(f"d{by}", "refused", self.now))
 
     def restart(self, at: int, kept: StoredConfig | None) -> None:
         """A new life, with what is on its disk; a probe of its old one goes on as its own."""
@@ -286,7 +288,7 @@
         self.replicas[at], self._due[at] = one, float("inf")
         self.killed.discard(at)
         if kept is not None:
-            one.forced(kept.stage, "", self.now)
+            one.apply_finished(kept.stage, "", self.now)
         self._look(at)
 
     # What came of it.
--- a/tests/fleet/config/test_config_replica.py
+++ b/tests/fleet/config/test_config_replica.py
@@ -10,12 +10,10 @@
 from hypothesis import strategies as st
 
 from cherrygrade.fleet.config import replica as module
-from cherrygrade.fleet.config.replica import (
-    ASK_MS,
-    MOST_IN,
-    SECOND_MS,
-    UNSURE,
-    ConfigReplica,
+from cherrygrade.fleet.config import stage_seats, witnesses
+from cherrygrade.fleet.config.replica import ConfigReplica
+from cherrygrade.fleet.config.replica_messages import (
+    UNCERTAIN_DIGEST_PREFIX,
     FetchRequest,
     FetchResponse,
     OwnAdvert,
@@ -25,6 +23,7 @@
 )
 from cherrygrade.fleet.config.version_content import VersionContent, content_for
 from cherrygrade.fleet.config.version_log import VersionLog
+from cherrygrade.fleet.config.version_store import MAX_CONCURRENT_RESPONSES
 from cherrygrade.fleet.config.versions import (
     ConfigVersion,
     PutVersion,
@@ -33,6 +32,7 @@
     encode,
     text_digest,
 )
+from cherrygrade.fleet.config.witness_questions import ANSWER_TIMEOUT_MS, SECOND_ADVERT_MS
 
 NINE, TWELVE = QuotaDivisors(9), QuotaDivisors(12)
 VOTERS = ["v0", "v1", "v2"]
@@ -78,15 +78,15 @@
         if kept is not None:
             self._forced(kept.version, kept.stage)
         elif sure:
-            self.do(self.replica.learned(None, 0, now, proven=True))
+            self.do(self.replica.learn_committed(None, 0, now, leader_confirmed=True))
 
     def do(self, does: ReplicaEffects) -> None:
-        if does.keep is not None:
-            self.disk = does.keep
-        if does.force is not None:
-            self._forced(*does.force)
-        self.which += does.which
-        self.push += does.push
+        if does.store is not None:
+            self.disk = does.store
+        if does.apply is not None:
+            self._forced(*does.apply)
+        self.which += does.questions
+        self.push += does.push_to
         if does.fetch is not None:
             self.fetch.append(does.fetch)
 
@@ -94,22 +94,22 @@
         why = self.refuses.get(version.number, "")
         if not why:
             self.force.append((version.number, stage))
-        self.do(self.replica.forced(stage, why, self.now))
+        self.do(self.replica.apply_finished(stage, why, self.now))
 
     def beat(self, after: float = 1.0, living: list[ReachableMember] = LIVING) -> None:
         self.now += after
-        self.do(self.replica.beat(living, self.now))
+        self.do(self.replica.tick(living, self.now))
 
     def hint(self, by: str, stage: int, mark: int) -> None:
-        self.do(self.replica.hint(by, stage, mark, self.now))
+        self.do(self.replica.receive_advert(by, stage, mark, self.now))
 
     def says(self, by: str, stage: int, mark: int) -> None:
         """First-hand, to a probe of this one's."""
-        self.do(self.replica.answered(by, stage, mark, self.now))
+        self.do(self.replica.receive_statement(by, stage, mark, self.now))
 
     def gets(self, gave: FetchResponse) -> None:
         by, _ = self.fetch.pop()
-        self.do(self.replica.fetched(by, gave, self.now))
+        self.do(self.replica.fetch_finished(by, gave, self.now))
 
     def gets_version(self, version: ConfigVersion) -> None:
         self.gets(FetchResponse(content_for(version, self.replica.version)))
@@ -159,11 +159,11 @@
     ((name, nonce),) = one.which
     assert name == "d1"
     for by, drawn in (("d1", nonce + 1), ("v0", nonce), ("v0", 9)):
-        one.do(one.replica.answered(by, 3, 77, one.now, drawn))
+        one.do(one.replica.receive_statement(by, 3, 77, one.now, drawn))
     assert one.replica.believed == (0, 0)
-    one.do(one.replica.answered("d1", 3, 77, one.now, nonce))
-    one.do(one.replica.answered("d1", 3, 77, one.now, nonce))
-    assert one.replica.believed == (0, 0) and one.replica.said == {"d1": [(3, 77)]}
+    one.do(one.replica.receive_statement("d1", 3, 77, one.now, nonce))
+    one.do(one.replica.receive_statement("d1", 3, 77, one.now, nonce))
+    assert one.replica.believed == (0, 0) and one.replica.witnesses.statements == {"d1": [(3, 77)]}
 
 
 def test_an_old_answer_is_none_to_a_later_life() -> None:
@@ -174,7 +174,7 @@
         life.beat()
     (first, second) = one.which[0][1], two.which[0][1]
     assert first != second
-    two.do(two.replica.answered("v0", 3, 77, two.now, first))
+    two.do(two.replica.receive_statement("v0", 3, 77, two.now, first))
     assert two.replica.believed == (0, 0)
 
 
@@ -188,11 +188,11 @@
         for name, nonce in one.which:
             asked.append(name)
             told = (9, 77) if name == "d1" else (0, 0)
-            one.do(one.replica.answered(name, *told, one.now, nonce))
+            one.do(one.replica.receive_statement(name, *told, one.now, nonce))
         one.which = []
         if len(asked) >= 5:
             break
-        one.beat(SECOND_MS)
+        one.beat(SECOND_ADVERT_MS)
     assert asked[0] == "d1" and len({*asked[:4]}) == 4 and not {*asked[:4]} & {*VOTERS}
     assert asked[4] in VOTERS
 
@@ -202,15 +202,15 @@
     one = One()
 
     def played(ms: float) -> int:
-        begun, before = one.now, one.replica.asked_members + one.replica.asked_voters
+        begun, before = one.now, one.replica.questions.asked_members + one.replica.questions.asked_voters
         while one.now < begun + ms:
             one.hint("d1", 99, 66)
             one.beat(50.0)
             for name, nonce in one.which:
                 told = (99, 66) if name == "d1" else (0, 0)
-                one.do(one.replica.answered(name, *told, one.now, nonce))
+                one.do(one.replica.receive_statement(name, *told, one.now, nonce))
             one.which = []
-        return one.replica.asked_members + one.replica.asked_voters - before
+        return one.replica.questions.asked_members + one.replica.questions.asked_voters - before
 
     first, later = played(10_000.0), 0
     played(60_000.0)
@@ -282,7 +282,7 @@
     for by in ("d3", "v0", "v1"):
         one.says(by, 5, CHAIN[1].digest_prefix)
         one.hint(by, 5, CHAIN[1].digest_prefix)
-    one.do(one.replica.learned(CHAIN[1], 5, one.now))
+    one.do(one.replica.learn_committed(CHAIN[1], 5, one.now))
     one.beat()
     assert one.force == [(3, 7)] and not one.fetch and one.replica.stage == 7
 
@@ -318,11 +318,11 @@
     one = One()
     one.says("v0", 3, CHAIN[0].digest_prefix)
     one.beat()
-    one.do(one.replica.fetched("v1", FetchResponse(VersionContent(CHAIN[0])), one.now))
+    one.do(one.replica.fetch_finished("v1", FetchResponse(VersionContent(CHAIN[0])), one.now))
     assert not one.force
     given_up = one.fetch[0][0]
-    one.do(one.replica.unfetched(given_up, "broken", one.now))
-    one.do(one.replica.fetched(given_up, FetchResponse(VersionContent(CHAIN[0])), one.now))
+    one.do(one.replica.fetch_failed(given_up, "broken", one.now))
+    one.do(one.replica.fetch_finished(given_up, FetchResponse(VersionContent(CHAIN[0])), one.now))
     assert not one.force and one.replica.stage == 0
 
 
@@ -336,7 +336,7 @@
         if one.fetch:
             by, _ = one.fetch.pop()
             times.append(one.now)
-            one.do(one.replica.unfetched(by, "connection refused", one.now))
+            one.do(one.replica.fetch_failed(by, "connection refused", one.now))
     assert one.replica.status().startswith("can't fetch: ") and "refused" in one.replica.status()
     gaps = [later - before for before, later in pairwise(times)]
     assert min(gaps) >= 70.0 and gaps[-1] >= 600.0 and max(gaps) <= 2600.0
@@ -368,13 +368,15 @@
     one = One()
     one.takes(CHAIN[0], 3)
     wanted = FetchRequest(1, CHAIN[0].digest_prefix)
-    for _ in range(MOST_IN):
-        assert one.replica.wanted(wanted).content is not None
-    assert one.replica.wanted(wanted) == FetchResponse(None, "busy")
-    one.replica.served()
-    assert one.replica.wanted(wanted).content is not None
-    assert one.replica.wanted(FetchRequest(1, 5)) == FetchResponse(None, "gone")
-    assert one.replica.wanted(FetchRequest(2, CHAIN[0].digest_prefix)) == FetchResponse(None, "gone")
+    for _ in range(MAX_CONCURRENT_RESPONSES):
+        assert one.replica.respond_to_fetch(wanted).content is not None
+    assert one.replica.respond_to_fetch(wanted) == FetchResponse(None, "busy")
+    one.replica.response_ended()
+    assert one.replica.respond_to_fetch(wanted).content is not None
+    assert one.replica.respond_to_fetch(FetchRequest(1, 5)) == FetchResponse(None, "gone")
+    assert one.replica.respond_to_fetch(FetchRequest(2, CHAIN[0].digest_prefix)) == FetchResponse(
+        None, "gone"
+    )
 
 
 def test_a_difference_is_given_where_its_base_is_held() -> None:
@@ -384,9 +386,9 @@
     one = One()
     one.takes(long[0], 3)
     one.takes(long[1], 5)
-    given = one.replica.wanted(FetchRequest(2, long[1].digest_prefix, 1, long[0].digest_prefix))
+    given = one.replica.respond_to_fetch(FetchRequest(2, long[1].digest_prefix, 1, long[0].digest_prefix))
     assert given.content is not None and given.content.base_number == 1
-    whole = one.replica.wanted(FetchRequest(2, long[1].digest_prefix, 1, 99))
+    whole = one.replica.respond_to_fetch(FetchRequest(2, long[1].digest_prefix, 1, 99))
     assert whole.content is not None and whole.content.base_number == 0
     assert len(msgspec.msgpack.encode(given)) < 300 < len(msgspec.msgpack.encode(whole))
 
@@ -397,13 +399,13 @@
         one.says(by, 3, CHAIN[0].digest_prefix)
     one.beat()
     by, _ = one.fetch.pop()
-    does = one.replica.fetched(by, FetchResponse(VersionContent(CHAIN[0])), one.now)
-    assert does.keep == StoredConfig(3, CHAIN[0]) and does.force == (CHAIN[0], 3)
-    assert one.replica.here() == OwnAdvert(0, 0) and not does.push
-    one.do(one.replica.forced(3, "", one.now))
-    assert one.replica.here().stage == 3
+    does = one.replica.fetch_finished(by, FetchResponse(VersionContent(CHAIN[0])), one.now)
+    assert does.store == StoredConfig(3, CHAIN[0]) and does.apply == (CHAIN[0], 3)
+    assert one.replica.own_advert() == OwnAdvert(0, 0) and not does.push_to
+    one.do(one.replica.apply_finished(3, "", one.now))
+    assert one.replica.own_advert().stage == 3
     one.beat()
-    assert len(one.push) == module.FAN == len({*one.push})
+    assert len(one.push) == module.MAX_PUSHES == len({*one.push})
 
 
 def test_pushed_once_to_the_own_zone_and_one_beyond() -> None:
@@ -424,7 +426,7 @@
     assert one.replica.stage == 3 and one.force == [(1, 3)]
     assert one.replica.status() == "refused: lines.most needs a restart"
     assert one.disk == StoredConfig(3, CHAIN[0])  # what a start would find
-    assert one.replica.here().stage == 3
+    assert one.replica.own_advert().stage == 3
     one.beat(5000.0)
     assert not one.fetch
     one.takes(CHAIN[2], 7)
@@ -433,7 +435,7 @@
 
 def test_what_was_kept_is_in_force_from_the_start() -> None:
     one = One(StoredConfig(5, CHAIN[1], 3, CHAIN[0]))
-    assert one.replica.stage == 5 and one.replica.sure and one.force == [(2, 5)]
+    assert one.replica.stage == 5 and one.replica.is_certain and one.force == [(2, 5)]
 
 
 def test_kept_and_refused_at_the_start_what_was_before_is_in_doubt() -> None:
@@ -442,42 +444,46 @@
     one.__dict__.update(now=0.0, force=[], which=[], push=[], fetch=[], refuses=refusing, disk=None)
     one.replica = ConfigReplica("me", "z0", 11, 12, VOTERS, 5, 0.0, StoredConfig(5, CHAIN[1], 3, CHAIN[0]))
     one._forced(CHAIN[1], 5)
-    assert one.force == [(1, 3)] and one.replica.stage == 3 and not one.replica.sure
-    assert one.replica.here() == OwnAdvert(0, UNSURE)
+    assert one.force == [(1, 3)] and one.replica.stage == 3 and not one.replica.is_certain
+    assert one.replica.own_advert() == OwnAdvert(0, UNCERTAIN_DIGEST_PREFIX)
     one.says("v0", 5, CHAIN[1].digest_prefix)
-    assert not one.replica.sure
+    assert not one.replica.is_certain
     one.takes(CHAIN[2], 7, ("v0",))
-    assert one.replica.stage == 7 and one.replica.sure
+    assert one.replica.stage == 7 and one.replica.is_certain
 
 
 def test_one_with_nothing_kept_is_not_sure_until_witnesses_told_it() -> None:
     one = One(sure=False)
-    assert not one.replica.sure and one.replica.here() == OwnAdvert(0, UNSURE)
-    one.says("d1", 0, UNSURE)  # who is not sure itself bears nothing out
-    one.says("v0", 0, UNSURE)
+    assert not one.replica.is_certain and one.replica.own_advert() == OwnAdvert(0, UNCERTAIN_DIGEST_PREFIX)
+    one.says("d1", 0, UNCERTAIN_DIGEST_PREFIX)  # who is not sure itself bears nothing out
+    one.says("v0", 0, UNCERTAIN_DIGEST_PREFIX)
     one.says("d2", 0, 0)
-    assert not one.replica.sure
+    assert not one.replica.is_certain
     one.says("d3", 0, 0)
-    assert one.replica.sure and one.replica.here() == OwnAdvert(0, 0)
+    assert one.replica.is_certain and one.replica.own_advert() == OwnAdvert(0, 0)
 
 
 def test_one_that_is_not_sure_becomes_so_on_what_witnesses_told() -> None:
     one = One(sure=False)
     one.says("v0", 3, CHAIN[0].digest_prefix)
-    assert not one.replica.sure
+    assert not one.replica.is_certain
     one.beat()
     one.gets_version(CHAIN[0])
-    assert one.replica.sure and one.replica.stage == 3
+    assert one.replica.is_certain and one.replica.stage == 3
     one.says("v0", 5, CHAIN[1].digest_prefix)
-    assert one.replica.sure  # it was, and stays so while it fetches
+    assert one.replica.is_certain  # it was, and stays so while it fetches
 
 
 def test_a_voters_own_log_puts_in_force_and_makes_nothing_sure() -> None:
     one = One(sure=False, name="v0")
-    one.do(one.replica.learned(CHAIN[0], 3, 0.0))
-    assert one.replica.stage == 3 and not one.replica.sure and one.replica.here() == OwnAdvert(0, UNSURE)
-    one.do(one.replica.learned(CHAIN[0], 3, 0.0, proven=True))
-    assert one.replica.sure and one.replica.here().stage == 3
+    one.do(one.replica.learn_committed(CHAIN[0], 3, 0.0))
+    assert (
+        one.replica.stage == 3
+        and not one.replica.is_certain
+        and one.replica.own_advert() == OwnAdvert(0, UNCERTAIN_DIGEST_PREFIX)
+    )
+    one.do(one.replica.learn_committed(CHAIN[0], 3, 0.0, leader_confirmed=True))
+    assert one.replica.is_certain and one.replica.own_advert().stage == 3
 
 
 def test_one_that_is_not_sure_asks_and_ever_less_often() -> None:
@@ -492,26 +498,26 @@
     one.takes(CHAIN[0], 3)
     mark = CHAIN[0].digest_prefix
     own = 1 << 11
-    assert one.replica.here().bits == own.to_bytes(2, "little")
-    one.do(one.replica.hint("d1", 3, mark, one.now, b"\x03\x00"))
-    one.do(one.replica.hint("d1", 3, mark + 1, one.now, b"\x04\x00"))
-    one.do(one.replica.hint("d1", 1, mark, one.now, b"\x04\x00"))
-    one.do(one.replica.hint("d1", 99, mark, one.now, b"\x04\x00"))
-    one.do(one.replica.answered("d1", 3, mark, one.now, 0, b"\x08\xf0"))  # beyond the seats too
-    assert one.replica.here().bits == (own | 0b1011).to_bytes(2, "little")
-    assert one.replica.on(3) and not one.replica.on(2) and not one.replica.on(-1)
-    one.do(one.replica.hint("d1", 3, mark, one.now, b"\xff\xff"))
-    assert one.replica.here().bits == b"\xff\x0f"
-    one.beat(module.LINGER_MS + 1.0)
-    assert one.replica.here().bits == b""
+    assert one.replica.own_advert().bits == own.to_bytes(2, "little")
+    one.do(one.replica.receive_advert("d1", 3, mark, one.now, b"\x03\x00"))
+    one.do(one.replica.receive_advert("d1", 3, mark + 1, one.now, b"\x04\x00"))
+    one.do(one.replica.receive_advert("d1", 1, mark, one.now, b"\x04\x00"))
+    one.do(one.replica.receive_advert("d1", 99, mark, one.now, b"\x04\x00"))
+    one.do(one.replica.receive_statement("d1", 3, mark, one.now, 0, b"\x08\xf0"))  # beyond the seats too
+    assert one.replica.own_advert().bits == (own | 0b1011).to_bytes(2, "little")
+    assert one.replica.seats.has(3) and not one.replica.seats.has(2) and not one.replica.seats.has(-1)
+    one.do(one.replica.receive_advert("d1", 3, mark, one.now, b"\xff\xff"))
+    assert one.replica.own_advert().bits == b"\xff\x0f"
+    one.beat(stage_seats.FULL_LINGER_MS + 1.0)
+    assert one.replica.own_advert().bits == b""
     one.takes(CHAIN[1], 5)
-    assert one.replica.here().bits == own.to_bytes(2, "little")
+    assert one.replica.own_advert().bits == own.to_bytes(2, "little")
 
 
 def test_one_that_is_alone_waits() -> None:
     one = One(sure=False)
     beats = 0
-    while one.now < 10_000.0 and beats < 1000 and (due := one.replica.due()) < 1e14:
+    while one.now < 10_000.0 and beats < 1000 and (due := one.replica.next_deadline()) < 1e14:
         one.beat(max(1.0, due - one.now), [])
         beats += 1
     assert beats < 50 and not one.which
@@ -531,12 +537,15 @@
         one.hint(f"x{at}", 2 * at + 3, at)
         one.says("d1", 2 * at + 3, at)
     replica = one.replica
-    assert len(replica.hinted) <= module.MOST_HINTS and len(replica.said["d1"]) <= module.MOST_SAID
+    assert (
+        len(replica.witnesses.adverts) <= witnesses.MAX_ADVERTS
+        and len(replica.witnesses.statements["d1"]) <= witnesses.MAX_STATEMENTS_PER_MEMBER
+    )
     one.beat()
-    assert not {*replica.hinted} - {near.name for near in LIVING}
+    assert not {*replica.witnesses.adverts} - {near.name for near in LIVING}
     for _ in range(400):
-        one.beat(ASK_MS / 8.0)
-    assert len(replica._asks) <= 4
+        one.beat(ANSWER_TIMEOUT_MS / 8.0)
+    assert len(replica.questions.pending) <= 4
 
 
 def test_due_is_in_time_and_not_forever_now() -> None:
@@ -554,7 +563,7 @@
             change(one)
             beats = 0
             while one.now < 10_000.0 and beats < 1000:
-                due = max(one.now + 1.0, one.replica.due())
+                due = max(one.now + 1.0, one.replica.next_deadline())
                 if due > 1e14:
                     break
                 one.beat(due - one.now)
@@ -600,7 +609,7 @@
             one.gets(FetchResponse(VersionContent(version)))
         elif kind == "lost" and one.fetch:
             by_, _ = one.fetch.pop()
-            one.do(one.replica.unfetched(by_, "broken", one.now))
+            one.do(one.replica.fetch_failed(by_, "broken", one.now))
         elif kind == "beat":
             one.beat(float(number), LIVING_TOO)
         elif kind == "dies" and one.disk is not None:
@@ -608,7 +617,7 @@
             one = One(one.disk, now=one.now + 1.0)
             one.force = [*stages, *one.force]
         elif kind == "log" and number in true:
-            one.do(one.replica.learned(true[number], stage, one.now))
+            one.do(one.replica.learn_committed(true[number], stage, one.now))
         stages_ = [stage for _, stage in one.force]
         assert stages_ == sorted(stages_)
         told = one.replica.version
@@ -639,6 +648,6 @@
     for _ in range(50):
         one.says("d1", 3, CHAIN[0].digest_prefix)
         one.beat(200.0)
-    assert one.replica.stage == 3 and one.replica.sure and not one.which
+    assert one.replica.stage == 3 and one.replica.is_certain and not one.which
     one.takes(CHAIN[2], 7, ("d1", "d2") if side == "members" else ("v0",))
     assert one.replica.stage == 7
--- a/tests/fleet/config/test_config_spread.py
+++ b/tests/fleet/config/test_config_spread.py
@@ -4,7 +4,7 @@
 import pytest
 
 from cherrygrade.cli import app
-from cherrygrade.fleet.config.replica import StoredConfig
+from cherrygrade.fleet.config.replica_messages import StoredConfig
 from cherrygrade.fleet.config.versions import QuotaDivisors
 from cherrygrade.lab.virtual.spread import Spread
 
@@ -158,24 +158,24 @@
         fleet.put(changed(number))
         fleet.run(2000.0)
     fleet.restart(30, StoredConfig(3, first))
-    assert fleet.replicas[30].stage == 3 and fleet.replicas[30].sure
+    assert fleet.replicas[30].stage == 3 and fleet.replicas[30].is_certain
     assert fleet.run(6000.0, fleet.all_on(11))
 
 
 def test_one_that_starts_with_nothing_has_the_newest_within_6_s_and_no_part_before() -> None:
     fleet = resting()
     fleet.restart(30, None)
-    assert not fleet.replicas[30].sure
-    assert fleet.run(6000.0, fleet.all_on(1)) and fleet.replicas[30].sure
+    assert not fleet.replicas[30].is_certain
+    assert fleet.run(6000.0, fleet.all_on(1)) and fleet.replicas[30].is_certain
 
 
 @pytest.mark.parametrize("count", [9, 60])
 def test_a_fleet_that_starts_with_nothing_is_sure_once_its_leader_is(count: int) -> None:
     fleet = Spread(count, 5, kept=False)
     fleet.run(3000.0)
-    assert not any(one.sure for one in fleet.replicas)
-    fleet._do(0, fleet.replicas[0].learned(None, 0, fleet.now, proven=True))
-    assert fleet.run(8000.0, lambda: all(one.sure for one in fleet.replicas))
+    assert not any(one.is_certain for one in fleet.replicas)
+    fleet._do(0, fleet.replicas[0].learn_committed(None, 0, fleet.now, leader_confirmed=True))
+    assert fleet.run(8000.0, lambda: all(one.is_certain for one in fleet.replicas))
     fleet.put(TEXT)
     assert fleet.run(6000.0, fleet.all_on(1))
 
@@ -203,9 +203,9 @@
     fleet = resting()
     fleet.put(changed(2))
     assert fleet.run(6000.0, fleet.all_on(2))
-    assert fleet.run(8000.0, lambda: all(one.on(seat) for one in fleet.replicas for seat in range(60)))
+    assert fleet.run(8000.0, lambda: all(one.seats.has(seat) for one in fleet.replicas for seat in range(60)))
     fleet.run(15_000.0)
-    assert {one.here().bits for one in fleet.replicas} == {b""}
+    assert {one.own_advert().bits for one in fleet.replicas} == {b""}
 
 
 def test_the_same_seed_gives_the_same_day() -> None:
--- a/tests/fleet/runtime/test_config_in_force.py
+++ b/tests/fleet/runtime/test_config_in_force.py
@@ -13,7 +13,7 @@
 
 from cherrygrade.cli import origin_of
 from cherrygrade.client import Ok, Rejected
-from cherrygrade.fleet.config.replica import StoredConfig
+from cherrygrade.fleet.config.replica_messages import StoredConfig
 from cherrygrade.fleet.config.versions import NO_DIGEST, ConfigVersion, QuotaDivisors
 from cherrygrade.fleet.runtime.sealed_file import SealedFile
 from cherrygrade.fleet.runtime.voter_store import found
@@ -312,7 +312,7 @@
         assert isinstance(await client.write("write", "w", "k", b"x", shard=0, deadline_ms=500), Ok)
         limited = await client.write("write", "v", "k", b"x", shard=0, deadline_ms=500)
         assert not isinstance(limited, Ok)
-        gateway.agent.config.replica._sure = True  # witnesses told it
+        gateway.agent.config.replica._is_certain = True  # witnesses told it
         assert isinstance(await client.write("write", "v", "k", b"x", shard=0, deadline_ms=900), Ok)
         assert not gateway.company.forfeits_quota
 
@@ -328,7 +328,7 @@
         due = gateway.rounds.module.volumes["v"]
         due.pass_time(gateway.clock())
         assert due.store > 20.0  # earned by a part that it did not have
-        gateway.agent.config.replica._sure = True
+        gateway.agent.config.replica._is_certain = True
         gateway.rounds.stir()
         await asyncio.sleep(0.01)
         assert due.store < 5.0
@@ -352,7 +352,7 @@
     async def story(house: GatewaySite) -> None:
         one = One(house, tmp_path)
         gateway = await one.open(2, own=OWN.replace('voters: ["d0"]', 'voters: ["d9"]'))
-        gateway.agent.config.replica._sure = True
+        gateway.agent.config.replica._is_certain = True
         old = gateway.overlay.judge("", "")[1]
         assert old == QuotaDivisors(3, (("v", 3), ("w", 2)))
         more, fewer = "place: dispatchers: 5", "place: dispatchers: 2"
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -11,7 +11,7 @@
 import pytest
 from support import golden
 
-from cherrygrade.fleet.config import replica, text_diff, version_content, version_log, versions
+from cherrygrade.fleet.config import replica_messages, text_diff, version_content, version_log, versions
 from cherrygrade.fleet.consensus import (
     council_messages,
     disruption_budget,
@@ -57,11 +57,11 @@
     "fleet.carriers.operator.Put": operator_commands.PutRequest,
     "fleet.carriers.operator.Show": operator_commands.ShowRequest,
     "fleet.carriers.operator.Missing": operator_commands.MissingRequest,
-    "fleet.config.replica.Kept": replica.StoredConfig,
-    "fleet.config.replica.Near": replica.ReachableMember,
-    "fleet.config.replica.Here": replica.OwnAdvert,
-    "fleet.config.replica.Wanted": replica.FetchRequest,
-    "fleet.config.replica.Gave": replica.FetchResponse,
+    "fleet.config.replica.Kept": replica_messages.StoredConfig,
+    "fleet.config.replica.Near": replica_messages.ReachableMember,
+    "fleet.config.replica.Here": replica_messages.OwnAdvert,
+    "fleet.config.replica.Wanted": replica_messages.FetchRequest,
+    "fleet.config.replica.Gave": replica_messages.FetchResponse,
     "fleet.config.versions.Divisors": versions.QuotaDivisors,
     "fleet.config.versions.Hunk": text_diff.DiffHunk,
     "fleet.config.versions.Op": versions.ConfigCommand,
