--- a/cherrygrade/fleet/config/__init__.py
+++ b/cherrygrade/fleet/config/__init__.py
@@ -1,5 +1,6 @@
-"""One configuration for the fleet: a text that goes over each dispatcher's own file, one order of versions in
-the council's log, spread by hints that are believed only with witnesses (docs/config-design.md).
+"""The fleet's configuration: a text over each dispatcher's own file, in one order of versions.
 
-What is decided stands here, free of I/O, clock and chance; carriers/config.py has sockets and disk.
+The council's log orders the versions; members learn of them by adverts, which are believed only with
+witnesses (docs/config-design.md). Decisions only, free of I/O, clock and chance: sockets and disk are in
+`fleet/runtime/config_exchange.py`.
 """
--- a/cherrygrade/fleet/config/joint_phase.py
+++ b/cherrygrade/fleet/config/joint_phase.py
@@ -1,145 +1,210 @@
-"""Parts that move between dispatchers: those that shrink go first, the rest once all of record have said so.
+"""The joint phase of a version that divides quotas anew: shrinking parts first, growing ones once it is safe.
 
-Joint use, after Raft's joint consensus (Ongaro, Ousterhout 2014, 6): while a version is joint, each uses the
-smaller of its two parts. The leader settles it once every seat of the larger count has said first-hand that
-it is on that stage or later, or has left by its own word. Silence is no proof. Free of I/O and clock.
+After Raft's joint consensus (Ongaro, Ousterhout 2014, section 6): while a version is joint, each dispatcher
+uses the smaller of its two parts. The leader settles it once every seat of the larger count has said
+first-hand that it is on that stage or later, or has left by its own message. Silence is no proof.
+
+Free of I/O and clock; times are in ms of one clock.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 from zlib import crc32
 
+from cherrygrade.fleet.config.replica_messages import ConfigQuestion
 from cherrygrade.fleet.config.versions import QuotaDivisors
 
-ASKS_A_S = 50.0  # that the leader asks at most
-AT_ONCE = 5  # of them in one beat
-AGAIN_MS = 1000.0  # who has not answered is asked again
-ROUNDS = 2
+MAX_QUESTIONS_PER_S = 50.0
+"""That the leader sends."""
+QUESTIONS_PER_TICK = 5
+REPEAT_MS = 1000.0
+"""Before a member that has not answered is asked again."""
+REQUIRED_ROUNDS = 2
+"""Times that all seats have to prove their stage."""
 NEVER = 1e15
+"""A time in ms that is never reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaParts:
-    """What a dispatcher may use. `counts`: numbers of dispatchers; the room at a cold node is the least over
-    them, each reckoned as if it were the only one. `hosts`: a volume's limit is divided by this. `has`: False
-    where this seat has no part at all, of cold nodes or limits."""
-
-    counts: tuple[int, ...]
-    hosts: dict[str, int] = field(default_factory=dict)
-    has: bool = True
+    """What one dispatcher may use.
 
+    Attributes:
+        dispatcher_counts: By how many dispatchers a cold node's room is divided, sorted; of several the
+            smallest room counts, each reckoned as if it were the only one.
+        hosts: By volume, what its limit is divided by.
+        has_parts: False where this seat has no part at all, of cold nodes or limits.
+    """
 
-def parts(seat: int, now: QuotaDivisors, old: QuotaDivisors | None = None, sure: bool = True) -> QuotaParts:
-    """Of this seat, under a version with divisors `now`; `old` only while it is joint (stage even), None once
-    it is settled. `sure` False: it does not know yet which version the fleet is on (Replica.sure)."""
-    hosts = dict(now.hosts)
-    counts: tuple[int, ...] = (now.dispatchers,)
-    if old is not None:
-        for volume, count in old.hosts:
+    dispatcher_counts: tuple[int, ...]
+    hosts: dict[str, int] = field(default_factory=dict)
+    has_parts: bool = True
+
+
+def quota_parts(
+    seat: int, divisors: QuotaDivisors, old_divisors: QuotaDivisors | None = None, is_certain: bool = True
+) -> QuotaParts:
+    """The parts of a seat under a version.
+
+    Args:
+        seat: The seat; negative for none.
+        divisors: Those of the version.
+        old_divisors: What its parts move away from while it is joint (an even stage), else None.
+        is_certain: Whether the dispatcher knows the fleet's version (`ConfigReplica.is_certain`).
+    """
+    hosts = dict(divisors.hosts)
+    counts: tuple[int, ...] = (divisors.dispatchers,)
+    if old_divisors is not None:
+        for volume, count in old_divisors.hosts:
             if volume in hosts:
                 hosts[volume] = max(hosts[volume], count)
-        counts = tuple(sorted({now.dispatchers, old.dispatchers}))
-    return QuotaParts(counts, hosts, sure and 0 <= seat < min(counts))
+        counts = tuple(sorted({divisors.dispatchers, old_divisors.dispatchers}))
+    return QuotaParts(counts, hosts, is_certain and 0 <= seat < min(counts))
 
 
-def seats(now: QuotaDivisors, old: QuotaDivisors) -> int:
+def seat_count(divisors: QuotaDivisors, old_divisors: QuotaDivisors) -> int:
     """How many seats a move concerns."""
-    return max(now.dispatchers, old.dispatchers)
+    return max(divisors.dispatchers, old_divisors.dispatchers)
 
 
 @dataclass(frozen=True, slots=True)
 class SeatedMember:
-    """One claim of a seat, as the roll has it or had it last. `living`: not known dead; `left`: it left by
-    its own word."""
+    """One claim of a seat, as the membership table has it or had it last.
+
+    Attributes:
+        seat: The seat.
+        name: The member.
+        birth: Identifies the life of its process.
+        is_living: It is not known to be dead.
+        has_left: It left by its own message.
+    """
 
     seat: int
     name: str
     birth: int
-    living: bool
-    left: bool = False
+    is_living: bool
+    has_left: bool = False
+
+
+class PendingQuestion(NamedTuple):
+    """The nonce of a question, and when it was asked in ms."""
+
+    nonce: int
+    asked_at: float
+
+
+NO_QUESTION = PendingQuestion(0, -NEVER)
 
 
 class JointPhase:
-    """The leader's asking, of one move: `stage` (twice the number with which it began) has to be reached by
-    each of `seats`, twice over: once all have said so, all are asked again, and nothing said before counts.
-    Else one that said it and was started anew without what it had kept could have become sure by the word of
-    another that had not said it yet. Begun anew by each leader: what another one heard proves nothing to it.
-    Of each member that claims a seat: `said` holds the highest stage by (name, birth), `asked` the nonce that
-    is out and since when; both go with the claims."""
+    """The leader's search for proof that a move may be settled.
+
+    All seats have to prove their stage twice: once all have, all are asked again, and nothing said before
+    counts. Otherwise a member that said it and was restarted without what it had stored could have become
+    certain by the word of another that had not said it yet. Each leader begins anew: what another one learned
+    proves nothing to it.
+
+    Attributes:
+        stage: What each seat has to reach: twice the number of the version with which the move began.
+        seats: How many seats the move concerns.
+        seed: Of the nonces.
+        stages: By name and birth, the highest stage said in this round; goes with the claims.
+        pending: By name, the question without an answer; goes with the claims.
+        completed_rounds: At most REQUIRED_ROUNDS; never decreases.
+    """
 
     def __init__(self, stage: int, seats: int, seed: int, now: float) -> None:
-        self.stage, self.seats, self.seed = stage, seats, seed
-        self.said: dict[tuple[str, int], int] = {}
-        self.asked: dict[str, tuple[int, float]] = {}
-        self.rounds = 0  # that are over
-        self._count = crc32(f"{seed}:{stage}:{now!r}".encode())  # no lead's nonces are another's
+        self.stage = stage
+        self.seats = seats
+        self.seed = seed
+        self.stages: dict[tuple[str, int], int] = {}
+        self.pending: dict[str, PendingQuestion] = {}
+        self.completed_rounds = 0
+        # No two leaderships draw the same nonces.
+        self._nonces_drawn = crc32(f"{seed}:{stage}:{now!r}".encode())
         self._next_at = now
 
-    def answered(self, name: str, birth: int, stage: int, nonce: int) -> None:
-        """An answer that came from the place that the roll holds for that name; counts only with the nonce
-        that it was asked with, and once."""
-        asked, _ = self.asked.get(name, (0, 0.0))
-        if asked and asked == nonce:
-            del self.asked[name]
-            life = (name, birth)
-            self.said[life] = max(stage, self.said.get(life, 0))
+    def receive_answer(self, name: str, birth: int, stage: int, nonce: int) -> None:
+        """Note an answer that came from the address that the membership table has for the name.
 
-    def _proven(self, claim: SeatedMember) -> bool:
-        return claim.left or self.said.get((claim.name, claim.birth), -1) >= self.stage
+        It counts only with the nonce of the question, and once.
+        """
+        question = self.pending.get(name, NO_QUESTION)
+        if question.nonce and question.nonce == nonce:
+            del self.pending[name]
+            life = (name, birth)
+            self.stages[life] = max(stage, self.stages.get(life, 0))
 
-    def whole(self, claims: Iterable[SeatedMember]) -> bool:
-        """Whether it may be settled now. To be asked after answers, and with claims as they are now."""
-        if self.rounds < ROUNDS and not self.missing(claims):
-            self.rounds += 1
-            if self.rounds < ROUNDS:
-                self.said.clear()
-                self.asked.clear()
-        return self.rounds >= ROUNDS
+    def is_complete(self, claims: Iterable[SeatedMember]) -> bool:
+        """Whether the move may be settled now; ends a round. To be asked after answers, with fresh claims."""
+        if self.completed_rounds < REQUIRED_ROUNDS and not self.missing(claims):
+            self.completed_rounds += 1
+            if self.completed_rounds < REQUIRED_ROUNDS:
+                self.stages.clear()
+                self.pending.clear()
+        return self.completed_rounds >= REQUIRED_ROUNDS
 
     def missing(self, claims: Iterable[SeatedMember]) -> dict[int, str]:
-        """Seats that lack proof in this round, and why. A seat is proven by its last holder, and
-        by all that claim it and live: a member that leaves proves nothing of one that took its seat since,
-        nor an earlier life of a later one."""
+        """The seats that lack proof in this round, and why, as a text for people.
+
+        A seat is proven by its last holder and by all that claim it and live: a member that leaves proves
+        nothing of one that took its seat since, nor an earlier life of a later one.
+        """
         by_seat: dict[int, list[SeatedMember]] = {}
         for claim in claims:
             if 0 <= claim.seat < self.seats:
                 by_seat.setdefault(claim.seat, []).append(claim)
-        found: dict[int, str] = {}
-        for seat in range(self.seats):
-            held = by_seat.get(seat, [])
-            last = max(held, key=lambda one: (one.birth, one.name), default=None)
-            lacks = [one for one in held if (one is last or one.living) and not self._proven(one)]
-            if last is None:
-                found[seat] = "nobody is known to have held it"
-            elif lacks:
-                one = lacks[0]
-                said = self.said.get((one.name, one.birth))
-                why = "has not answered" if said is None else f"is on stage {said}"
-                found[seat] = f"{one.name} {why}" if one.living else f"{one.name} failed, and has not left"
-        return found
-
-    def due(self) -> float:
+        reasons = {seat: self._why_unproven(by_seat.get(seat, [])) for seat in range(self.seats)}
+        return {seat: reason for seat, reason in reasons.items() if reason}
+
+    def next_deadline(self) -> float:
+        """The time in ms at which `tick` is to be called."""
         return self._next_at
 
-    def beat(self, claims: Iterable[SeatedMember], now: float) -> list[tuple[str, int]]:
-        """Whom to ask now, name and nonce (page Which)."""
+    def tick(self, claims: Iterable[SeatedMember], now: float) -> list[ConfigQuestion]:
+        """The questions that are due now."""
         if now < self._next_at:
             return []
-        claims = [one for one in claims if 0 <= one.seat < self.seats]
-        lives = {(one.name, one.birth) for one in claims}
-        self.said = {life: stage for life, stage in self.said.items() if life in lives}
-        names = {one.name for one in claims if one.living and not self._proven(one)}
-        self.asked = {name: asked for name, asked in self.asked.items() if name in names}
-        waiting = [name for name in names if now - self.asked.get(name, (0, -NEVER))[1] >= AGAIN_MS]
-        # Who was asked longest ago comes first, so that none is passed over for ever.
-        waiting.sort(key=lambda name: (self.asked.get(name, (0, -NEVER))[1], name))
-        found = []
-        for name in waiting[:AT_ONCE]:
-            self._count += 1
-            nonce = crc32(f"{self.seed}:{self._count}".encode()) | 1
-            self.asked[name] = (nonce, now)
-            found.append((name, nonce))
-        self._next_at = now + AT_ONCE * 1000.0 / ASKS_A_S
-        return found
+        seated = [claim for claim in claims if 0 <= claim.seat < self.seats]
+        lives = {(claim.name, claim.birth) for claim in seated}
+        self.stages = {life: stage for life, stage in self.stages.items() if life in lives}
+        unproven = {claim.name for claim in seated if claim.is_living and not self.is_proven(claim)}
+        self.pending = {name: question for name, question in self.pending.items() if name in unproven}
+        due = [name for name in unproven if now - self._asked_at(name) >= REPEAT_MS]
+        # Who was asked longest ago comes first, so that nobody is passed over for ever.
+        due.sort(key=lambda name: (self._asked_at(name), name))
+        questions = [self._question(name, now) for name in due[:QUESTIONS_PER_TICK]]
+        self._next_at = now + QUESTIONS_PER_TICK * 1000.0 / MAX_QUESTIONS_PER_S
+        return questions
+
+    def is_proven(self, claim: SeatedMember) -> bool:
+        """Whether this member has left, or has said in this round that it is on the stage."""
+        return claim.has_left or self.stages.get((claim.name, claim.birth), -1) >= self.stage
+
+    def _why_unproven(self, claims: list[SeatedMember]) -> str:
+        """Why a seat with these claims lacks proof; "" where it does not."""
+        last = max(claims, key=lambda claim: (claim.birth, claim.name), default=None)
+        if last is None:
+            return "nobody is known to have held it"
+        lacking = [
+            claim for claim in claims if (claim is last or claim.is_living) and not self.is_proven(claim)
+        ]
+        if not lacking:
+            return ""
+        claim = lacking[0]
+        if not claim.is_living:
+            return f"{claim.name} failed, and has not left"
+        stage = self.stages.get((claim.name, claim.birth))
+        return f"{claim.name} has not answered" if stage is None else f"{claim.name} is on stage {stage}"
+
+    def _asked_at(self, name: str) -> float:
+        return self.pending.get(name, NO_QUESTION).asked_at
+
+    def _question(self, name: str, now: float) -> ConfigQuestion:
+        self._nonces_drawn += 1
+        nonce = crc32(f"{self.seed}:{self._nonces_drawn}".encode()) | 1
+        self.pending[name] = PendingQuestion(nonce, now)
+        return ConfigQuestion(name, nonce)
--- a/cherrygrade/fleet/config/live_changes.py
+++ b/cherrygrade/fleet/config/live_changes.py
@@ -1,8 +1,8 @@
-"""Which settings come into force while a dispatcher runs, which need a restart, which deal out parts.
+"""Which settings may change while a dispatcher runs, which need a restart, and which divide quotas.
 
-LIVE is the whole of what may come; whatever it does not name needs a restart and refuses the version, with
-its key: a setting that is new to the program is not live by accident. Why each does stands in
-docs/config-design.md. Free of I/O and clock.
+LIVE_SETTINGS names all that may change; anything else needs a restart and refuses the version, with its key:
+a setting that is new to the program is not live by accident. docs/config-design.md gives the reason for each.
+Free of I/O and clock.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from cherrygrade.records.frozen_names import record_keys
 from cherrygrade.settings import SiteSettings
 
-LIVE = {
+LIVE_SETTINGS = {
     # Read anew for each RPC or round, and bounding what this dispatcher alone does: the larger of two
     # versions is the most that any mix of them lets through.
     "plans": {
@@ -32,82 +32,99 @@
     "budget": {"spare", "share", "span_ms"},
     "permits": {"most_sends", "copies", "cancel", "marks_repeats", "come_back_ms"},
     "bounds": {"most_held", "answer_ms", "leave_ms"},
-    # How parts are dealt out: joint use.
+    # Divide quotas: these need the joint phase.
     "place": {"dispatchers"},
     "volumes": {"plan", "hosts"},
 }
-NOBODY = "(none)"  # stands for what only one of two sites has
+"""By part of the record, the settings that may change while a dispatcher runs."""
+ABSENT = "(none)"
+"""Stands for the value of a key that only one of two sites has."""
+DERIVED_PERMIT_KEYS = ("join_length", "join_most", "unit_length", "least_units")
+"""Computed from other settings of the record."""
 
 
 @dataclass(frozen=True, slots=True)
 class LiveChanges:
-    """Keys, as the record has them (`plans.gold.limit_rate`), sorted. `restart`: any there refuses the
-    version. `divisors`: what parts move away from, None where none move."""
+    """What differs between two sites. Keys are as in the record (`plans.gold.limit_rate`), sorted.
+
+    Attributes:
+        live: Keys that may change while a dispatcher runs.
+        restart: Keys that need a restart; any of them refuses the version.
+        divisors: What quota parts move away from; None where none move.
+    """
 
     live: list[str]
     restart: list[str]
     divisors: QuotaDivisors | None = None
 
 
-def divisors(site: SiteSettings) -> QuotaDivisors:
+def quota_divisors(site: SiteSettings) -> QuotaDivisors:
+    """By what a site divides quotas."""
     volumes = sorted(site.trade.volumes.items())
     return QuotaDivisors(site.place.dispatchers, tuple((name, volume.hosts) for name, volume in volumes))
 
 
-def changes(old: SiteSettings, new: SiteSettings) -> LiveChanges:
+def setting_changes(old: SiteSettings, new: SiteSettings) -> LiveChanges:
     """What differs, by what has to be done about it."""
     live: list[str] = []
     restart: list[str] = []
-    was, told = _keys(old), _keys(new)
-    for key in sorted(was.keys() | told.keys()):
-        if was.get(key, NOBODY) != told.get(key, NOBODY):
-            (live if _live(key, key in was and key in told) else restart).append(key)
-    return LiveChanges(live, restart, moves(divisors(old), divisors(new)))
-
-
-def _live(key: str, both: bool) -> bool:
-    part, _, rest = key.partition(".")
-    name, _, field = rest.rpartition(".")
-    if part in ("plans", "workloads", "volumes"):
-        # One that comes or goes is none that anything was promised of.
-        return not both or field in LIVE[part]
-    return not name and field in LIVE.get(part, ())
+    old_values = setting_values(old)
+    new_values = setting_values(new)
+    for key in sorted(old_values.keys() | new_values.keys()):
+        if old_values.get(key, ABSENT) == new_values.get(key, ABSENT):
+            continue
+        in_both = key in old_values and key in new_values
+        if _may_change_live(key, in_both):
+            live.append(key)
+        else:
+            restart.append(key)
+    return LiveChanges(live, restart, moves(quota_divisors(old), quota_divisors(new)))
 
 
-def _keys(site: SiteSettings) -> dict[str, Any]:
-    """Values by key, of all that the record told; parts that hang on others of it are left out."""
-    found: dict[str, Any] = {}
+def setting_values(site: SiteSettings) -> dict[str, Any]:
+    """All values of the record by key; values that are computed from others are left out."""
+    values: dict[str, Any] = {}
     bearings = site.bearings
     for name, workload in site.trade.workloads.items():
-        _put(found, f"workloads.{name}", workload)
+        _add_record(values, f"workloads.{name}", workload)
     for name, volume in site.trade.volumes.items():
-        found[f"volumes.{name}.plan"] = volume.plan.name
-        found[f"volumes.{name}.hosts"] = volume.hosts
-        _put(found, f"plans.{volume.plan.name}", volume.plan)
-    _put(found, "place", site.place)
-    _put(found, "measure", site.trade.measure)
-    _put(found, "earnings", bearings.earnings)
-    _put(found, "cold", bearings.cold)
+        values[f"volumes.{name}.plan"] = volume.plan.name
+        values[f"volumes.{name}.hosts"] = volume.hosts
+        _add_record(values, f"plans.{volume.plan.name}", volume.plan)
+    _add_record(values, "place", site.place)
+    _add_record(values, "measure", site.trade.measure)
+    _add_record(values, "earnings", bearings.earnings)
+    _add_record(values, "cold", bearings.cold)
     if bearings.budget is not None:
-        _put(found, "budget", bearings.budget)
-    _put(found, "permits", bearings.permits)
-    for derived in ("join_length", "join_most", "unit_length", "least_units"):
-        del found[f"permits.{derived}"]
-    found["key_rest_ms"] = bearings.key_rest_ms
-    _put(found, "bounds", site.bounds)
-    _put(found, "lines", site.lines)
-    _put(found, "extents", site.cuts)
-    _put(found, "peers", site.pace)
-    _put(found, "words", site.words)
+        _add_record(values, "budget", bearings.budget)
+    _add_record(values, "permits", bearings.permits)
+    for derived in DERIVED_PERMIT_KEYS:
+        del values[f"permits.{derived}"]
+    values["key_rest_ms"] = bearings.key_rest_ms
+    _add_record(values, "bounds", site.bounds)
+    _add_record(values, "lines", site.lines)
+    _add_record(values, "extents", site.cuts)
+    _add_record(values, "peers", site.pace)
+    _add_record(values, "words", site.words)
     if site.fleet is not None:
-        _put(found, "fleet", site.fleet)
-    return found
+        _add_record(values, "fleet", site.fleet)
+    return values
+
+
+def _may_change_live(key: str, in_both: bool) -> bool:
+    part, _, rest = key.partition(".")
+    name, _, setting = rest.rpartition(".")
+    if part in ("plans", "workloads", "volumes"):
+        # Nobody was promised anything of one that is added or removed.
+        return not in_both or setting in LIVE_SETTINGS[part]
+    return not name and setting in LIVE_SETTINGS.get(part, ())
 
 
-def _put(found: dict[str, Any], at: str, value: Any) -> None:
-    for key, name in record_keys(type(value)):
-        part = getattr(value, name)
-        if is_dataclass(part):
-            _put(found, f"{at}.{key}", part)
+def _add_record(values: dict[str, Any], prefix: str, record: Any) -> None:
+    """Add the values of a settings dataclass; record keys differ between its types."""
+    for key, name in record_keys(type(record)):
+        value = getattr(record, name)
+        if is_dataclass(value):
+            _add_record(values, f"{prefix}.{key}", value)
         else:
-            found[f"{at}.{key}"] = part
+            values[f"{prefix}.{key}"] = value
--- a/cherrygrade/fleet/config/replica.py
+++ b/cherrygrade/fleet/config/replica.py
@@ -109,8 +109,8 @@
         """Whether it knows, or knew in this life, the fleet's version.
 
         That is so once what it stored is in force, or it came to what witnesses said. Until then it serves on
-        its own file and has no quota parts (`joint_phase.parts`): the fleet may have divided them anew. A
-        voter's own log does not make it certain, it may lag.
+        its own file and has no quota parts (`joint_phase.quota_parts`): the fleet may have divided them anew.
+        A voter's own log does not make it certain, it may lag.
         """
         return self._is_certain
 
--- a/cherrygrade/fleet/consensus/__init__.py
+++ b/cherrygrade/fleet/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""The council: a few dispatchers that keep one log by agreement. Decisions only; no I/O, clock or chance."""
+"""The council: a few dispatchers that replicate one log by Raft. Decisions only; no I/O, clock or chance."""
--- a/cherrygrade/fleet/runtime/config_exchange.py
+++ b/cherrygrade/fleet/runtime/config_exchange.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from cherrygrade.fleet.config.joint_phase import JointPhase, SeatedMember, seats
+from cherrygrade.fleet.config.joint_phase import JointPhase, SeatedMember, seat_count
 from cherrygrade.fleet.config.replica import ConfigReplica
 from cherrygrade.fleet.config.replica_messages import (
     ApplyVersion,
@@ -305,7 +305,7 @@
                     one.name, config.stage, config.mark, now, one.nonce, config.bits
                 )
                 if one.nonce and self.settling is not None:
-                    self.settling.answered(one.name, one.birth, config.stage, one.nonce)
+                    self.settling.receive_answer(one.name, one.birth, config.stage, one.nonce)
                     self._settle()
             elif own is not None and (own.stage, own.mark) == (config.stage, config.mark) and not config.bits:
                 continue  # nothing new, and nothing to believe
@@ -340,7 +340,7 @@
                 and newest is not None
                 and newest.old_divisors is not None
             ):
-                count = seats(known.divisors, newest.old_divisors)
+                count = seat_count(known.divisors, newest.old_divisors)
                 self.settling = JointPhase(2 * of[1], count, self._seed, self.clock())
             self._set()
 
@@ -371,10 +371,10 @@
             return
         if now >= replica.next_deadline() or not replica.is_certain:
             self._do(replica.tick(self._near(), now))
-        if self.settling is not None and now >= self.settling.due():
-            for name, nonce in self.settling.beat(self._claims(), now):
+        if self.settling is not None and now >= self.settling.next_deadline():
+            for name, nonce in self.settling.tick(self._claims(), now):
                 if name == self.core.name:  # it needs no page to ask itself
-                    self.settling.answered(name, self.core.birth, replica.stage, nonce)
+                    self.settling.receive_answer(name, self.core.birth, replica.stage, nonce)
                 else:
                     self._post(self.core.which(name, nonce))
             self._settle()
@@ -382,7 +382,7 @@
 
     def _settle(self) -> None:
         settling = self.settling
-        if settling is not None and self.council_server is not None and settling.whole(self._claims()):
+        if settling is not None and self.council_server is not None and settling.is_complete(self._claims()):
             self.settling = None
             self.log("configuration settled", number=self._settling_of[1])
             self.council_server.settle(self._settling_of[1])
@@ -396,7 +396,7 @@
         ):  # as it starts it knows nobody, and whoever comes may have nothing to tell
             due = min(due, self.clock() + UNSURE_MS)
         if self.settling is not None:
-            due = min(due, self.settling.due())
+            due = min(due, self.settling.next_deadline())
         if due < self._timer_at - 1.0 and due < NEVER / 2.0:
             if self._timer is not None:
                 self._timer.cancel()
--- a/cherrygrade/gateway/inforce.py
+++ b/cherrygrade/gateway/inforce.py
@@ -53,13 +53,15 @@
         if fewest[name] < 1:
             raise ValueError(f"volumes.{name}.hosts: dealt out over nobody")
         volumes[name] = replace(volume, hosts=hosts)
-    if not parts.counts or min(parts.counts) < 1:
+    if not parts.dispatcher_counts or min(parts.dispatcher_counts) < 1:
         raise ValueError("place.dispatchers: parts dealt out over nobody")
     works: list[Workload] = list(site.trade.workloads.values())
     top = max((work.priority_weight for work in works), default=1.0)
     tight = min((work.latency_objective_ms for work in works), default=1000.0)
     trade = replace(site.trade, volumes=volumes)
-    return Terms(trade, site.bearings, parts.counts, fewest, parts.has, float(top), float(tight))
+    return Terms(
+        trade, site.bearings, parts.dispatcher_counts, fewest, parts.has_parts, float(top), float(tight)
+    )
 
 
 def put(module: Scheduler, company: FleetPeerDirectory, into: Terms, now: float) -> None:
--- a/cherrygrade/gateway/overlay.py
+++ b/cherrygrade/gateway/overlay.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from cherrygrade.fleet.config.live_changes import changes, divisors
+from cherrygrade.fleet.config.live_changes import quota_divisors, setting_changes
 from cherrygrade.fleet.config.versions import QuotaDivisors
 from cherrygrade.records.load import RecordError, laid, names, site_of
 from cherrygrade.settings import SiteSettings
@@ -65,7 +65,7 @@
             old = self.site(before)
         except RecordError:  # it was refused here too
             old, before = self.own, ""
-        restart = changes(old, new).restart
+        restart = setting_changes(old, new).restart
         if restart:
             return needs(restart), None, None
         lost = {key for key in names(before) - names(text) if _deals(key)} - _gone(old, new)
@@ -76,7 +76,7 @@
                 None,
                 None,
             )
-        return "", divisors(new), divisors(old)
+        return "", quota_divisors(new), quota_divisors(old)
 
 
 def _deals(key: str) -> bool:
--- a/cherrygrade/gateway/process.py
+++ b/cherrygrade/gateway/process.py
@@ -415,7 +415,7 @@
     async def in_force(self, version: ConfigVersion, stage: int) -> str:
         """The version at this stage: all that hangs on it goes over between two rounds, at once. Gives why it
         is refused, and then all is as it was. Its text is read in a thread of its own."""
-        from cherrygrade.fleet.config.live_changes import changes
+        from cherrygrade.fleet.config.live_changes import setting_changes
         from cherrygrade.gateway.overlay import needs, told
         from cherrygrade.records.load import RecordError
 
@@ -425,7 +425,7 @@
             site = await loop.run_in_executor(None, self.overlay.site, version.text)
         except RecordError as wrong:
             return told(wrong)
-        restart = changes(self._in_force[0], site).restart
+        restart = setting_changes(self._in_force[0], site).restart
         if restart:
             return needs(restart)
         if self.done.done():
@@ -445,14 +445,14 @@
 
     def _go_over(self, site: SiteSettings, version: ConfigVersion | None, stage: int) -> None:
         """Between two rounds. All is built first; behind that nothing fails."""
-        from cherrygrade.fleet.config.joint_phase import parts
-        from cherrygrade.fleet.config.live_changes import divisors
+        from cherrygrade.fleet.config.joint_phase import quota_parts
+        from cherrygrade.fleet.config.live_changes import quota_divisors
         from cherrygrade.gateway.inforce import put, terms
 
         assert self.agent is not None and self.company is not None
         sure = self._sure()
         old = version.old_divisors if version is not None and stage % 2 == 0 else None
-        into = terms(site, parts(self.place.number, divisors(site), old, sure), old)
+        into = terms(site, quota_parts(self.place.number, quota_divisors(site), old, sure), old)
         pressed = partial(presses, top=into.top, tight=into.tight)
         held = self._held()
         self.rooms.put(
--- a/cherrygrade/lab/exploration/config.py
+++ b/cherrygrade/lab/exploration/config.py
@@ -15,7 +15,8 @@
 from functools import cache
 from typing import NamedTuple
 
-from cherrygrade.fleet.config.joint_phase import JointPhase, SeatedMember, parts
+from cherrygrade.fleet.config.joint_phase import JointPhase, SeatedMember, quota_parts
+from cherrygrade.fleet.config.joint_phase import PendingQuestion as SeatQuestion
 from cherrygrade.fleet.config.replica import ConfigReplica
 from cherrygrade.fleet.config.replica_messages import FetchResponse, ReplicaEffects, StageDigest, StoredConfig
 from cherrygrade.fleet.config.version_content import VersionContent
@@ -221,15 +222,17 @@
 
     def _settling(self, asking: Asking) -> JointPhase:
         one = JointPhase(self.log.entries[1][1], 3, 1, 0.0)
-        one.rounds = asking.rounds
-        one.said = {(name, life): stage for name, life, stage in asking.said}
-        one.asked = {name: (nonce, 0.0) for name, nonce in asking.asked}
+        one.completed_rounds = asking.rounds
+        one.stages = {(name, life): stage for name, life, stage in asking.said}
+        one.pending = {name: SeatQuestion(nonce, 0.0) for name, nonce in asking.asked}
         return one
 
     def _asking(self, one: JointPhase) -> Asking:
-        said = tuple(sorted((name, life, stage) for (name, life), stage in one.said.items()))
+        said = tuple(sorted((name, life, stage) for (name, life), stage in one.stages.items()))
         return Asking(
-            one.rounds, said, tuple(sorted((name, nonce) for name, (nonce, _) in one.asked.items()))
+            one.completed_rounds,
+            said,
+            tuple(sorted((name, nonce) for name, (nonce, _) in one.pending.items())),
         )
 
     # Steps.
@@ -379,14 +382,14 @@
         if now.proofs < self.bounds.proofs:
             for name in self.bounds.order:
                 at = NAMES.index(name)
-                if settling._proven(claims[at]) or (name in settling.asked and now.seen[at] == 1):
+                if settling.is_proven(claims[at]) or (name in settling.pending and now.seen[at] == 1):
                     continue
                 one, mind, nonce = self._settling(now.asking), now.minds[at], 100 + now.proofs
-                one.asked[name] = (nonce, 0.0)
+                one.pending[name] = SeatQuestion(nonce, 0.0)
                 stage, number = self._told_of(name, mind)
                 more = now._replace(proofs=now.proofs + 1)
                 if name == "a":
-                    one.answered("a", now.seen[0], stage, nonce)
+                    one.receive_answer("a", now.seen[0], stage, nonce)
                 else:
                     word = Word(name, mind.life, "a", now.minds[0].life, nonce, stage, number, True)
                     more = more._replace(told=now.told | self._told.mask([word]))
@@ -397,9 +400,9 @@
             if not word.proof or word.life != now.seen[at]:
                 continue
             one, nonce = self._settling(now.asking), word.nonce
-            if self._counts_late(word) and word.by in one.asked:
-                nonce = one.asked[word.by][0]
-            one.answered(word.by, word.life, word.stage, nonce)
+            if self._counts_late(word) and word.by in one.pending:
+                nonce = one.pending[word.by][0]
+            one.receive_answer(word.by, word.life, word.stage, nonce)
             yield from self._proved(now, one, claims, f"a hears that {word.by} is on {word.stage}")
 
     def _counts_late(self, word: Word) -> bool:
@@ -408,7 +411,7 @@
     def _proved(
         self, now: Now, one: JointPhase, claims: list[SeatedMember], what: str
     ) -> Iterator[tuple[str, Now]]:
-        whole = one.whole(claims) or (self.planted.one_round and one.rounds > 0)
+        whole = one.is_complete(claims) or (self.planted.one_round and one.completed_rounds > 0)
         if whole:
             minds = self._with(now, 0, now.minds[0]._replace(known=2))
             yield f"{what}: settled", now._replace(agreed=2, asking=None, minds=minds)
@@ -432,8 +435,8 @@
             if mind.number:
                 version = self.versions[mind.number]
                 old = version.old_divisors if not mind.stage & 1 and not self.planted.grows_early else None
-                own = parts(at, self.log.parts[mind.number], old, mind.sure)
-                through += 1.0 / max(own.counts) if own.has else 0.0
+                own = quota_parts(at, self.log.parts[mind.number], old, mind.sure)
+                through += 1.0 / max(own.dispatcher_counts) if own.has_parts else 0.0
             elif mind.sure:  # on its own file, which says what version 1 says
                 through += 1.0 / self.bounds.before if at < self.bounds.before else 0.0
         if through > 1.0 + 1e-9:
--- a/tests/fleet/config/test_joint_phase.py
+++ b/tests/fleet/config/test_joint_phase.py
@@ -7,13 +7,13 @@
 from hypothesis import strategies as st
 
 from cherrygrade.fleet.config.joint_phase import (
-    AGAIN_MS,
-    ASKS_A_S,
+    MAX_QUESTIONS_PER_S,
+    REPEAT_MS,
     JointPhase,
     QuotaParts,
     SeatedMember,
-    parts,
-    seats,
+    quota_parts,
+    seat_count,
 )
 from cherrygrade.fleet.config.versions import QuotaDivisors, moves
 
@@ -22,7 +22,7 @@
 
 def limit(own: QuotaParts, rate: float) -> float:
     """What one dispatcher lets through of a volume's limit (rule 4)."""
-    return rate / own.hosts["v"] if own.has else 0.0
+    return rate / own.hosts["v"] if own.has_parts else 0.0
 
 
 def cold(own: QuotaParts, seat: int, mark: int, borne: float, least: float) -> float:
@@ -33,14 +33,14 @@
         place = (seat + mark) % count
         return part if (place + 1) * part < borne + 1e-6 else 0.0
 
-    return min(room(count) for count in own.counts) if own.has else 0.0
+    return min(room(count) for count in own.dispatcher_counts) if own.has_parts else 0.0
 
 
 def use(seat: int, on: str, old: QuotaDivisors, now: QuotaDivisors) -> QuotaParts:
     away = moves(old, now)
     if on == OLD:
-        return parts(seat, old)
-    return parts(seat, now, away if on == JOINT else None)
+        return quota_parts(seat, old)
+    return quota_parts(seat, now, away if on == JOINT else None)
 
 
 move = st.sampled_from([(9, 12), (12, 9), (1, 2), (3, 2), (2, 3), (5, 5), (9, 10), (7, 3)])
@@ -99,14 +99,14 @@
 def test_joint_parts_are_the_smaller_and_new_seats_have_none() -> None:
     old, now = QuotaDivisors(9, (("v", 9), ("w", 2))), QuotaDivisors(12, (("v", 12), ("w", 2), ("x", 4)))
     away = moves(old, now)
-    assert parts(8, now, away) == QuotaParts((9, 12), {"v": 12, "w": 2, "x": 4}, True)
-    assert not parts(9, now, away).has and parts(9, now).has
-    assert not parts(12, now).has and not parts(-1, now).has
+    assert quota_parts(8, now, away) == QuotaParts((9, 12), {"v": 12, "w": 2, "x": 4}, True)
+    assert not quota_parts(9, now, away).has_parts and quota_parts(9, now).has_parts
+    assert not quota_parts(12, now).has_parts and not quota_parts(-1, now).has_parts
     back = moves(now, old)
-    assert parts(8, old, back) == QuotaParts((9, 12), {"v": 12, "w": 2}, True)
-    assert not parts(9, old, back).has
-    assert not parts(3, now, sure=False).has
-    assert seats(old, now) == seats(now, old) == 12
+    assert quota_parts(8, old, back) == QuotaParts((9, 12), {"v": 12, "w": 2}, True)
+    assert not quota_parts(9, old, back).has_parts
+    assert not quota_parts(3, now, is_certain=False).has_parts
+    assert seat_count(old, now) == seat_count(now, old) == 12
 
 
 class Asked:
@@ -119,16 +119,16 @@
 
     def run(self, on: dict[str, int], ms: float, claims: Iterable[SeatedMember] | None = None) -> bool:
         claims = self.claims if claims is None else [*claims]
-        births = {one.name: one.birth for one in claims if one.living}
+        births = {one.name: one.birth for one in claims if one.is_living}
         ends = self.now + ms
         while self.now < ends:
-            for name, nonce in self.settling.beat(claims, self.now):
+            for name, nonce in self.settling.tick(claims, self.now):
                 self.times.append(self.now)
                 if name in on:
-                    self.settling.answered(name, births[name], on[name], nonce)
-            if self.settling.whole(claims):
+                    self.settling.receive_answer(name, births[name], on[name], nonce)
+            if self.settling.is_complete(claims):
                 return True
-            self.now = max(self.now + 1.0, self.settling.due())
+            self.now = max(self.now + 1.0, self.settling.next_deadline())
         return False
 
 
@@ -151,7 +151,7 @@
     assert not asked.run({"d2": 6}, 3000.0)
     gone = [*fleet(2), SeatedMember(2, "d2", 1, False)]
     assert not asked.run({"d0": 6, "d1": 6}, 20_000.0, gone)
-    assert asked.settling.rounds == 1
+    assert asked.settling.completed_rounds == 1
     assert asked.settling.missing(gone) == {2: "d2 failed, and has not left"}
 
 
@@ -191,17 +191,17 @@
 def test_only_the_nonce_that_is_out_counts_and_once() -> None:
     settling = JointPhase(6, 1, 7, 0.0)
     claims = fleet(1)
-    ((name, nonce),) = settling.beat(claims, 0.0)
-    settling.answered(name, 1, 6, nonce + 1)
-    settling.answered(name, 1, 6, 0)
-    assert not settling.said
-    ((_, later),) = settling.beat(claims, AGAIN_MS)
-    settling.answered(name, 1, 6, nonce)  # to the ask before
-    assert not settling.said
-    settling.answered(name, 1, 6, later)
-    assert settling.said == {("d0", 1): 6}
-    settling.answered(name, 2, 6, later)
-    assert settling.said == {("d0", 1): 6}
+    ((name, nonce),) = settling.tick(claims, 0.0)
+    settling.receive_answer(name, 1, 6, nonce + 1)
+    settling.receive_answer(name, 1, 6, 0)
+    assert not settling.stages
+    ((_, later),) = settling.tick(claims, REPEAT_MS)
+    settling.receive_answer(name, 1, 6, nonce)  # to the ask before
+    assert not settling.stages
+    settling.receive_answer(name, 1, 6, later)
+    assert settling.stages == {("d0", 1): 6}
+    settling.receive_answer(name, 2, 6, later)
+    assert settling.stages == {("d0", 1): 6}
 
 
 def test_580_are_asked_at_a_bounded_pace() -> None:
@@ -210,6 +210,6 @@
     assert not asked.run(on, 40_000.0)
     assert asked.settling.missing(asked.claims) == {77: "d77 has not answered"}
     for at in range(0, 40_000, 1000):
-        assert sum(at <= time < at + 1000.0 for time in asked.times) <= ASKS_A_S
+        assert sum(at <= time < at + 1000.0 for time in asked.times) <= MAX_QUESTIONS_PER_S
     on["d77"] = 6
     assert asked.run(on, 15_000.0)
--- a/tests/fleet/config/test_live_changes.py
+++ b/tests/fleet/config/test_live_changes.py
@@ -5,7 +5,13 @@
 
 import pytest
 
-from cherrygrade.fleet.config.live_changes import LIVE, LiveChanges, _keys, changes, divisors
+from cherrygrade.fleet.config.live_changes import (
+    LIVE_SETTINGS,
+    LiveChanges,
+    quota_divisors,
+    setting_changes,
+    setting_values,
+)
 from cherrygrade.fleet.config.versions import QuotaDivisors
 from cherrygrade.records.frozen_names import record_keys
 from cherrygrade.records.load import read_site
@@ -31,7 +37,7 @@
 
 
 def differ(file: Path, extra: str) -> LiveChanges:
-    return changes(read_site(file), read_site(file, extra))
+    return setting_changes(read_site(file), read_site(file, extra))
 
 
 @pytest.mark.parametrize(
@@ -81,12 +87,12 @@
 def test_budget_that_comes_is_live(file: Path, tmp_path: Path) -> None:
     other = tmp_path / "b.rec"
     other.write_text(TEXT.replace("budget: {spare: 4, share: 0.1, span_ms: 1000}", ""))
-    found = changes(read_site(other), read_site(file))
+    found = setting_changes(read_site(other), read_site(file))
     assert found.live == ["budget.share", "budget.span_ms", "budget.spare"] and not found.restart
 
 
 def test_divisors_move(file: Path) -> None:
-    assert divisors(read_site(file)) == QuotaDivisors(9, (("v", 9), ("w", 3)))
+    assert quota_divisors(read_site(file)) == QuotaDivisors(9, (("v", 9), ("w", 3)))
     more = differ(file, "place: dispatchers: 12")
     assert more.live == ["place.dispatchers", "volumes.v.hosts"] and not more.restart
     assert more.divisors == QuotaDivisors(9, (("v", 9),))
@@ -96,7 +102,7 @@
 
 def test_every_setting_is_looked_at(file: Path) -> None:
     """A field that is added to a site's parts is a key here, or one of those known to hang on others."""
-    keys = {key.rpartition(".")[2] for key in _keys(read_site(file))}
+    keys = {key.rpartition(".")[2] for key in setting_values(read_site(file))}
 
     def all_of(made: type) -> set[str]:
         found: set[str] = set()
@@ -118,7 +124,7 @@
 
 
 def test_the_table_names_settings_that_there_are(file: Path) -> None:
-    keys = _keys(read_site(file))
-    for part, names in LIVE.items():
+    keys = setting_values(read_site(file))
+    for part, names in LIVE_SETTINGS.items():
         for name in names:
             assert any(key.startswith(f"{part}.") and key.endswith(f".{name}") for key in keys), (part, name)
--- a/tests/gateway/test_quota_parts_in_force.py
+++ b/tests/gateway/test_quota_parts_in_force.py
@@ -13,7 +13,7 @@
 from scheduling.test_compiled import rough_day
 
 from cherrygrade import compiled
-from cherrygrade.fleet.config.joint_phase import parts
+from cherrygrade.fleet.config.joint_phase import quota_parts
 from cherrygrade.fleet.config.versions import QuotaDivisors
 from cherrygrade.fleet.runtime.peer_directory import FleetPeerDirectory
 from cherrygrade.gateway.inforce import put, terms
@@ -101,7 +101,7 @@
 
     def into(self, new: SiteSettings, old: QuotaDivisors | None, now: float, sure: bool = True) -> None:
         """In force; `old` while parts move."""
-        dealt = parts(self.number, divisors(new), old, sure)
+        dealt = quota_parts(self.number, divisors(new), old, sure)
         made = terms(new, dealt, old)
         self.trade, self.fewest = made.trade, made.fewest
         put(self.module, self.company, made, now)
