--- a/cherrygrade/fleet/runtime/admin_server.py
+++ b/cherrygrade/fleet/runtime/admin_server.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from cherrygrade.errors import OperatorError
-from cherrygrade.fleet.consensus.voter import ConfigPut, ConfigStatus, PutConfig, ShowConfig
+from cherrygrade.fleet.consensus.council_messages import ConfigPut, ConfigStatus, PutConfig, ShowConfig
 from cherrygrade.fleet.errors import (
     ConfigNotFoundError,
     ConfigRefusedError,
@@ -97,7 +97,7 @@
         based_on = request.based_on
         if based_on < 0:
             status = await self._config_status(f"{request.id}/newest")
-            based_on = status.lines[-1].number if status.lines else 0
+            based_on = status.versions[-1].number if status.versions else 0
         put = PutConfig(request.id, request.text, based_on, request.by)
         put_task = asyncio.get_running_loop().create_task(self.council_server.request(put, JUDGE_TIMEOUT_S))
         try:
@@ -115,10 +115,10 @@
         finally:
             put_task.cancel()
         assert isinstance(reply, ConfigPut)
-        outcome = reply.told
-        if outcome.waits:
-            raise ConfigRefusedError(outcome.waits)
-        return {"number": outcome.number, "stage": outcome.stage, "mark": f"{outcome.mark:016x}"}
+        outcome = reply.outcome
+        if outcome.refusal:
+            raise ConfigRefusedError(outcome.refusal)
+        return {"number": outcome.number, "stage": outcome.stage, "mark": f"{outcome.digest_prefix:016x}"}
 
     async def _show(self, number: int) -> dict[str, Any]:
         here = self.config.status()
@@ -131,7 +131,7 @@
             # Without a council, what is in force here can still be shown.
             return {"here": here, "council": error.what, "lines": []}
         if number and status.text is None:
-            kept = [line.number for line in status.lines]
+            kept = [line.number for line in status.versions]
             kept_text = f"{kept[0]} to {kept[-1]}" if kept else "none yet"
             raise ConfigNotFoundError(f"version {number} is not kept: {kept_text}")
         return {
@@ -140,7 +140,7 @@
             "text": status.text,
             "settled": status.settled,
             "moving": status.moving,
-            "lines": [msgspec.structs.asdict(line) for line in status.lines],
+            "lines": [msgspec.structs.asdict(line) for line in status.versions],
         }
 
     async def _missing(self, number: int) -> dict[str, Any]:
--- a/cherrygrade/fleet/runtime/config_connections.py
+++ b/cherrygrade/fleet/runtime/config_connections.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from cherrygrade.fleet.config.replica import FetchRequest, FetchResponse
+from cherrygrade.fleet.config.replica_messages import FetchRequest, FetchResponse
 from cherrygrade.fleet.runtime import stream_roles
 from cherrygrade.fleet.runtime.framed_connection import FramedConnection
 from cherrygrade.transport.connection import Connection
@@ -103,7 +103,7 @@
         if replica is None or self._serving:
             self.conn.close("nothing to fetch")
             return
-        response = replica.wanted(request)
+        response = replica.respond_to_fetch(request)
         self._serving = response.content is not None
         encoded = msgspec.msgpack.encode(response)
         self.config.sent_bytes += len(encoded)
@@ -115,4 +115,4 @@
         self.config.server_connections.pop(self, None)
         if self._serving and self.config.replica is not None:
             self._serving = False
-            self.config.replica.served()
+            self.config.replica.response_ended()
--- a/cherrygrade/fleet/runtime/config_coverage.py
+++ b/cherrygrade/fleet/runtime/config_coverage.py
@@ -7,7 +7,8 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-from cherrygrade.fleet.config.replica import ConfigReplica, OwnAdvert
+from cherrygrade.fleet.config.replica import ConfigReplica
+from cherrygrade.fleet.config.replica_messages import OwnAdvert
 from cherrygrade.fleet.membership.membership import Effects, MemberConfigReport, Membership
 from cherrygrade.fleet.membership.table import Member, MemberState
 
@@ -74,7 +75,7 @@
 
         Those that live are asked now, and have REPLY_TIMEOUT_S to answer.
         """
-        own = replica.here()
+        own = replica.own_advert()
         lacking = self._lacking_members(number, own)
         asked = lacking[:MAX_QUERIES]
         for member in asked:
--- a/cherrygrade/fleet/runtime/config_exchange.py
+++ b/cherrygrade/fleet/runtime/config_exchange.py
@@ -12,9 +12,10 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from cherrygrade.fleet.config.joint_phase import JointPhase, seats
-from cherrygrade.fleet.config.replica import (
-    ConfigReplica,
+from cherrygrade.fleet.config.joint_phase import JointPhase, seat_count
+from cherrygrade.fleet.config.replica import ConfigReplica
+from cherrygrade.fleet.config.replica_messages import (
+    ApplyVersion,
     FetchRequest,
     FetchResponse,
     ReplicaEffects,
@@ -139,15 +140,15 @@
         )
         effects = ReplicaEffects()
         if stored is not None:
-            effects = ReplicaEffects(force=(stored.version, stored.stage))
+            effects = ReplicaEffects(apply=ApplyVersion(stored.version, stored.stage))
         if has_left and stored is not None:
             # The quotas may have been divided anew without a dispatcher that left on purpose: it uses what it
             # kept, and is sure of it only once others confirmed it.
-            effects = replica.learned(stored.version, stored.stage, self.clock())
-        while effects.force is not None:  # where it is refused, the version before it is next
-            version, stage = effects.force
+            effects = replica.learn_committed(stored.version, stored.stage, self.clock())
+        while effects.apply is not None:  # where it is refused, the version before it is next
+            version, stage = effects.apply
             why = await self._put_in_force(version, stage)
-            effects = replica.forced(stage, why, self.clock())
+            effects = replica.apply_finished(stage, why, self.clock())
         self._apply_effects(effects)
         self._advertise()
 
@@ -184,16 +185,16 @@
             advert, own = report.config, self.membership.config
             if report.first:
                 self.coverage.report_received(report, now)
-                effects = replica.answered(
+                effects = replica.receive_statement(
                     report.name, advert.stage, advert.mark, now, report.nonce, advert.bits
                 )
                 if report.nonce and self.joint_phase is not None:
-                    self.joint_phase.answered(report.name, report.birth, advert.stage, report.nonce)
+                    self.joint_phase.receive_answer(report.name, report.birth, advert.stage, report.nonce)
                     self._settle_if_complete()
             elif own is not None and (own.stage, own.mark) == (advert.stage, advert.mark) and not advert.bits:
                 continue  # it has what this dispatcher has: nothing to learn
             else:
-                effects = replica.hint(report.name, advert.stage, advert.mark, now, advert.bits)
+                effects = replica.receive_advert(report.name, advert.stage, advert.mark, now, advert.bits)
             self._apply_effects(effects)
         self._set_timer()
 
@@ -203,28 +204,39 @@
         replica = self.replica
         if voter is None or replica is None:
             return
-        log = voter.books.versions
+        log = voter.state_machine.versions
         newest = log.newest
-        learned = (log.stage, voter.leads)
+        learned = (log.stage, voter.is_ready_leader)
         if learned != self._learned:
             if newest is not None and log.stage > self._learned[0]:
-                self.log("configuration agreed", number=newest.number, stage=log.stage, by=newest.by)
+                self.log("configuration agreed", number=newest.number, stage=log.stage, by=newest.author)
             self._learned = learned
-            self._apply_effects(replica.learned(newest, log.stage, self.clock(), proven=voter.leads))
+            self._apply_effects(
+                replica.learn_committed(
+                    newest, log.stage, self.clock(), leader_confirmed=voter.is_ready_leader
+                )
+            )
             self._set_timer()
         self._update_joint_phase(voter)
 
     def _update_joint_phase(self, voter: Voter) -> None:
         """Begin to settle a move as this dispatcher's voter leads, or drop it as it leads no more."""
-        log = voter.books.versions
-        phase_of = (voter.raft.term, log.moving) if voter.raft.leads and log.moving else (0, 0)
+        log = voter.state_machine.versions
+        phase_of = (
+            (voter.raft.term, log.moving_number) if voter.raft.is_leader and log.moving_number else (0, 0)
+        )
         if phase_of == self._joint_phase_of:
             return
         self._joint_phase_of = phase_of
         self.joint_phase = None
         newest = log.newest
-        if phase_of[1] and log.parts is not None and newest is not None and newest.old is not None:
-            count = seats(log.parts, newest.old)
+        if (
+            phase_of[1]
+            and log.divisors is not None
+            and newest is not None
+            and newest.old_divisors is not None
+        ):
+            count = seat_count(log.divisors, newest.old_divisors)
             self.joint_phase = JointPhase(2 * phase_of[1], count, self._seed, self.clock())
         self._set_timer()
 
@@ -240,13 +252,13 @@
         """Take what a member served, `length` bytes on the wire."""
         self.fetched_bytes += length
         if self.replica is not None:
-            self._apply_effects(self.replica.fetched(member, response, self.clock()))
+            self._apply_effects(self.replica.fetch_finished(member, response, self.clock()))
             self._set_timer()
 
     def fetch_failed(self, member: str, why: str) -> None:
         """Learn that a fetch ended without content."""
         if self.replica is not None:
-            self._apply_effects(self.replica.unfetched(member, why, self.clock()))
+            self._apply_effects(self.replica.fetch_failed(member, why, self.clock()))
             self._set_timer()
 
     def _timer_due(self) -> None:
@@ -255,12 +267,12 @@
         replica, now = self.replica, self.clock()
         if replica is None or self.membership.silent:
             return
-        if now >= replica.due() or not replica.sure:
-            self._apply_effects(replica.beat(reachable_members(self.membership.roll), now))
-        if self.joint_phase is not None and now >= self.joint_phase.due():
-            for name, nonce in self.joint_phase.beat(seated_members(self.membership.roll), now):
+        if now >= replica.next_deadline() or not replica.is_certain:
+            self._apply_effects(replica.tick(reachable_members(self.membership.roll), now))
+        if self.joint_phase is not None and now >= self.joint_phase.next_deadline():
+            for name, nonce in self.joint_phase.tick(seated_members(self.membership.roll), now):
                 if name == self.membership.name:  # no message is needed to ask this dispatcher itself
-                    self.joint_phase.answered(name, self.membership.birth, replica.stage, nonce)
+                    self.joint_phase.receive_answer(name, self.membership.birth, replica.stage, nonce)
                 else:
                     self._post(self.membership.which(name, nonce))
             self._settle_if_complete()
@@ -270,7 +282,7 @@
         phase = self.joint_phase
         if phase is None or self.council_server is None:
             return
-        if not phase.whole(seated_members(self.membership.roll)):
+        if not phase.is_complete(seated_members(self.membership.roll)):
             return
         self.joint_phase = None
         number = self._joint_phase_of[1]
@@ -280,12 +292,12 @@
     def _set_timer(self) -> None:
         if self.replica is None or self.council_server is None:
             return
-        due = self.replica.due()
-        if not self.replica.sure:
+        due = self.replica.next_deadline()
+        if not self.replica.is_certain:
             # At the start no member is known yet, and those that join may have nothing to tell.
             due = min(due, self.clock() + UNSURE_INTERVAL_MS)
         if self.joint_phase is not None:
-            due = min(due, self.joint_phase.due())
+            due = min(due, self.joint_phase.next_deadline())
         if due < self._timer_at_ms - MIN_TIMER_CHANGE_MS and due < NEVER_MS / 2.0:
             if self._timer is not None:
                 self._timer.cancel()
@@ -297,7 +309,7 @@
 
     def _apply_effects(self, effects: ReplicaEffects) -> None:
         """Carry out effects: those that wait for disk or force one after the other, others at once."""
-        if self._unapplied or effects.keep is not None or effects.force is not None:
+        if self._unapplied or effects.store is not None or effects.apply is not None:
             self._unapplied.append(effects)
             if self._applying is None:
                 self._applying = asyncio.get_running_loop().create_task(self._apply_in_turn())
@@ -310,12 +322,12 @@
         try:
             while self._unapplied:
                 effects = self._unapplied[0]
-                why = await self.storage.save(effects.keep) if effects.keep is not None else ""
+                why = await self.storage.save(effects.store) if effects.store is not None else ""
                 following = None
-                if effects.force is not None and self.replica is not None:
-                    version, stage = effects.force
+                if effects.apply is not None and self.replica is not None:
+                    version, stage = effects.apply
                     why = why or await self._put_in_force(version, stage)
-                    following = self.replica.forced(stage, why, self.clock())
+                    following = self.replica.apply_finished(stage, why, self.clock())
                 self._unapplied.popleft()
                 self._advertise()
                 self._send_effects(effects)
@@ -335,20 +347,20 @@
         if not why:
             self.since = self.clock()
         if self.replica is not None:  # the version may have changed the fleet of record
-            self.replica.seats = max(self.membership.record, self.membership.roll.own.seat + 1)
+            self.replica.seats.count = max(self.membership.record, self.membership.roll.own.seat + 1)
         facts = {"number": version.number, "stage": stage, "digest": version.digest.hex()[:16]}
         if why:
             means = "This dispatcher stays on what it has."
-            self.log("configuration refused", what=why, means=means, by=version.by, **facts)
+            self.log("configuration refused", what=why, means=means, by=version.author, **facts)
         else:
-            self.log("configuration in force", by=version.by, since=self.since, **facts)
+            self.log("configuration in force", by=version.author, since=self.since, **facts)
         return why
 
     def _send_effects(self, effects: ReplicaEffects) -> None:
-        for name, nonce in effects.which:
+        for name, nonce in effects.questions:
             self._post(self.membership.which(name, nonce))
-        if effects.push:
-            self._post(self.membership.hint(effects.push))
+        if effects.push_to:
+            self._post(self.membership.hint(effects.push_to))
         if effects.fetch is not None:
             self._fetch(*effects.fetch)
 
@@ -364,10 +376,10 @@
         replica = self.replica
         if replica is None:
             return
-        own = replica.here()
-        self.membership.config = ConfigAdvert(own.stage, own.mark, own.bits)
+        own = replica.own_advert()
+        self.membership.config = ConfigAdvert(own.stage, own.digest_prefix, own.bits)
         self.membership.config_why = replica.status()[:MAX_STATUS_CHARACTERS]
-        if self._has_left and replica.sure and self.storage.file is not None:
+        if self._has_left and replica.is_certain and self.storage.file is not None:
             self._has_left = False
             self.storage.forget_leaving()
 
--- a/cherrygrade/fleet/runtime/config_judge.py
+++ b/cherrygrade/fleet/runtime/config_judge.py
@@ -4,8 +4,9 @@
 
 from collections.abc import Callable
 
-from cherrygrade.fleet.config.versions import QuotaDivisors, difference
-from cherrygrade.fleet.consensus.voter import ConfigVerdict
+from cherrygrade.fleet.config.text_diff import difference
+from cherrygrade.fleet.config.versions import QuotaDivisors
+from cherrygrade.fleet.consensus.voter_effects import ConfigVerdict
 
 MAX_REASON_CHARACTERS = 500
 
--- a/cherrygrade/fleet/runtime/config_members.py
+++ b/cherrygrade/fleet/runtime/config_members.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from cherrygrade.fleet.config.joint_phase import SeatedMember
-from cherrygrade.fleet.config.replica import ReachableMember
+from cherrygrade.fleet.config.replica_messages import ReachableMember
 from cherrygrade.fleet.membership.table import MembershipTable, MemberState
 
 
--- a/cherrygrade/fleet/runtime/config_storage.py
+++ b/cherrygrade/fleet/runtime/config_storage.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from cherrygrade.fleet.config.replica import StoredConfig
+from cherrygrade.fleet.config.replica_messages import StoredConfig
 from cherrygrade.fleet.runtime.sealed_file import SealedFile, SealedFileError
 
 LEAVE_TIMEOUT_S = 0.5  # for the disk, as this dispatcher leaves
--- a/cherrygrade/fleet/runtime/council_client.py
+++ b/cherrygrade/fleet/runtime/council_client.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from cherrygrade.fleet.consensus.voter import AnyReply, AnyRequest, NotLeader
+from cherrygrade.fleet.consensus.council_messages import AnyReply, AnyRequest, NotLeader
 from cherrygrade.fleet.errors import CouncilUnreachableError
 
 REPLY_TIMEOUT_S = 1.0  # for the reply of one voter, before another is asked
@@ -48,7 +48,7 @@
                 self.leader = ""
                 continue
             # It does not lead: whom it names is asked next; itself again would be no news.
-            why = reply.why
+            why = reply.reason
             self.leader = reply.leader if reply.leader != name else ""
             if not self.leader:
                 await asyncio.sleep(NO_LEADER_DELAY_S)
--- a/cherrygrade/fleet/runtime/council_server.py
+++ b/cherrygrade/fleet/runtime/council_server.py
@@ -17,17 +17,11 @@
 import lmdb
 import msgspec
 
-from cherrygrade.fleet.consensus import raft
-from cherrygrade.fleet.consensus.raft import PersistentState
-from cherrygrade.fleet.consensus.voter import (
-    AnyReply,
-    AnyRequest,
-    ConfigVerdict,
-    NotLeader,
-    PutConfig,
-    Voter,
-    VoterEffects,
-)
+from cherrygrade.fleet.consensus import raft_messages
+from cherrygrade.fleet.consensus.council_messages import AnyReply, AnyRequest, NotLeader, PutConfig
+from cherrygrade.fleet.consensus.raft_messages import PersistentState
+from cherrygrade.fleet.consensus.voter import Voter
+from cherrygrade.fleet.consensus.voter_effects import ConfigVerdict, VoterEffects
 from cherrygrade.fleet.errors import VoterStoppedError
 from cherrygrade.fleet.runtime.addresses import parse_address
 from cherrygrade.fleet.runtime.config_judge import Judge, judge_text
@@ -49,7 +43,7 @@
 MAX_JUDGING = 16  # changes of the configuration at once
 JOIN_INTERVAL_MS = 1000.0  # between two requests to be admitted as a voter
 
-_raft_decoder = msgspec.msgpack.Decoder(raft.AnyRaftMessage)
+_raft_decoder = msgspec.msgpack.Decoder(raft_messages.AnyRaftMessage)
 _request_decoder = msgspec.msgpack.Decoder(AnyRequest)
 _reply_decoder = msgspec.msgpack.Decoder(AnyReply)
 
@@ -154,7 +148,11 @@
         )
         votes = store.voter_id in self.voter.raft.voters
         self._log(
-            "voter started", me=store.voter_id, term=stored.term, last=self.voter.raft.last, votes=votes
+            "voter started",
+            me=store.voter_id,
+            term=stored.term,
+            last=self.voter.raft.log.last_index,
+            votes=votes,
         )
         self._set_timer()
 
@@ -251,24 +249,24 @@
                 request_id = _request_decoder.decode(body).id
                 connection.send(REPLY, NotLeader(request_id, "", "this one does not vote"))
         elif kind == RAFT_MESSAGE:
-            self._apply_effects(voter.hear(_raft_decoder.decode(body), now))
+            self._apply_effects(voter.receive(_raft_decoder.decode(body), now))
         elif kind == REQUEST:
             self._request_received(voter, _request_decoder.decode(body), connection)
         else:
-            self._apply_effects(voter.let_in(msgspec.msgpack.decode(body, type=str), now))
+            self._apply_effects(voter.admit(msgspec.msgpack.decode(body, type=str), now))
 
     def _request_received(
         self, voter: Voter, request: AnyRequest, connection: CouncilConnection | None
     ) -> None:
         """Hand a request to the voter; `connection` is None where this dispatcher itself asks."""
-        if not (isinstance(request, PutConfig) and voter.raft.leads):
-            self._apply_effects(voter.ask(request, connection, self.clock()))
+        if not (isinstance(request, PutConfig) and voter.raft.is_leader):
+            self._apply_effects(voter.request(request, connection, self.clock()))
             return
         if request.id in self.judging:
             return  # a retry: the reply to the first attempt is on its way
         if len(self.judging) >= MAX_JUDGING:
             refusal = NotLeader(request.id, "", "too many changes at once")
-            self._apply_effects(VoterEffects(answers=[(connection, refusal)]))
+            self._apply_effects(VoterEffects(replies=[OutgoingReply(connection, refusal)]))
             return
         put = self._judge_and_put(request, connection)
         self.judging[request.id] = asyncio.get_running_loop().create_task(put)
@@ -277,7 +275,7 @@
         voter = self.voter
         try:
             assert voter is not None
-            newest = voter.books.versions.newest
+            newest = voter.state_machine.versions.newest
             before = newest.text if newest is not None else ""
             loop = asyncio.get_running_loop()
             verdict = await loop.run_in_executor(
@@ -285,16 +283,16 @@
             )
             if newest is not None and newest.number != request.based_on:
                 # The difference is against another text than the change's; the log refuses the change.
-                verdict = ConfigVerdict(verdict.why, verdict.parts, verdict.old)
+                verdict = ConfigVerdict(verdict.refusal, verdict.divisors, verdict.old_divisors)
             if self.voter is voter:
-                self._apply_effects(voter.put(request, verdict, connection, self.clock()))
+                self._apply_effects(voter.put_config(request, verdict, connection, self.clock()))
         finally:
             self.judging.pop(request.id, None)
 
     def settle(self, number: int) -> None:
         """Tell the council that all dispatchers use the joint quotas of this version's move."""
         if self.voter is not None:
-            self._apply_effects(self.voter.settle(number, self.clock()))
+            self._apply_effects(self.voter.settle_config(number, self.clock()))
 
     def _timer_due(self) -> None:
         self._timer = None
@@ -305,20 +303,24 @@
             self._next_join_ms = now + JOIN_INTERVAL_MS
             for name in self.council.voters:
                 if name != self.name:
-                    self._connection_to(name).send(JOIN_REQUEST, self.voter.raft.me)
+                    self._connection_to(name).send(JOIN_REQUEST, self.voter.raft.name)
         self._apply_effects(self.voter.tick(now))
 
     @property
     def _must_join(self) -> bool:
         """Whether the settings name this dispatcher as a voter and the council does not count its store."""
-        return self.voter is not None and self.voter.raft.me not in self.voter.raft.voters
+        return self.voter is not None and self.voter.raft.name not in self.voter.raft.voters
 
     def _set_timer(self) -> None:
         if self.voter is None:
             return
         if self._timer is not None:
             self._timer.cancel()
-        due = min(self.voter.due(), self._next_join_ms) if self._must_join else self.voter.due()
+        due = (
+            min(self.voter.next_deadline(), self._next_join_ms)
+            if self._must_join
+            else self.voter.next_deadline()
+        )
         at_s = max(due, self.clock()) / 1000.0
         self._timer = asyncio.get_running_loop().call_at(at_s, self._timer_due)
 
@@ -328,9 +330,9 @@
         """Carry out one step's effects, after those of all steps before it."""
         voter = self.voter
         assert voter is not None
-        self._unwritten.append((effects, voter.raft.last))
+        self._unwritten.append((effects, voter.raft.log.last_index))
         if self._writing is None:
-            if any(step.writes for step in effects.steps):
+            if any(step.has_writes for step in effects.raft_effects):
                 self._writing = asyncio.get_running_loop().create_task(self._write_and_send())
             else:
                 self._unwritten.clear()
@@ -343,7 +345,7 @@
         try:
             while self._unwritten and self.store is not None:
                 effects, last_index = self._unwritten[0]
-                if any(step.writes for step in effects.steps):
+                if any(step.has_writes for step in effects.raft_effects):
                     await loop.run_in_executor(
                         self._disk_thread, self._write, self.store, effects, last_index
                     )
@@ -355,18 +357,18 @@
             self._writing = None
 
     def _write(self, store: VoterStore, effects: VoterEffects, last_index: int) -> None:
-        for step in effects.steps:
+        for step in effects.raft_effects:
             store.write(step, last_index)
-            self.store_writes += step.writes
+            self.store_writes += step.has_writes
 
     def _send_effects(self, effects: VoterEffects) -> None:
         """Send the messages and replies of a step whose writes are on disk."""
         voter = self.voter
         if voter is None:
             return
-        for voter_id, message in effects.mail:
+        for voter_id, message in effects.messages:
             self._connection_to(voter_id.partition("/")[0]).send(RAFT_MESSAGE, message)
-        for connection, reply in effects.answers:
+        for connection, reply in effects.replies:
             if isinstance(connection, CouncilConnection):
                 connection.send(REPLY, reply)
             else:
--- a/cherrygrade/fleet/runtime/lease_tasks.py
+++ b/cherrygrade/fleet/runtime/lease_tasks.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from cherrygrade.fleet.consensus.voter import (
+from cherrygrade.fleet.consensus.council_messages import (
     AcquireLease,
     FreeTasks,
     LeaseAcquired,
@@ -160,7 +160,7 @@
             return  # leases end by their time unless a later renewal is answered
         if not isinstance(reply, LeasesRenewed):
             return
-        for task in self.holder.renewed(asked, reply.numbers, self.clock(), reply.same):
+        for task in self.holder.renewed(asked, reply.numbers, self.clock(), reply.unchanged):
             self._log("lease lost", task=task)
         strays, self.holder.strays = self.holder.strays, {}
         for task, number in strays.items():
@@ -182,6 +182,6 @@
         request = AcquireLease(asked, task, self.holder.name, self.holder.birth, self.council.lease_ms)
         reply = await self.council_server.request(request, REQUEST_TIMEOUT_S)
         if isinstance(reply, LeaseAcquired) and self.holder.granted(
-            asked, task, reply.told.number, self.clock()
+            asked, task, reply.outcome.number, self.clock()
         ):
-            self._log("lease held", task=task, number=reply.told.number)
+            self._log("lease held", task=task, number=reply.outcome.number)
--- a/cherrygrade/fleet/runtime/operator_commands.py
+++ b/cherrygrade/fleet/runtime/operator_commands.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any, Final
 
-from cherrygrade.fleet.config.versions import MOST_TEXT
+from cherrygrade.fleet.config.versions import MAX_TEXT_BYTES
 from cherrygrade.fleet.errors import ConfigNotFoundError, ConfigRefusedError, ConfigUnreachableError
 from cherrygrade.fleet.runtime.admin_client import send_admin_request
 from cherrygrade.fleet.runtime.admin_messages import MissingRequest, PutRequest, ShowRequest
@@ -81,8 +81,8 @@
         raise ConfigNotFoundError(f"{file}: {error}") from error
     except (UnicodeDecodeError, RecordSyntaxError) as error:
         raise ConfigNotFoundError(str(error)) from error
-    if len(text.encode()) > MOST_TEXT:
-        raise ConfigNotFoundError(f"{file} has more than {MOST_TEXT} bytes")
+    if len(text.encode()) > MAX_TEXT_BYTES:
+        raise ConfigNotFoundError(f"{file} has more than {MAX_TEXT_BYTES} bytes")
     return text
 
 
--- a/cherrygrade/fleet/runtime/voter_status.py
+++ b/cherrygrade/fleet/runtime/voter_status.py
@@ -22,15 +22,15 @@
         "votes": voter_id in known.voters,
         "voters": [*known.voters],
         "term": known.term,
-        "agreed": known.agreed,
+        "agreed": known.commit_index,
         "leases": [
             {
                 "task": lease.task,
                 "holder": lease.holder,
                 "number": lease.number,
-                "left_ms": round(voter.count.ends(lease) - now) if known.leads else None,
+                "left_ms": round(voter.renewals.ends(lease) - now) if known.is_leader else None,
             }
-            for lease in voter.books.leases.leases.values()
+            for lease in voter.state_machine.leases.leases.values()
         ],
-        "failed": {task: [one.times, one.why] for task, one in voter.books.leases.failed.items()},
+        "failed": {task: [one.times, one.why] for task, one in voter.state_machine.leases.failed.items()},
     }
--- a/cherrygrade/fleet/runtime/voter_store.py
+++ b/cherrygrade/fleet/runtime/voter_store.py
@@ -25,8 +25,8 @@
 import msgspec
 import xxhash
 
-from cherrygrade.fleet.consensus.raft import LogEntry, PersistentState, RaftEffects, Snapshot
-from cherrygrade.fleet.consensus.voter import founded
+from cherrygrade.fleet.consensus.raft_messages import LogEntry, PersistentState, RaftEffects, Snapshot
+from cherrygrade.fleet.consensus.voter import founding_snapshot
 from cherrygrade.fleet.errors import AlreadyFoundedError, NotAVoterError
 
 STORE_FILE = "council.mdb"
@@ -206,19 +206,19 @@
             effects: What the step changed; nothing is written where it changed nothing.
             last_index: The index of the log's last entry after the step.
         """
-        if not effects.writes:
+        if not effects.has_writes:
             return
         with self._env.begin(write=True) as txn:
-            if effects.hard is not None:
-                body = msgspec.msgpack.encode(HardState(*effects.hard))
+            if effects.term_and_vote is not None:
+                body = msgspec.msgpack.encode(HardState(*effects.term_and_vote))
                 txn.put(HARD_STATE_KEY, add_checksum(HARD_STATE_KEY, body))
-            if effects.base is not None:
-                body = msgspec.msgpack.encode(effects.base)
+            if effects.snapshot is not None:
+                body = msgspec.msgpack.encode(effects.snapshot)
                 txn.put(SNAPSHOT_KEY, add_checksum(SNAPSHOT_KEY, body))
-                self._delete_entries(txn, 0, effects.base.index)
-            if effects.since:
+                self._delete_entries(txn, 0, effects.snapshot.index)
+            if effects.first_index:
                 for offset, entry in enumerate(effects.entries):
-                    key = entry_key(effects.since + offset)
+                    key = entry_key(effects.first_index + offset)
                     txn.put(key, add_checksum(key, msgspec.msgpack.encode(entry)))
                 self._delete_entries(txn, last_index + 1, MAX_LOG_INDEX)
 
@@ -292,7 +292,7 @@
     if (folder / STORE_FILE).exists():
         raise AlreadyFoundedError(f"{folder} holds a voter's store")
     store = VoterStore(folder, fleet, name, FOUNDING_STORE_ID)
-    store.write(RaftEffects(base=founded(voters)), 0)
+    store.write(RaftEffects(snapshot=founding_snapshot(voters)), 0)
     store.close()
 
 
--- a/cherrygrade/lab/exploration/config.py
+++ b/cherrygrade/lab/exploration/config.py
@@ -15,18 +15,22 @@
 from functools import cache
 from typing import NamedTuple
 
-from cherrygrade.fleet.config.joint_phase import JointPhase, SeatedMember, parts
-from cherrygrade.fleet.config.replica import ConfigReplica, FetchResponse, ReplicaEffects, StoredConfig
+from cherrygrade.fleet.config.joint_phase import JointPhase, SeatedMember, quota_parts
+from cherrygrade.fleet.config.joint_phase import PendingQuestion as SeatQuestion
+from cherrygrade.fleet.config.replica import ConfigReplica
+from cherrygrade.fleet.config.replica_messages import FetchResponse, ReplicaEffects, StageDigest, StoredConfig
+from cherrygrade.fleet.config.version_content import VersionContent
+from cherrygrade.fleet.config.version_fetch import CurrentFetch
+from cherrygrade.fleet.config.version_log import VersionLog
 from cherrygrade.fleet.config.versions import (
     ConfigVersion,
     PutVersion,
     QuotaDivisors,
     SettleVersion,
-    VersionContent,
-    VersionLog,
     encode,
     text_digest,
 )
+from cherrygrade.fleet.config.witness_questions import PendingQuestion
 from cherrygrade.lab.exploration.explore import Breach, Told
 
 NAMES, VOTERS = ("a", "b", "c"), ("a", "b")
@@ -55,7 +59,9 @@
     assert log.newest is not None
     found.append((log.newest, log.stage))
     newest = log.newest
-    forged = ConfigVersion(2, newest.before, "forged\n", "", 0.0, newest.old, newest.moved)
+    forged = ConfigVersion(
+        2, newest.previous_digest, "forged\n", "", 0.0, newest.old_divisors, newest.move_started
+    )
     return Log(tuple(found), counts, forged)
 
 
@@ -162,7 +168,7 @@
         self.bounds, self.planted = bounds, planted
         self.log = log_of(bounds.before, bounds.after)
         self.versions = {version.number: version for version, _ in self.log.entries}
-        self.marks = {version.number: version.mark for version in self.versions.values()}
+        self.marks = {version.number: version.digest_prefix for version in self.versions.values()}
         self.numbers = {mark: number for number, mark in self.marks.items()}
         self._told: Told[Word] = Told()
 
@@ -182,11 +188,13 @@
         one.stage = mind.stage
         if mind.number:
             one.version = self.log.forged if mind.forged else self.versions[mind.number]
-            one._hold(one.version)
-        one._sure, one._heard = mind.sure, mind.heard
-        one._believed = (mind.believed[0], self._mark(mind.believed[1]))
-        one.said = {by: [(s, self._mark(m)) for s, m in words] for by, words in mind.said}
-        one._asks = {nonce: (by, 0.0) for nonce, by in mind.asks}
+            one.store.add(one.version)
+        one._is_certain, one.witnesses.heard = mind.sure, mind.heard
+        one.witnesses.believed = StageDigest(mind.believed[0], self._mark(mind.believed[1]))
+        one.witnesses.statements = {
+            by: [StageDigest(s, self._mark(m)) for s, m in words] for by, words in mind.said
+        }
+        one.questions.pending = {nonce: PendingQuestion(by, 0.0) for nonce, by in mind.asks}
         return one
 
     def _mark(self, number: int) -> int:
@@ -195,31 +203,36 @@
     def _mind(self, one: ConfigReplica, mind: Mind) -> Mind:
         words = tuple(
             (by, tuple((s, self.numbers.get(m, m)) for s, m in words))
-            for by, words in sorted(one.said.items())
+            for by, words in sorted(one.witnesses.statements.items())
+        )
+        believed = (
+            one.believed.stage,
+            self.numbers.get(one.believed.digest_prefix, one.believed.digest_prefix),
         )
-        believed = (one._believed[0], self.numbers.get(one._believed[1], one._believed[1]))
         return mind._replace(
             stage=one.stage,
             number=one.version.number if one.version is not None else 0,
             forged=one.version is not None and one.version.text == self.log.forged.text,
-            sure=one._sure,
-            heard=one._heard,
+            sure=one._is_certain,
+            heard=one.witnesses.heard,
             believed=believed,
             said=words,
-            asks=frozenset((nonce, by) for nonce, (by, _) in one._asks.items()),
+            asks=frozenset((nonce, by) for nonce, (by, _) in one.questions.pending.items()),
         )
 
     def _settling(self, asking: Asking) -> JointPhase:
         one = JointPhase(self.log.entries[1][1], 3, 1, 0.0)
-        one.rounds = asking.rounds
-        one.said = {(name, life): stage for name, life, stage in asking.said}
-        one.asked = {name: (nonce, 0.0) for name, nonce in asking.asked}
+        one.completed_rounds = asking.rounds
+        one.stages = {(name, life): stage for name, life, stage in asking.said}
+        one.pending = {name: SeatQuestion(nonce, 0.0) for name, nonce in asking.asked}
         return one
 
     def _asking(self, one: JointPhase) -> Asking:
-        said = tuple(sorted((name, life, stage) for (name, life), stage in one.said.items()))
+        said = tuple(sorted((name, life, stage) for (name, life), stage in one.stages.items()))
         return Asking(
-            one.rounds, said, tuple(sorted((name, nonce) for name, (nonce, _) in one.asked.items()))
+            one.completed_rounds,
+            said,
+            tuple(sorted((name, nonce) for name, (nonce, _) in one.pending.items())),
         )
 
     # Steps.
@@ -239,7 +252,7 @@
             for known in range(mind.known, (now.agreed if name != "a" else mind.known) + 1):
                 one = self._replica(name, mind)
                 version, stage = self.log.entries[known]
-                does = one.learned(version, stage, 0.0, proven=name == "a")
+                does = one.learn_committed(version, stage, 0.0, leader_confirmed=name == "a")
                 known_ = now._replace(minds=self._with(now, at, mind._replace(known=known)))
                 yield from self._after(known_, at, one, does, f"{name} has {stage} of its log", now)
         wants = not lies and (not mind.sure or mind.stage < 5)
@@ -287,34 +300,34 @@
         return [self._told_of(name, mind)]
 
     def _told_of(self, name: str, mind: Mind) -> tuple[int, int]:
-        here = self._replica(name, mind).here()
-        return here.stage, self.numbers.get(here.mark, here.mark)
+        here = self._replica(name, mind).own_advert()
+        return here.stage, self.numbers.get(here.digest_prefix, here.digest_prefix)
 
     def _hears(self, now: Now, at: int, word: Word) -> Iterator[tuple[str, Now]]:
         name, mind = NAMES[at], now.minds[at]
         one = self._replica(name, mind)
         mark = self._mark(word.mark)
         if self.planted.goes_back and word.by in VOTERS and word.stage:
-            one.stage, one._believed = 0, (0, 0)
+            one.stage, one.witnesses.believed = 0, StageDigest(0, 0)
         if self.planted.trusts_one:
-            one.voters = [*NAMES]
-        does = one.answered(word.by, word.stage, mark, 0.0, word.nonce)
+            one.witnesses.voters = [*NAMES]
+        does = one.receive_statement(word.by, word.stage, mark, 0.0, word.nonce)
         yield from self._after(now, at, one, does, f"{name} hears {word.by}'s {word.stage}")
 
     def _content(self, now: Now, at: int, name: str) -> Iterator[tuple[str, Now]]:
         mind = now.minds[at]
         one = self._replica(name, mind)
-        stage, mark = one._believed
-        if not one._wants or stage // 2 in one.held:
+        stage, mark = one.believed
+        if not one.wants_version or stage // 2 in one.store.versions:
             return
         for version in (*self.versions.values(), self.log.forged):
             one = self._replica(name, mind)
-            one._out = ("x", 0.0, stage, mark)
+            one.fetch.current = CurrentFetch("x", 0.0, StageDigest(stage, mark))
             if self.planted.undigested:
-                one._hold(version)
-                does = one._into(version, stage)
+                one.store.add(version)
+                does = one.apply(version, stage)
             else:
-                does = one.fetched("x", FetchResponse(VersionContent(version)), 0.0)
+                does = one.fetch_finished("x", FetchResponse(VersionContent(version)), 0.0)
             yield from self._after(now, at, one, does, f"{name} is given {version.text.strip()}")
 
     def _after(
@@ -328,10 +341,10 @@
     ) -> Iterator[tuple[str, Now]]:
         """On disk and in force with what a call came to, until it comes to nothing more."""
         disk, high = now.minds[at].disk, [*now.high]
-        while does.force is not None:
-            assert does.keep is not None
-            disk = (does.keep.stage, does.keep.version.number)
-            does = one.forced(does.force[1], "", 0.0)
+        while does.apply is not None:
+            assert does.store is not None
+            disk = (does.store.stage, does.store.version.number)
+            does = one.apply_finished(does.apply[1], "", 0.0)
             if one.stage < high[at]:
                 raise Breach(f"{NAMES[at]} goes back from stage {high[at]} to {one.stage}")
             high[at] = one.stage
@@ -347,9 +360,9 @@
         kept = StoredConfig(stage, version) if version is not None else None
         one = ConfigReplica(name, ZONE, at, 3, [*VOTERS], 1, float(mind.life + 1), kept)
         if kept is not None:
-            one.forced(stage, "", 0.0)
+            one.apply_finished(stage, "", 0.0)
         elif self.planted.sure_at_once:
-            one._sure = True
+            one._is_certain = True
         anew = self._mind(one, Mind(mind.life + 1, disk, known=mind.known))
         high = [*now.high]
         high[at] = max(high[at], stage) if stage else 0
@@ -369,14 +382,14 @@
         if now.proofs < self.bounds.proofs:
             for name in self.bounds.order:
                 at = NAMES.index(name)
-                if settling._proven(claims[at]) or (name in settling.asked and now.seen[at] == 1):
+                if settling.is_proven(claims[at]) or (name in settling.pending and now.seen[at] == 1):
                     continue
                 one, mind, nonce = self._settling(now.asking), now.minds[at], 100 + now.proofs
-                one.asked[name] = (nonce, 0.0)
+                one.pending[name] = SeatQuestion(nonce, 0.0)
                 stage, number = self._told_of(name, mind)
                 more = now._replace(proofs=now.proofs + 1)
                 if name == "a":
-                    one.answered("a", now.seen[0], stage, nonce)
+                    one.receive_answer("a", now.seen[0], stage, nonce)
                 else:
                     word = Word(name, mind.life, "a", now.minds[0].life, nonce, stage, number, True)
                     more = more._replace(told=now.told | self._told.mask([word]))
@@ -387,9 +400,9 @@
             if not word.proof or word.life != now.seen[at]:
                 continue
             one, nonce = self._settling(now.asking), word.nonce
-            if self._counts_late(word) and word.by in one.asked:
-                nonce = one.asked[word.by][0]
-            one.answered(word.by, word.life, word.stage, nonce)
+            if self._counts_late(word) and word.by in one.pending:
+                nonce = one.pending[word.by][0]
+            one.receive_answer(word.by, word.life, word.stage, nonce)
             yield from self._proved(now, one, claims, f"a hears that {word.by} is on {word.stage}")
 
     def _counts_late(self, word: Word) -> bool:
@@ -398,7 +411,7 @@
     def _proved(
         self, now: Now, one: JointPhase, claims: list[SeatedMember], what: str
     ) -> Iterator[tuple[str, Now]]:
-        whole = one.whole(claims) or (self.planted.one_round and one.rounds > 0)
+        whole = one.is_complete(claims) or (self.planted.one_round and one.completed_rounds > 0)
         if whole:
             minds = self._with(now, 0, now.minds[0]._replace(known=2))
             yield f"{what}: settled", now._replace(agreed=2, asking=None, minds=minds)
@@ -421,9 +434,9 @@
                 return f"{NAMES[at]} is on stage {mind.stage}, which is not agreed on"
             if mind.number:
                 version = self.versions[mind.number]
-                old = version.old if not mind.stage & 1 and not self.planted.grows_early else None
-                own = parts(at, self.log.parts[mind.number], old, mind.sure)
-                through += 1.0 / max(own.counts) if own.has else 0.0
+                old = version.old_divisors if not mind.stage & 1 and not self.planted.grows_early else None
+                own = quota_parts(at, self.log.parts[mind.number], old, mind.sure)
+                through += 1.0 / max(own.dispatcher_counts) if own.has_parts else 0.0
             elif mind.sure:  # on its own file, which says what version 1 says
                 through += 1.0 / self.bounds.before if at < self.bounds.before else 0.0
         if through > 1.0 + 1e-9:
