--- a/benchmarks/fleet_config.py
+++ b/benchmarks/fleet_config.py
@@ -32,7 +32,7 @@
 
 from cherrygrade.client import Client, Ok
 from cherrygrade.fleet.errors import ConfigRefusedError, ConfigUnreachableError
-from cherrygrade.fleet.membership.messages import letter
+from cherrygrade.fleet.membership.messages import message_tag
 from cherrygrade.fleet.runtime.operator_commands import PutRequest, fresh_id, visit
 from cherrygrade.fleet.runtime.status_query import ask
 from cherrygrade.fleet.runtime.voter_store import found
@@ -147,7 +147,7 @@
         while at < len(data):
             when, _, _, _, length = ENTRY.unpack_from(data, at)
             at += ENTRY.size + length
-            kind = letter(data[at - length : at])
+            kind = message_tag(data[at - length : at])
             if begun <= when < ended and kind in lengths:
                 lengths[kind].append(length)
         return sum(mean(some) for some in lengths.values())
--- a/benchmarks/fleet_members.py
+++ b/benchmarks/fleet_members.py
@@ -95,7 +95,7 @@
             for process in still:
                 process.go_on()
             await asyncio.sleep(2.0)
-        probings = [core.probing for core in virtual_fleet.cores().values()]
+        probings = [core.failure_detector for core in virtual_fleet.cores().values()]
         hours = count * (virtual_fleet.now() - begun) / 3_600_000.0
         return hours, sum(one.accusations for one in probings), sum(one.deaths for one in probings)
 
--- a/cherrygrade/fleet/membership/__init__.py
+++ b/cherrygrade/fleet/membership/__init__.py
@@ -1,1 +1,1 @@
-"""What a member of the fleet decides: who lives, who is told what, how much is taken up. Free of I/O."""
+"""Membership of the fleet: who is alive, who holds which seat, and what gossip says of nodes."""
--- a/cherrygrade/fleet/membership/gossip.py
+++ b/cherrygrade/fleet/membership/gossip.py
@@ -1,10 +1,9 @@
-"""How news of members travels, and when whole rolls are compared.
+"""How records of members spread.
 
-News is told a bounded number of times by each who hears it: on every probe and answer, and in a few
-datagrams of its own while it is fresh, so that a word is all over the fleet in a few hops and not in a few
-rounds of probes (rumour mongering: Demers and others 1987). What got lost is mended by digests of the
-whole roll, which ride along too: where they differ for a while, two members exchange their rolls over a
-stream.
+A record is passed on a bounded number of times by each member that receives it: on every probe and ack, and
+in a few datagrams of its own while it is fresh, so that it is all over the fleet in a few hops rather than a
+few rounds of probes (rumour mongering: Demers and others 1987). What was lost is made good by the exchange
+of whole tables (`table_exchange.py`).
 
 Free of I/O, clock and chance.
 """
@@ -18,107 +17,140 @@
 
 from cherrygrade.fleet.membership.table import MemberRecord, MembershipTable, MemberState
 
-TELL_FACTOR = 1.0  # an item is told so many times the logarithm of the fleet's size, then no more
-LEAST_TOLD = 2
-FAN = 3  # who gets a datagram of fresh news
-PUSH_MS = 50.0  # fresh news waits so long for more of it
-AGAIN_MS = 400.0  # between two pushes of one member: guards against a storm when much is news at once
-BRIEF_MS = 100.0  # while it is little: who is wrongly suspected has no time to lose
-NEVER = 1e15
-MOST_ITEMS = 16  # of news on one datagram that tell all of a member
-MOST_SHORT = 40  # on one of fresh news, as far as they are words of suspicion and death, which tell less
-FULL, SHORT = 2.5, 1.0  # what the two take of a datagram's MOST_SHORT
-DIFFER_MS = 1000.0  # digests have to differ for so long: news under way explains less than that
-EXCHANGE_MS = 1000.0  # between two exchanges that this member begins
+RETRANSMIT_FACTOR = 1.0
+"""A record is passed on this many times the logarithm (base 2) of the fleet's size."""
 
+MIN_TRANSMISSIONS = 2
+"""Of a record, however many there are."""
 
-def _tells_all(roll: MembershipTable, name: str) -> bool:
-    member = roll.members.get(name)
-    return member is not None and member.standing is MemberState.ALIVE
+FANOUT = 3
+"""Members that get a push of fresh records."""
+
+PUSH_DELAY_MS = 50.0
+"""How long a fresh record waits for others to go along."""
+
+PUSH_INTERVAL_MS = 400.0
+"""Between two pushes of one member; guards against a storm when many records change at once."""
+
+SHORT_PUSH_INTERVAL_MS = 100.0
+"""The same while few records change: one that is wrongly suspected has no time to lose."""
+
+NEVER_MS = 1e15
+
+MAX_RECORDS = 16
+"""On one probe or ack."""
+
+MAX_PUSHED_RECORDS = 40
+"""On one push, counted in records without info."""
+
+RECORD_COST = 1.0
+"""Of a record without info, in the unit of `MAX_PUSHED_RECORDS`."""
+
+RECORD_WITH_INFO_COST = 2.5
+"""Of a record with info, in the same unit."""
 
 
 class GossipQueue:
-    """`items`: names of whom there is news, and how many times it was told. Emptied by telling, and by new
-    news."""
+    """Records to be passed on, by member.
+
+    Attributes:
+        seed: Of this member's own order of records.
+        transmissions: How often each member's record was passed on. An entry goes once that is often
+            enough, or with `drop`; a change of the record sets it to 0.
+        fresh: Members whose record was not pushed yet.
+        push_at: When the next push is due, ms; `NEVER_MS` where nothing is fresh.
+    """
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
-        self.items: dict[str, int] = {}
-        self._places: dict[str, int] = {}  # each name's place in this member's order; goes with its item
-        self.fresh: set[str] = set()  # not pushed yet; emptied by pushes
-        self.push_at = NEVER
-        self._pushed_at = -NEVER
+        self.transmissions: dict[str, int] = {}
+        self.fresh: set[str] = set()
+        self.push_at = NEVER_MS
+        self._ranks: dict[str, int] = {}  # same keys as `transmissions`
+        self._pushed_at = -NEVER_MS
 
     def add(self, name: str, now: float) -> None:
-        self.items[name] = 0
-        if name not in self._places:
-            self._places[name] = crc32(f"{self.seed}:{name}".encode())
+        """The member's record changed."""
+        self.transmissions[name] = 0
+        if name not in self._ranks:
+            self._ranks[name] = crc32(f"{self.seed}:{name}".encode())
         self.fresh.add(name)
-        pause = AGAIN_MS if len(self.items) > MOST_ITEMS else BRIEF_MS
-        self.push_at = min(self.push_at, max(now + PUSH_MS, self._pushed_at + pause))
+        many = len(self.transmissions) > MAX_RECORDS
+        interval_ms = PUSH_INTERVAL_MS if many else SHORT_PUSH_INTERVAL_MS
+        self.push_at = min(self.push_at, max(now + PUSH_DELAY_MS, self._pushed_at + interval_ms))
 
     def drop(self, name: str) -> None:
-        """Others know it."""
-        if self.items.pop(name, None) is not None:
-            del self._places[name]
+        """The member's record need not be passed on: others know it."""
+        if self.transmissions.pop(name, None) is not None:
+            del self._ranks[name]
         self.fresh.discard(name)
 
-    def _order(self, name: str) -> tuple[int, int]:
-        """What was told least goes first; else each member has an order of its own, so that not all tell the
-        same few of many."""
-        return self.items.get(name, 0), self._places.get(name, 0)
-
     def pick(
-        self, roll: MembershipTable, most: int = MOST_ITEMS, first: Iterable[str] = ()
+        self, table: MembershipTable, max_count: int = MAX_RECORDS, first: Iterable[str] = ()
     ) -> list[MemberRecord]:
-        """What goes along with a datagram: `first` before all, then what was told least."""
-        limit = ceil(TELL_FACTOR * log2(len(roll.members) + 1))
-        # Of much news at once each is told less often: whole rolls tell it cheaper.
-        limit = max(LEAST_TOLD, limit * MOST_ITEMS // max(MOST_ITEMS, len(self.items)))
-        names = [name for name in dict.fromkeys(first) if name in roll.members][:most]
-        rest = [name for name in self.items if name not in names] if names else self.items
-        names += nsmallest(most - len(names), rest, key=self._order)
-        claims = []
+        """Records to go along with a datagram; counts them as passed on.
+
+        Args:
+            table: Where the records are.
+            max_count: How many at most.
+            first: Members whose record goes before all, whether it is queued or not.
+
+        Returns:
+            Those of `first`, then those passed on least often.
+        """
+        limit = self._max_transmissions(len(table.members))
+        names = [name for name in dict.fromkeys(first) if name in table.members][:max_count]
+        rest = [name for name in self.transmissions if name not in names] if names else self.transmissions
+        names += nsmallest(max_count - len(names), rest, key=self._rank)
+        records = []
         for name in names:
-            if name in self.items:
-                self.items[name] += 1
-                if self.items[name] >= limit or name not in roll.members:
-                    del self.items[name], self._places[name]
-            if name in roll.members:
-                # Nobody needs the place of the dead, nor again that of a suspect.
-                claims.append(roll.members[name].claim(_tells_all(roll, name)))
-        return claims
-
-    def push(self, roll: MembershipTable, now: float) -> list[MemberRecord]:
-        """One datagram's load of fresh news, once it is time; what does not fit waits for the next."""
+            if name in self.transmissions:
+                self._count_transmission(name, limit, name in table.members)
+            if name in table.members:
+                # Nobody needs the address of the dead, nor again that of a suspect.
+                records.append(table.members[name].record(_carries_info(table, name)))
+        return records
+
+    def push(self, table: MembershipTable, now: float) -> list[MemberRecord]:
+        """Records of one datagram of fresh gossip; empty before `push_at`.
+
+        What does not fit waits for the next push.
+        """
         if now < self.push_at:
             return []
-        self.fresh &= self.items.keys()
-        load, room = list[str](), float(MOST_SHORT)
-        for name in nsmallest(MOST_SHORT, self.fresh, key=self._order):
-            room -= FULL if _tells_all(roll, name) else SHORT
+        self.fresh &= self.transmissions.keys()
+        names: list[str] = []
+        room = float(MAX_PUSHED_RECORDS)
+        for name in nsmallest(MAX_PUSHED_RECORDS, self.fresh, key=self._rank):
+            room -= RECORD_WITH_INFO_COST if _carries_info(table, name) else RECORD_COST
             if room < 0.0:
                 break
-            load.append(name)
-        self.fresh -= {*load}
+            names.append(name)
+        self.fresh -= {*names}
         self._pushed_at = now
-        self.push_at = now + AGAIN_MS if self.fresh else NEVER
-        return self.pick(roll, len(load), load)
-
-
-class ExchangeTrigger:
-    """Since when all digests that come differ from the own one; one that is equal ends it. Guards against
-    waiting for a second word of the same member, which in a large fleet comes late."""
-
-    def __init__(self) -> None:
-        self.since = NEVER
-        self.next_at = 0.0
-
-    def heard(self, equal: bool, now: float) -> bool:
-        """A digest came; whether to exchange rolls with its member now."""
-        self.since = NEVER if equal else min(self.since, now)
-        if now - self.since < DIFFER_MS or now < self.next_at:
-            return False
-        self.since = NEVER
-        self.next_at = now + EXCHANGE_MS
-        return True
+        self.push_at = now + PUSH_INTERVAL_MS if self.fresh else NEVER_MS
+        return self.pick(table, len(names), names)
+
+    def _max_transmissions(self, members: int) -> int:
+        """How often a record is passed on.
+
+        With many records at once each is passed on less often: the exchange of tables is cheaper then.
+        """
+        limit = ceil(RETRANSMIT_FACTOR * log2(members + 1))
+        return max(MIN_TRANSMISSIONS, limit * MAX_RECORDS // max(MAX_RECORDS, len(self.transmissions)))
+
+    def _count_transmission(self, name: str, limit: int, known: bool) -> None:
+        self.transmissions[name] += 1
+        if self.transmissions[name] >= limit or not known:
+            del self.transmissions[name]
+            del self._ranks[name]
+
+    def _rank(self, name: str) -> tuple[int, int]:
+        """What was passed on least goes first; among equals each member has an order of its own, so that
+        not all pass on the same few of many."""
+        return self.transmissions.get(name, 0), self._ranks.get(name, 0)
+
+
+def _carries_info(table: MembershipTable, name: str) -> bool:
+    member = table.members.get(name)
+    return member is not None and member.state is MemberState.ALIVE
--- a/cherrygrade/fleet/membership/inbound_budget.py
+++ b/cherrygrade/fleet/membership/inbound_budget.py
@@ -1,9 +1,10 @@
-"""How much of the fleet's talk one dispatcher takes up in a second, whatever happens to the fleet.
+"""How many of the fleet's messages one dispatcher processes in a second, whatever happens to the fleet.
 
-Pages cost by their length, since what they hold is what takes time. What comes beyond the ration waits, the
-most useful first: answers to one's own probes, then what others need to hear from this one, then news, which
-comes again anyhow. What waits for too long is of no use to anybody. Guards against a fleet whose processes
-starve being kept there by its own talk: 140 of 200 that came back at once made 60 pages a second for each.
+Messages cost by their length, since what they hold is what takes time. What comes beyond the budget waits,
+the most useful first: acks of one's own probes, then what others need an answer to, then gossip, which comes
+again anyhow. What waits for too long is of no use to anybody. Guards against a fleet whose processes starve
+being kept there by its own messages: when most of a large fleet comes back at once, each member gets many
+times the messages of a fleet at rest.
 
 Free of I/O and clock.
 """
@@ -11,87 +12,137 @@
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
 
-A_SECOND = 60.0  # units; at rest a member of two hundred takes up some 8
-BURST = 120.0
+UNITS_PER_SECOND = 60.0
+"""Of the budget; at rest a member of two hundred uses some 8."""
+
+BURST_UNITS = 120.0
+
 UNIT_BYTES = 1024.0
-LEAST = 0.5  # of any page, however short
-OF_NEED = 60.0  # beyond what there is, for answers, probes and words: who does not answer is called dead
-MOST_WAITING = 96
-STALE_MS = 1500.0  # who probed has asked others, or again, by then
-RANKS = {b"a": 0, b"c": 0, b"h": 0, b"p": 1, b"w": 1, b"q": 2, b"v": 2, b"n": 3}
-"""By the letter that a page begins with: answers, probes and words, asks for others and of the configuration,
-news."""
+"""Length of a message that costs one unit beyond `MIN_COST_UNITS`."""
 
+MIN_COST_UNITS = 0.5
+"""Of any message, however short."""
 
-def cost(kind: bytes, length: int) -> float:
-    """Words between modules are not the fleet's talk, and short work."""
-    return length / UNIT_BYTES if kind == b"w" else LEAST + length / UNIT_BYTES
+URGENT_OVERDRAFT_UNITS = 60.0
+"""Beyond the budget, for acks, probes and scheduler messages: who does not answer is declared failed."""
 
+OVER_BUDGET_SHARE = 0.25
+"""With less of the burst left, the dispatcher counts as over budget."""
 
-class InboundBudget(Generic[T]):
-    """`waiting` is emptied by `next`; at most MOST_WAITING pages of all ranks stand there."""
+MAX_WAITING = 96
+"""Messages that wait, of all priorities."""
+
+STALE_MS = 1500.0
+"""A prober has asked helpers, or probed again, by then."""
+
+PRIORITIES = {b"a": 0, b"c": 0, b"h": 0, b"p": 1, b"w": 1, b"q": 2, b"v": 2, b"n": 3}
+"""By the tag of a message, 0 the highest: acks, results and replies; probes and scheduler messages; requests
+and queries; gossip."""
+
+MAX_URGENT_PRIORITY = 1
+"""Up to this priority the overdraft may be used."""
+
+SCHEDULER_TAG = b"w"
+
+UNCHARGED_TAGS = frozenset((b"a", b"c", b"h", b"w"))
+"""Messages whose sending costs nothing: answers are paid for by what they answer, and scheduler messages by
+the scheduler. Else an aggregator that sends to all would not answer probes for seconds."""
+
+
+def cost(tag: bytes, length: int) -> float:
+    """Units that a message of the tag and length in bytes costs; scheduler messages are short work."""
+    return length / UNIT_BYTES if tag == SCHEDULER_TAG else MIN_COST_UNITS + length / UNIT_BYTES
 
-    def __init__(self, now: float, a_second: float = A_SECOND, burst: float = BURST) -> None:
-        self.a_second, self.burst = a_second, burst
+
+@dataclass(slots=True)
+class _Waiting(Generic[T]):
+    """A message that waits: when it came, ms; what it costs, units; the message."""
+
+    arrived_at: float
+    units: float
+    message: T
+
+
+class InboundBudget(Generic[T]):
+    """A token bucket over messages that wait by priority.
+
+    Attributes:
+        units_per_second: Rate at which the bucket fills.
+        burst_units: Its size.
+        dropped: Messages that found no room or waited for too long.
+    """
+
+    def __init__(
+        self, now: float, units_per_second: float = UNITS_PER_SECOND, burst_units: float = BURST_UNITS
+    ) -> None:
+        self.units_per_second = units_per_second
+        self.burst_units = burst_units
         self.dropped = 0
-        self.waiting: list[deque[tuple[float, float, T]]] = [deque() for _ in range(1 + max(RANKS.values()))]
-        self._store, self._at = burst, now
+        self._queues: list[deque[_Waiting[T]]] = [deque() for _ in range(1 + max(PRIORITIES.values()))]
+        self._units = burst_units  # down to -URGENT_OVERDRAFT_UNITS and one message more
+        self._filled_at = now
 
     @property
-    def short(self) -> bool:
-        """More came than can be taken up: this one says the least that keeps it known."""
-        return self._store < 0.25 * self.burst
-
-    def came(self, kind: bytes, length: int, page: T, now: float) -> None:
-        """A page came; one that nothing is known of has the last rank."""
-        rank = RANKS.get(kind, len(self.waiting) - 1)
-        self.waiting[rank].append((now, cost(kind, length), page))
-        if sum(map(len, self.waiting)) > MOST_WAITING:
-            for least in reversed(self.waiting):
-                if least:
-                    least.popleft()
-                    self.dropped += 1
-                    break
+    def over_budget(self) -> bool:
+        """More came than can be processed: the dispatcher sends the least that keeps it known."""
+        return self._units < OVER_BUDGET_SHARE * self.burst_units
 
-    def spent(self, kind: bytes, length: int, now: float) -> None:
-        """A page of one's own was sent: that is work too. An answer is paid for by what it answers, and a
-        word to all by its module: else a keeper that told two hundred would not answer for two seconds."""
-        if kind not in (b"a", b"c", b"h", b"w"):
+    @property
+    def waiting(self) -> int:
+        """Messages that wait, at most `MAX_WAITING`."""
+        return sum(map(len, self._queues))
+
+    def arrived(self, tag: bytes, length: int, message: T, now: float) -> None:
+        """A message came; an unknown tag has the lowest priority."""
+        priority = PRIORITIES.get(tag, len(self._queues) - 1)
+        self._queues[priority].append(_Waiting(now, cost(tag, length), message))
+        if self.waiting > MAX_WAITING:
+            lowest = next(queue for queue in reversed(self._queues) if queue)
+            lowest.popleft()
+            self.dropped += 1
+
+    def sent(self, tag: bytes, length: int, now: float) -> None:
+        """A message of this dispatcher was sent, which is work too."""
+        if tag not in UNCHARGED_TAGS:
             self._fill(now)
-            self._store = max(self._store - cost(kind, length), -OF_NEED)
+            self._units = max(self._units - cost(tag, length), -URGENT_OVERDRAFT_UNITS)
 
     def next(self, now: float) -> T | None:
-        """The page to take up now; None where none waits or the ration is used up."""
+        """The message to process now; None where none waits or the budget is used up."""
         self._fill(now)
-        for rank, held in enumerate(self.waiting):
-            while held:
-                came, units, page = held[0]
-                if now - came > STALE_MS:
-                    held.popleft()
+        for priority, queue in enumerate(self._queues):
+            while queue:
+                first = queue[0]
+                if now - first.arrived_at > STALE_MS:
+                    queue.popleft()
                     self.dropped += 1
                     continue
-                if self._store < self._least(rank):
+                if self._units < _min_units(priority):
                     return None
-                held.popleft()
-                self._store -= units
-                return page
+                queue.popleft()
+                self._units -= first.units
+                return first.message
         return None
 
     def due(self, now: float) -> float | None:
-        """When the next page may be taken up; None where none waits."""
-        rank = next((rank for rank, held in enumerate(self.waiting) if held), None)
-        if rank is None:
+        """When the next message may be processed, ms; None where none waits."""
+        priority = next((priority for priority, queue in enumerate(self._queues) if queue), None)
+        if priority is None:
             return None
         self._fill(now)
-        return now + max(0.0, self._least(rank) - self._store) / self.a_second * 1000.0
-
-    def _least(self, rank: int) -> float:
-        return -OF_NEED if rank <= 1 else 0.0
+        lacking = max(0.0, _min_units(priority) - self._units)
+        return now + lacking / self.units_per_second * 1000.0
 
     def _fill(self, now: float) -> None:
-        self._store = min(self.burst, self._store + max(0.0, now - self._at) / 1000.0 * self.a_second)
-        self._at = now
+        elapsed_s = max(0.0, now - self._filled_at) / 1000.0
+        self._units = min(self.burst_units, self._units + elapsed_s * self.units_per_second)
+        self._filled_at = now
+
+
+def _min_units(priority: int) -> float:
+    return -URGENT_OVERDRAFT_UNITS if priority <= MAX_URGENT_PRIORITY else 0.0
--- a/cherrygrade/fleet/membership/load_aggregators.py
+++ b/cherrygrade/fleet/membership/load_aggregators.py
@@ -1,7 +1,8 @@
-"""Who keeps which node: the living with a seat, by rendezvous hashing (Thaler, Ravishankar 1998).
+"""Which dispatcher aggregates the load reports of which node: rendezvous hashing over the seats of the
+living (Thaler, Ravishankar 1998).
 
-Each node's keeper is who ranks first for it; when one dies only its own nodes change hands, and each of
-them to whoever ranked second. Free of I/O, clock and chance.
+The aggregator of a node is the seat that ranks first for it. When one dies only its own nodes move, each to
+the seat that ranked second. Free of I/O, clock and chance.
 """
 
 from __future__ import annotations
@@ -9,43 +10,57 @@
 from collections.abc import Iterable
 from zlib import crc32
 
-SETTLE_MS = 1000.0  # a new keeper listens for so long before it tells: what it has not heard of is out there
+SETTLE_MS = 1000.0
+"""How long a new aggregator only receives, before it sends: it does not know yet what is in flight."""
+
+LONG_AGO_MS = -1e15
+"""The time since which a node has its aggregator where that never changed."""
 
 
 class LoadAggregators:
-    """Both tables hold a node each, by the mark of 16 bits that words name it by, and no more than there
-    are such marks; they are made anew when the living change, with what did not move carried over."""
+    """The aggregator of each node, by the node's 16-bit mark.
+
+    Attributes:
+        seats: Seats of the living, sorted.
+
+    Both tables hold at most one entry a mark. They are rebuilt when `seats` changes: `_seat_by_node` caches
+    the assignment, and `_moved_at` holds when a node moved, in ms, for `SETTLE_MS` at least.
+    """
 
     def __init__(self, seats: Iterable[int]) -> None:
         self.seats: tuple[int, ...] = tuple(sorted({*seats}))
-        self._told: dict[int, int] = {}
-        self._since: dict[int, float] = {}
+        self._seat_by_node: dict[int, int] = {}
+        self._moved_at: dict[int, float] = {}
 
-    def keeper(self, node: int) -> int:
-        """The keeper's seat; -1 where there is none."""
-        found = self._told.get(node)
-        if found is None:
-            found = self._told[node] = first(node, self.seats)
-        return found
+    def aggregator_seat(self, node: int) -> int:
+        """The seat of the node's aggregator; -1 where there is none."""
+        seat = self._seat_by_node.get(node)
+        if seat is None:
+            seat = self._seat_by_node[node] = highest_ranked_seat(node, self.seats)
+        return seat
 
     def settled(self, node: int, now: float) -> bool:
-        """Whether its keeper has been so for long enough to know what is out at the node."""
-        return now >= self._since.get(node, -1e15) + SETTLE_MS
+        """Whether the node's aggregator has been so for long enough to know what is in flight there."""
+        return now >= self._moved_at.get(node, LONG_AGO_MS) + SETTLE_MS
 
-    def living(self, seats: Iterable[int], now: float) -> bool:
-        """The living changed; whether any seat came or went."""
-        now_seats = tuple(sorted({*seats}))
-        if now_seats == self.seats:
+    def update_seats(self, seats: Iterable[int], now: float) -> bool:
+        """Take over the seats of the living; returns whether any came or went."""
+        new_seats = tuple(sorted({*seats}))
+        if new_seats == self.seats:
             return False
-        before, self.seats = self._told, now_seats
-        self._told = {node: first(node, now_seats) for node in before}
-        self._since = {
-            node: now if self._told[node] != keeper else at
-            for node, keeper in before.items()
-            if (at := self._since.get(node, -1e15)) > now - SETTLE_MS or self._told[node] != keeper
-        }
+        before = self._seat_by_node
+        self.seats = new_seats
+        self._seat_by_node = {node: highest_ranked_seat(node, new_seats) for node in before}
+        moved_at = {}
+        for node, former_seat in before.items():
+            if self._seat_by_node[node] != former_seat:
+                moved_at[node] = now
+            elif self._moved_at.get(node, LONG_AGO_MS) > now - SETTLE_MS:
+                moved_at[node] = self._moved_at[node]
+        self._moved_at = moved_at
         return True
 
 
-def first(node: int, seats: tuple[int, ...]) -> int:
+def highest_ranked_seat(node: int, seats: tuple[int, ...]) -> int:
+    """The seat with the highest hash for the node; -1 where there are no seats."""
     return max(seats, key=lambda seat: (crc32(b"%d:%d" % (node, seat)), seat), default=-1)
--- a/cherrygrade/fleet/membership/partition.py
+++ b/cherrygrade/fleet/membership/partition.py
@@ -1,7 +1,7 @@
-"""What this dispatcher takes itself for, and what follows.
+"""On which side of a partition this dispatcher takes itself to be, and what it may do there.
 
-Free of I/O, clock and chance. `TABLE` is the one place that says what each side does; `docs/fleet.md`
-shows the same.
+Free of I/O, clock and chance. `RULES_BY_STATE` is the one place that says what each state allows;
+`docs/fleet.md` shows the same table.
 """
 
 from __future__ import annotations
@@ -9,11 +9,17 @@
 from dataclasses import dataclass
 from enum import Enum
 
-ALONE_MS = 5000.0  # with nobody heard for so long
-TIRED = 4  # of the doubt in itself: it is late more often than others are
+ISOLATED_AFTER_MS = 5000.0
+"""Without any message for this long, a dispatcher takes itself to be isolated."""
+
+OVERLOADED_SELF_DOUBT = 4
+"""Self-doubt of the failure detector from which a dispatcher takes itself to be overloaded: it is late more
+often than others are."""
 
 
 class PartitionState(Enum):
+    """The side of a partition; the values are shown to operators and stay as they are."""
+
     MOST = "among the most"
     FEW = "among the few"
     ALONE = "alone"
@@ -22,33 +28,45 @@
 
 @dataclass(frozen=True, slots=True)
 class PartitionRules:
-    """What a side does. `parts`: whose count deals out the parts of cold nodes and of limits."""
+    """What a dispatcher does in a state.
+
+    The names of the fields are keys of the fleet's status answer.
+
+    Attributes:
+        keeps: It aggregates load reports for other dispatchers and sends the result.
+        believes: It uses what load aggregators report of nodes.
+        accuses: It suspects other members by its own probes.
+        asks_out: It may ask that a node or a dispatcher be taken out of use.
+        parts: Whose count of dispatchers divides cold nodes and limits.
+    """
 
     keeps: bool
-    """Pools what is known of nodes, and tells it."""
     believes: bool
-    """Takes keepers' words for what is seen here."""
     accuses: bool
-    """Calls others suspect on its own."""
     asks_out: bool
-    """May ask that a node or a dispatcher be taken out of use."""
     parts: str = "the fleet of record"
 
 
-TABLE: dict[PartitionState, PartitionRules] = {
+RULES_BY_STATE: dict[PartitionState, PartitionRules] = {
     PartitionState.MOST: PartitionRules(keeps=True, believes=True, accuses=True, asks_out=True),
-    # Words of the own side tell of a part of the load only: bounded harm, see docs/fleet.md.
+    # Reports of a minority cover a part of the load only; docs/fleet.md gives the bound of the harm.
     PartitionState.FEW: PartitionRules(keeps=True, believes=True, accuses=True, asks_out=False),
     PartitionState.ALONE: PartitionRules(keeps=False, believes=False, accuses=False, asks_out=False),
     PartitionState.OVERLOADED: PartitionRules(keeps=False, believes=True, accuses=False, asks_out=False),
 }
 
 
-def side(record: int, living: int, heard_ago_ms: float, doubt: int) -> PartitionState:
-    """`record`: dispatchers of the fleet as the settings have it; `living`: those on the roll that live,
-    this one among them; since when nobody was heard; the doubt in itself, 0 to 8."""
-    if record > 1 and (living <= 1 or heard_ago_ms >= ALONE_MS):
+def partition_state(fleet_size: int, living: int, silence_ms: float, self_doubt: int) -> PartitionState:
+    """The side on which a dispatcher is.
+
+    Args:
+        fleet_size: Dispatchers of the fleet as the settings have it.
+        living: Living members of its table, itself among them.
+        silence_ms: Time since it received any message of the fleet, ms.
+        self_doubt: Self-doubt of its failure detector, 0 to 8.
+    """
+    if fleet_size > 1 and (living <= 1 or silence_ms >= ISOLATED_AFTER_MS):
         return PartitionState.ALONE
-    if doubt >= TIRED:
+    if self_doubt >= OVERLOADED_SELF_DOUBT:
         return PartitionState.OVERLOADED
-    return PartitionState.MOST if 2 * living > record else PartitionState.FEW
+    return PartitionState.MOST if 2 * living > fleet_size else PartitionState.FEW
--- a/cherrygrade/fleet/membership/reachability.py
+++ b/cherrygrade/fleet/membership/reachability.py
@@ -1,8 +1,8 @@
-"""Nodes as the fleet sees them: one's own bad link told from a bad node.
+"""Nodes as the fleet sees them: tells one's own bad link from a bad node.
 
-Each member tells, of the few nodes that it has most trouble with, what its own sends met there lately.
-From what all tell, a node is bad where most of those that tried meet trouble; where others are answered,
-the link is. Nothing here overrides the register on drains. Free of I/O, clock and chance.
+Each member reports, of the few nodes that it has most trouble with, how its own attempts ended there lately.
+From what all report, a node is bad where most of those that tried meet trouble; where others are answered,
+the link is. Nothing here overrides what is registered on drains. Free of I/O, clock and chance.
 """
 
 from __future__ import annotations
@@ -10,18 +10,39 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
 import msgspec
 
-MOST_TOLD = 8  # nodes in one digest
-FRESH_MS = 5000.0  # what was told before that counts for nothing
-ENOUGH = 2  # others that tried, below which nobody can tell
-HALF_MS = 2000.0  # what was met fades by half in this
+MAX_REPORTED_NODES = 8
+"""In one report."""
+
+FRESH_MS = 5000.0
+"""A report that is older counts for nothing."""
+
+MIN_REPORTERS = 2
+"""Other members that tried a node, below which nothing can be said of it."""
+
+HALF_LIFE_MS = 2000.0
+"""In which the count of an attempt halves."""
+
+MIN_ATTEMPTS = 0.05
+"""Of a node's faded counts, below which the entry goes."""
+
+MAX_REPORTED_COUNT = 255
+MAX_REPORTED_MS = 60000
 
 
 class NodeContact(msgspec.Struct, array_like=True, frozen=True):
-    """Of one node by one member: sends answered, errored and unanswered of late, and for how long it is
-    so, ms."""
+    """How one member's attempts at one node ended lately, as it is sent.
+
+    Attributes:
+        node: Mark of the node's address, 16 bits.
+        answered: Attempts that were answered.
+        errored: Attempts that ended in an error.
+        silent: Attempts without an answer.
+        for_ms: How long trouble has lasted, ms; 0 where there is none.
+    """
 
     node: int
     answered: int
@@ -31,19 +52,46 @@
 
     @property
     def trouble(self) -> bool:
+        """More attempts failed than were answered."""
         return self.errored + self.silent > self.answered
 
 
 class Reachability(Enum):
+    """What the fleet makes of a node; the values are shown to operators and stay as they are."""
+
     UNKNOWN = "too few tried it"
     WELL = "answers"
     LINK = "answers others: our own link"
     BAD = "answers few"
 
 
+class NodeView(NamedTuple):
+    """What the fleet makes of a node.
+
+    Attributes:
+        reachability: The verdict.
+        in_trouble: Members that meet trouble there.
+        tried: Members that tried it.
+        zones: Zones of those that meet trouble, sorted.
+    """
+
+    reachability: Reachability
+    in_trouble: int
+    tried: int
+    zones: list[str]
+
+
 @dataclass(slots=True)
 class ContactCounters:
-    """What this dispatcher's own sends met at one node; fades, and goes once nothing is left of it."""
+    """How this dispatcher's own attempts at one node ended; the counts fade.
+
+    Attributes:
+        answered: Attempts that were answered.
+        errored: Attempts that ended in an error.
+        silent: Attempts without an answer.
+        at: When the counts were last faded, ms.
+        bad_from: Since when there is trouble, ms; -1 where there is none.
+    """
 
     answered: float = 0.0
     errored: float = 0.0
@@ -53,78 +101,111 @@
 
     @property
     def tried(self) -> float:
+        """Attempts of all outcomes."""
         return self.answered + self.errored + self.silent
 
     def fade(self, now: float) -> float:
-        left = 0.5 ** (max(0.0, now - self.at) / HALF_MS)
-        self.answered, self.errored = self.answered * left, self.errored * left
+        """Fade the counts to the time; returns what is left of all attempts."""
+        left = 0.5 ** (max(0.0, now - self.at) / HALF_LIFE_MS)
+        self.answered *= left
+        self.errored *= left
         self.silent *= left
         self.at = now
         return self.tried
 
+    def contact(self, node: int, now: float) -> NodeContact:
+        """The counts as they are reported."""
+        return NodeContact(
+            node,
+            min(MAX_REPORTED_COUNT, round(self.answered)),
+            min(MAX_REPORTED_COUNT, round(self.errored)),
+            min(MAX_REPORTED_COUNT, round(self.silent)),
+            min(MAX_REPORTED_MS, int(now - self.bad_from)) if self.bad_from >= 0.0 else 0,
+        )
+
 
 @dataclass(slots=True)
 class ReportedContacts:
+    """The last report of one member.
+
+    Attributes:
+        zone: The member's zone.
+        at: When it came, ms.
+        contacts: By node, at most `MAX_REPORTED_NODES`.
+    """
+
     zone: str
     at: float
-    met: dict[int, NodeContact] = field(default_factory=dict)
+    contacts: dict[int, NodeContact] = field(default_factory=dict)
 
 
 class ReachabilityView:
-    """`own` by node, as words name it; emptied by fading. `told` by member; goes with the member, or once
-    old."""
+    """What this dispatcher and others meet at nodes.
+
+    Attributes:
+        own: Own counts by node; an entry goes once it has faded.
+        reported: Last report by member; it goes with the member, or once it is not fresh.
+    """
 
     def __init__(self) -> None:
         self.own: dict[int, ContactCounters] = {}
-        self.told: dict[str, ReportedContacts] = {}
-
-    def sent(self, node: int, how: str, now: float) -> None:
-        """A send of this dispatcher ended: 'answered', 'errored' or 'silent'."""
-        one = self.own.setdefault(node, ContactCounters(at=now))
-        one.fade(now)
-        setattr(one, how, getattr(one, how) + 1.0)
-        bad = one.errored + one.silent > one.answered
-        one.bad_from = (one.bad_from if one.bad_from >= 0.0 else now) if bad else -1.0
+        self.reported: dict[str, ReportedContacts] = {}
+
+    def attempt_ended(self, node: int, outcome: str, now: float) -> None:
+        """An attempt of this dispatcher ended: 'answered', 'errored' or 'silent'."""
+        counters = self.own.setdefault(node, ContactCounters(at=now))
+        counters.fade(now)
+        setattr(counters, outcome, getattr(counters, outcome) + 1.0)
+        bad = counters.errored + counters.silent > counters.answered
+        if not bad:
+            counters.bad_from = -1.0
+        elif counters.bad_from < 0.0:
+            counters.bad_from = now
 
     def digest(self, now: float) -> list[NodeContact]:
-        """For others: troubled nodes first, then those tried most."""
-        self.own = {node: one for node, one in self.own.items() if one.fade(now) > 0.05}
+        """The report for others: nodes in trouble first, then those tried most."""
+        self.own = {node: one for node, one in self.own.items() if one.fade(now) > MIN_ATTEMPTS}
         ranked = sorted(self.own.items(), key=lambda pair: (pair[1].bad_from < 0.0, -pair[1].tried, pair[0]))
-        return [
-            NodeContact(
-                node,
-                min(255, round(one.answered)),
-                min(255, round(one.errored)),
-                min(255, round(one.silent)),
-                min(60000, int(now - one.bad_from)) if one.bad_from >= 0.0 else 0,
-            )
-            for node, one in ranked[:MOST_TOLD]
-        ]
-
-    def hear(self, name: str, zone: str, met: list[NodeContact], now: float) -> None:
-        self.told[name] = ReportedContacts(zone, now, {one.node: one for one in met[:MOST_TOLD]})
-
-    def forget(self, lives: Callable[[str], bool], now: float) -> None:
-        self.told = {name: one for name, one in self.told.items() if lives(name) and now - one.at < FRESH_MS}
+        return [counters.contact(node, now) for node, counters in ranked[:MAX_REPORTED_NODES]]
+
+    def report_received(self, name: str, zone: str, contacts: list[NodeContact], now: float) -> None:
+        """A member's report came; it replaces the one before."""
+        by_node = {contact.node: contact for contact in contacts[:MAX_REPORTED_NODES]}
+        self.reported[name] = ReportedContacts(zone, now, by_node)
+
+    def forget(self, is_living: Callable[[str], bool], now: float) -> None:
+        """Drop reports of members that are not living, and old ones."""
+        self.reported = {
+            name: report
+            for name, report in self.reported.items()
+            if is_living(name) and now - report.at < FRESH_MS
+        }
 
     def troubled(self, now: float) -> list[int]:
-        """Nodes that this dispatcher or others have trouble with, for people; ours first."""
-        ours = [node for node, one in self.own.items() if one.bad_from >= 0.0]
-        told = [one for one in self.told.values() if now - one.at < FRESH_MS]
-        theirs = {node for one in told for node, met in one.met.items() if met.trouble}
+        """Nodes that this dispatcher or others have trouble with, for operators; its own first."""
+        ours = [node for node, counters in self.own.items() if counters.bad_from >= 0.0]
+        theirs = {
+            node
+            for report in self._fresh(now)
+            for node, contact in report.contacts.items()
+            if contact.trouble
+        }
         return [*sorted(ours), *sorted(theirs - {*ours})]
 
-    def view(self, node: int, now: float) -> tuple[Reachability, int, int, list[str]]:
-        """What the fleet makes of a node: how many of how many that tried meet trouble, and from which
-        zones."""
-        told = [one for one in self.told.values() if now - one.at < FRESH_MS and node in one.met]
-        tried = [(one.zone, one.met[node]) for one in told]
-        bad = [zone for zone, met in tried if met.trouble]
+    def view(self, node: int, now: float) -> NodeView:
+        """What the fleet makes of a node."""
+        reports = [report for report in self._fresh(now) if node in report.contacts]
+        bad = [report.zone for report in reports if report.contacts[node].trouble]
+        return NodeView(self._verdict(node, len(bad), len(reports)), len(bad), len(reports), sorted({*bad}))
+
+    def _fresh(self, now: float) -> list[ReportedContacts]:
+        return [report for report in self.reported.values() if now - report.at < FRESH_MS]
+
+    def _verdict(self, node: int, in_trouble: int, tried: int) -> Reachability:
+        if tried < MIN_REPORTERS:
+            return Reachability.UNKNOWN
+        if 2 * in_trouble > tried:
+            return Reachability.BAD
         own = self.own.get(node)
-        ours = own is not None and own.bad_from >= 0.0
-        zones = sorted({*bad})
-        if len(tried) < ENOUGH:
-            return Reachability.UNKNOWN, len(bad), len(tried), zones
-        if 2 * len(bad) > len(tried):
-            return Reachability.BAD, len(bad), len(tried), zones
-        return Reachability.LINK if ours else Reachability.WELL, len(bad), len(tried), zones
+        # Others are answered: trouble of our own is then on our link.
+        return Reachability.LINK if own is not None and own.bad_from >= 0.0 else Reachability.WELL
--- a/cherrygrade/fleet/membership/seat_claims.py
+++ b/cherrygrade/fleet/membership/seat_claims.py
@@ -1,10 +1,10 @@
-"""Two that claim one seat: which of them yields.
+"""Two members that claim one seat: which of them yields.
 
-A seat is a part of every cold node and of every limit, dealt out by the settings. Of the living that claim
-one, who was born last holds it, as under one name: what replaces something is younger than it. The others
-yield as soon as they hear, by a word of their own with no seat, and use no part from then on. Until they
-hear both use it; that cannot be prevented without a word from somebody, and RPCs wait for no word:
-`docs/fleet.md` says what it may cost.
+A seat is a share of every cold node and of every limit, as the settings divide them. Of the living that
+claim one, the member with the latest incarnation holds it, as with two processes under one name: a
+replacement is younger than what it replaces. The others yield as soon as they learn of it, by announcing
+themselves without a seat, and use no share from then on. Until then both use it. That can't be prevented
+without waiting for a message, and requests wait for none; `docs/fleet.md` gives the bound of the harm.
 
 Free of I/O, clock and chance.
 """
@@ -14,29 +14,32 @@
 from cherrygrade.fleet.membership.table import Member, MembershipTable
 
 
-def rank(member: Member) -> tuple[int, str]:
-    return (member.birth, member.name)
+def precedence(member: Member) -> tuple[int, str]:
+    """Order of members that claim one seat: the highest holds it."""
+    return (member.incarnation, member.name)
 
 
-def holder(roll: MembershipTable, seat: int) -> Member | None:
-    """Of the living that claim the seat, who holds it."""
-    claims = [one for one in roll if one.living and one.facts is not None and one.seat == seat]
-    return max(claims, key=rank, default=None)
+def holder(table: MembershipTable, seat: int) -> Member | None:
+    """Of the living that claim the seat, the one that holds it."""
+    claimants = [
+        member for member in table if member.living and member.info is not None and member.seat == seat
+    ]
+    return max(claimants, key=precedence, default=None)
 
 
-def yields(roll: MembershipTable) -> str:
-    """Whether this dispatcher has to give up its seat: the name of who holds it, or nothing."""
-    own = roll.own
+def yields_to(table: MembershipTable) -> str:
+    """The name of the member to which this dispatcher has to yield its seat; empty where it keeps it."""
+    own = table.own
     if own.seat < 0:
         return ""
-    found = holder(roll, own.seat)
+    found = holder(table, own.seat)
     return "" if found is None or found is own else found.name
 
 
-def doubled(roll: MembershipTable) -> dict[int, list[str]]:
-    """Seats that more than one of the living claim, with their names, for people."""
-    claims: dict[int, list[str]] = {}
-    for one in roll.living():
-        if one.seat >= 0:
-            claims.setdefault(one.seat, []).append(one.name)
-    return {seat: names for seat, names in claims.items() if len(names) > 1}
+def contested(table: MembershipTable) -> dict[int, list[str]]:
+    """Seats that more than one of the living claim, with the claimants' names."""
+    claimants: dict[int, list[str]] = {}
+    for member in table.living():
+        if member.seat >= 0:
+            claimants.setdefault(member.seat, []).append(member.name)
+    return {seat: names for seat, names in claimants.items() if len(names) > 1}
--- a/cherrygrade/fleet/membership/table.py
+++ b/cherrygrade/fleet/membership/table.py
@@ -1,11 +1,15 @@
-"""The roll: what is claimed of each member, and how claims merge.
+"""The membership table: what is claimed of each member, and how two claims merge.
 
-A member is told by its name and its birth; a claim of it has a turn, which it alone raises. Of two claims
-the later birth holds, then having left, then the higher turn, then the worse standing: a join, so neither
-order nor repetition of words matters. The scheme of turns is SWIM's incarnations (Das, Gupta, Motivala
-2002); births are ours, since a dispatcher starts anew under its name and knows nothing of its turns before.
+A process of a member is identified by its name and its incarnation. Each record of it carries a refutation
+counter, which only the member itself raises. Of two records the later incarnation wins, then having left,
+then the higher refutation counter, then the worse state. The merge is a join (commutative, associative and
+idempotent), so neither the order nor the repetition of messages matters.
 
-Free of I/O, clock and chance; times are passed in, ms.
+The refutation counter is what SWIM calls the incarnation number (Das, Gupta, Motivala 2002). Here the
+incarnation is the start time of the process: a dispatcher restarts under its name and does not know the
+counter of its former process.
+
+Free of I/O, clock and chance: times are passed in, in ms of one clock.
 """
 
 from __future__ import annotations
@@ -17,12 +21,18 @@
 import msgspec
 import xxhash
 
-MOST_TURN = 2**40  # no member gets there by itself
-MOST_GONE = 4096  # of those forgotten, whose old words are known for what they are
+MAX_REFUTATIONS = 2**40
+"""The highest refutation counter that is accepted; no member reaches it by refuting."""
+
+MAX_FORGOTTEN = 4096
+"""Dead members that were dropped from the table and whose incarnation and counter are still remembered."""
+
+NEVER_MS = -1e15
+"""The time of what has not happened."""
 
 
 class MemberState(IntEnum):
-    """By rank: of two claims of one turn the worse holds."""
+    """State of a member, by rank: of two records with one refutation counter the worse state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -31,9 +41,17 @@
 
 
 class MemberInfo(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """What a member says of itself. Place: host:port of its datagrams; seat -1: it yielded its seat."""
+    """What a member announces of itself.
 
-    place: str
+    Attributes:
+        address: host:port at which it receives datagrams and streams.
+        zone: Its failure domain.
+        version: Version of its program.
+        settings: Digest of its settings.
+        seat: Its number in the fleet; -1 once it has given up its seat.
+    """
+
+    address: str
     zone: str = ""
     version: str = ""
     settings: str = ""
@@ -41,235 +59,343 @@
 
 
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
-    """One word on one member; `facts` is left out where the hearer is likely to have them."""
+    """One claim about one member, as it is sent.
+
+    Attributes:
+        name: Name of the member.
+        incarnation: Start of its process, Unix ms; a later process under the name has a later one.
+        refutations: Refutation counter of that incarnation.
+        state: A `MemberState`.
+        info: Left out where the receiver is likely to have it.
+        by: Of a suspicion, the member that came to it by its own probes; else empty.
+    """
 
     name: str
-    birth: int
-    """Unix ms of its start; a later start under the name has a later one."""
-    turn: int
-    standing: int
-    facts: MemberInfo | None = None
+    incarnation: int
+    refutations: int
+    state: int
+    info: MemberInfo | None = None
     by: str = ""
-    """Of a suspicion: who came to it on its own."""
 
     @property
     def key(self) -> tuple[int, bool, int, int]:
-        return (self.birth, self.standing == MemberState.LEFT, self.turn, self.standing)
+        """Order of records: of two about one member the one with the higher key wins."""
+        return (self.incarnation, self.state == MemberState.LEFT, self.refutations, self.state)
 
 
 class Member:
-    """What is known here of one name. `since` and `by`: when it came to its standing here, by whose word."""
+    """What this dispatcher knows of one member.
+
+    Attributes:
+        name: Name of the member.
+        incarnation: Start of its process, Unix ms.
+        refutations: Highest refutation counter received for the incarnation.
+        state: Its state at that counter.
+        info: What it announces of itself; None until a record brought it.
+        info_refutations: The refutation counter that `info` was announced with.
+        since: When it entered its state here, ms.
+        by: The member whose record put it there; shown to operators.
+        last_received_ms: When a message last came from the member itself, ms.
+        witnesses: Members that suspect it by their own probes; emptied by the next refutation.
+    """
 
     __slots__ = (
-        "birth", "by", "facts", "facts_turn", "heard", "name", "since", "standing", "turn", "witnesses",
-    )  # fmt: skip
-
-    def __init__(self, claim: MemberRecord, now: float, by: str) -> None:
-        self.name, self.birth, self.turn = claim.name, claim.birth, claim.turn
-        self.standing = MemberState(claim.standing)
-        self.facts, self.facts_turn = claim.facts, claim.turn
-        self.since, self.by = now, by
-        self.heard = -1e15  # when it last spoke to this dispatcher itself
-        self.witnesses: tuple[str, ...] = ()  # who called it suspect on their own; emptied by the next turn
+        "by",
+        "incarnation",
+        "info",
+        "info_refutations",
+        "last_received_ms",
+        "name",
+        "refutations",
+        "since",
+        "state",
+        "witnesses",
+    )
+
+    def __init__(self, record: MemberRecord, now: float, by: str) -> None:
+        self.name = record.name
+        self.incarnation = record.incarnation
+        self.refutations = record.refutations
+        self.state = MemberState(record.state)
+        self.info = record.info
+        self.info_refutations = record.refutations
+        self.since = now
+        self.by = by
+        self.last_received_ms = NEVER_MS
+        self.witnesses: tuple[str, ...] = ()
 
     @property
     def key(self) -> tuple[int, bool, int, int]:
-        return (self.birth, self.standing is MemberState.LEFT, self.turn, int(self.standing))
+        """As `MemberRecord.key`."""
+        return (self.incarnation, self.state is MemberState.LEFT, self.refutations, int(self.state))
 
     @property
     def living(self) -> bool:
-        return self.standing <= MemberState.SUSPECT
+        """Whether it neither failed nor left; a suspect is living."""
+        return self.state <= MemberState.SUSPECT
 
     @property
     def seat(self) -> int:
-        return self.facts.seat if self.facts is not None else -1
+        """Its seat; -1 where it has none or its info is not known."""
+        return self.info.seat if self.info is not None else -1
 
-    def claim(self, whole: bool = True) -> MemberRecord:
-        """Facts go along only under the turn that they were told with: older ones would pass for newer."""
-        facts = self.facts if whole and self.facts_turn == self.turn else None
-        by = self.witnesses[-1] if self.witnesses and self.standing is MemberState.SUSPECT else ""
-        return MemberRecord(self.name, self.birth, self.turn, int(self.standing), facts, by)
+    def record(self, with_info: bool = True) -> MemberRecord:
+        """The record to send for it.
 
-    def mark(self) -> int:
-        """Of what has to be equal once two rolls are."""
-        facts = msgspec.msgpack.encode(self.facts)
-        told = f"{self.name}\0{self.birth}\0{self.turn}\0{int(self.standing)}\0".encode()
-        return int(xxhash.xxh3_64_intdigest(told + facts))
+        Info goes along only with the refutation counter that it was announced with: under a higher counter
+        older info would pass for newer.
+        """
+        info = self.info if with_info and self.info_refutations == self.refutations else None
+        by = self.witnesses[-1] if self.witnesses and self.state is MemberState.SUSPECT else ""
+        return MemberRecord(self.name, self.incarnation, self.refutations, int(self.state), info, by)
 
+    def digest(self) -> int:
+        """Hash of all that has to be equal once two tables agree on this member."""
+        info = msgspec.msgpack.encode(self.info)
+        identity = f"{self.name}\0{self.incarnation}\0{self.refutations}\0{int(self.state)}\0".encode()
+        return int(xxhash.xxh3_64_intdigest(identity + info))
 
-class MembershipTable:
-    """Members by name. At most `most`: a claim of one more takes the place of who has been dead for
-    longest, or is dropped. The dead go `keep_ms` after they failed or left, and leave their birth in
-    `gone`, which holds the last MOST_GONE."""
 
-    def __init__(self, me: MemberRecord, now: float, most: int, keep_ms: float) -> None:
-        self.me, self.most, self.keep_ms = me.name, most, keep_ms
+class MembershipTable:
+    """The members that this dispatcher knows, by name, itself among them.
+
+    Attributes:
+        me: Name of this dispatcher; its own entry is never dropped.
+        max_members: Bound of `members`. One more takes the place of the member that has been dead longest,
+            or is dropped where none is dead.
+        keep_ms: How long a dead member stays after it failed or left, ms.
+        members: Known members by name.
+        forgotten: Incarnation and refutation counter of dead members that were dropped, by name, oldest
+            first; at most `MAX_FORGOTTEN`. A name is in `members` or here, never in both.
+        version: Raised by one when a member comes, goes or changes its info.
+        dropped: Records that were malformed or found no room.
+    """
+
+    def __init__(self, me: MemberRecord, now: float, max_members: int, keep_ms: float) -> None:
+        self.me = me.name
+        self.max_members = max_members
+        self.keep_ms = keep_ms
         self.members: dict[str, Member] = {}
-        self.gone: OrderedDict[str, tuple[int, int]] = OrderedDict()
-        self.comings = 0  # counts who came, went, or told other facts: what hangs on it looks again then
+        self.forgotten: OrderedDict[str, tuple[int, int]] = OrderedDict()
+        self.version = 0
         self.dropped = 0
         self._digest = 0
-        self._dead: dict[str, Member] = {}  # of the members; goes with them
-        self._others: tuple[int, list[Member]] = (-1, [])  # made anew after changes
-        self.hear(me, now, me.name)
-
-    # What is known.
+        self._dead: dict[str, Member] = {}
+        self._others_version = -1
+        self._others: list[Member] = []
+        self.merge(me, now, me.name)
 
     def __iter__(self) -> Iterator[Member]:
         return iter(self.members.values())
 
     @property
     def own(self) -> Member:
+        """The entry of this dispatcher."""
         return self.members[self.me]
 
     def living(self) -> list[Member]:
-        """All that are not known dead, this one among them, in the order of names."""
-        return sorted((one for one in self if one.living), key=lambda one: one.name)
+        """All members not known to be dead, this dispatcher among them, sorted by name."""
+        return sorted((member for member in self if member.living), key=lambda member: member.name)
 
-    def lives(self, name: str) -> bool:
+    def is_living(self, name: str) -> bool:
+        """Whether the member is known and not known to be dead."""
         member = self.members.get(name)
         return member is not None and member.living
 
     def dead(self) -> Iterable[Member]:
-        """Those that failed or left and are not forgotten."""
+        """Members that failed or left and have not been forgotten."""
         return self._dead.values()
 
     def others(self) -> list[Member]:
-        """Those of the living that can be reached."""
-        if self._others[0] != self.comings:
-            found = [one for one in self.living() if one.name != self.me and one.facts is not None]
-            self._others = (self.comings, found)
-        return self._others[1]
+        """Living members whose address is known, without this dispatcher, sorted by name."""
+        if self._others_version != self.version:
+            self._others_version = self.version
+            self._others = [
+                member for member in self.living() if member.name != self.me and member.info is not None
+            ]
+        return self._others
 
     @property
     def digest(self) -> int:
-        """Equal where the living are known alike, whatever is remembered of the dead."""
+        """Equal on two dispatchers where they know the living alike, whatever they know of the dead."""
         return self._digest
 
-    # What changes it.
+    def merge(self, record: MemberRecord, now: float, by: str) -> bool:
+        """Merge one record into the table.
 
-    def hear(self, claim: MemberRecord, now: float, by: str) -> bool:
-        """Join a claim; whether it was news. `by`: whose word it is, for people."""
-        if not sound(claim):
+        Args:
+            record: The claim.
+            now: The time, ms.
+            by: The member that sent it; shown to operators.
+
+        Returns:
+            Whether the table changed.
+        """
+        if not is_valid(record):
             self.dropped += 1
             return False
-        member = self.members.get(claim.name)
+        member = self.members.get(record.name)
         if member is None:
-            return self._meet(claim, now, by)
-        news = claim.key > member.key
-        same = claim.facts is not None and claim.birth == member.birth
-        known = (member.facts_turn, member.facts)
-        lacking = same and (member.facts is None or (claim.turn, claim.facts) > known)
-        if not (news or lacking):
+            return self._add(record, now, by)
+        newer = record.key > member.key
+        brings_info = _brings_info(record, member)
+        if not (newer or brings_info):
             return False
-        self._count_out(member)
-        before = (member.living, member.facts, member.birth)
-        if claim.birth > member.birth:  # another life: nothing of the one before holds
-            member = self.members[claim.name] = Member(claim, now, by)
+        self._unindex(member)
+        before = (member.living, member.info, member.incarnation)
+        if record.incarnation > member.incarnation:
+            # A new process: nothing that is known of the former one holds.
+            member = self.members[record.name] = Member(record, now, by)
         else:
-            if lacking:
-                member.facts, member.facts_turn = claim.facts, claim.turn
-            if news:
-                if claim.turn > member.turn:
-                    member.witnesses = ()
-                if claim.standing != member.standing:
-                    member.since, member.by = now, by
-                member.turn, member.standing = claim.turn, MemberState(claim.standing)
-        self._count_in(member)
-        self.comings += before != (member.living, member.facts, member.birth)
+            if brings_info:
+                member.info = record.info
+                member.info_refutations = record.refutations
+            if newer:
+                _update_state(member, record, now, by)
+        self._index(member)
+        self.version += before != (member.living, member.info, member.incarnation)
         return True
 
-    def alike(self, other: MembershipTable) -> None:
-        """Know of the others what that one knows: for fleets of thousands, whose rolls would take minutes to
-        be made by words."""
+    def copy_others(self, source: MembershipTable) -> None:
+        """Take over all that another table knows of the other members.
+
+        For simulations of thousands of members, whose tables would take minutes to fill by messages.
+        """
         own = self.own
         self.members = {}
-        for one in other:
-            claim = MemberRecord(one.name, one.birth, one.turn, int(one.standing), one.facts)
-            self.members[one.name] = Member(claim, one.since, one.by)
+        for member in source:
+            record = MemberRecord(
+                member.name, member.incarnation, member.refutations, int(member.state), member.info
+            )
+            self.members[member.name] = Member(record, member.since, member.by)
         self.members[self.me] = own
-        self._digest = other._digest
-        self.comings += 1
+        self._digest = source._digest
+        self.version += 1
+
+    def refute(self, above: int, now: float, seat: int | None = None) -> MemberRecord:
+        """Announce this dispatcher as alive, against what others claim or with another seat.
 
-    def raise_turn(self, above: int, now: float, seat: int | None = None) -> MemberRecord:
-        """This member's own word against what is said of it, or with another seat."""
+        Args:
+            above: The refutation counter to exceed.
+            now: The time, ms.
+            seat: The new seat; None keeps the present one.
+
+        Returns:
+            The record of this dispatcher, already merged.
+        """
         own = self.own
-        facts = own.facts
-        assert facts is not None
+        info = own.info
+        assert info is not None  # its own record was built with it
         if seat is not None:
-            facts = msgspec.structs.replace(facts, seat=seat)
-        claim = MemberRecord(own.name, own.birth, max(above, own.turn) + 1, MemberState.ALIVE, facts)
-        self.hear(claim, now, own.name)
-        return claim
+            info = msgspec.structs.replace(info, seat=seat)
+        counter = max(above, own.refutations) + 1
+        record = MemberRecord(own.name, own.incarnation, counter, MemberState.ALIVE, info)
+        self.merge(record, now, own.name)
+        return record
 
     def forget(self, now: float) -> list[str]:
-        """The long dead go; gives their names."""
-        old = [one.name for one in self._dead.values() if now - one.since >= self.keep_ms]
-        for name in old:
+        """Drop the members that have been dead for `keep_ms`; returns their names."""
+        expired = [member.name for member in self._dead.values() if now - member.since >= self.keep_ms]
+        for name in expired:
             self._drop(name)
-        return old
-
-    def forgotten(self, name: str, birth: int) -> MemberRecord | None:
-        """What a member is told that comes back after its death was forgotten here: only a turn of its own
-        above that death's brings it back, and it can't know of it by itself."""
-        known, turn = self.gone.get(name, (-1, -1))
-        return MemberRecord(name, birth, turn, MemberState.FAILED) if known == birth else None
-
-    def asks_itself(self, claim: MemberRecord) -> bool:
-        """Whether others have it that one is back whose death was forgotten here: theirs may be a slow word,
-        so that it is to say so itself."""
-        birth, turn = self.gone.get(claim.name, (-1, -1))
-        return claim.standing <= MemberState.SUSPECT and claim.birth == birth and claim.turn > turn
-
-    def _meet(self, claim: MemberRecord, now: float, by: str) -> bool:
-        """A name that is not on the roll. Who is dead is of no use to who never knew it, and a word from
-        before a death that is forgotten here brings nobody back: only a later birth does, or the member
-        itself."""
-        birth, turn = self.gone.get(claim.name, (-1, -1))
-        itself = by == claim.name and (claim.birth, claim.turn) > (birth, turn)
-        if claim.standing >= MemberState.FAILED or (claim.birth <= birth and not itself):
+        return expired
+
+    def forgotten_record(self, name: str, incarnation: int) -> MemberRecord | None:
+        """What to send to a member that is back after its death was forgotten here.
+
+        Only a refutation counter above that of its death brings it back, and it can't know of that death
+        by itself.
+        """
+        known, refutations = self.forgotten.get(name, (-1, -1))
+        if known != incarnation:
+            return None
+        return MemberRecord(name, incarnation, refutations, MemberState.FAILED)
+
+    def may_have_returned(self, record: MemberRecord) -> bool:
+        """Whether others call a member alive whose death was forgotten here.
+
+        Their message may be a delayed one, so that the member has to confirm it itself.
+        """
+        incarnation, refutations = self.forgotten.get(record.name, (-1, -1))
+        return (
+            record.state <= MemberState.SUSPECT
+            and record.incarnation == incarnation
+            and record.refutations > refutations
+        )
+
+    def _add(self, record: MemberRecord, now: float, by: str) -> bool:
+        """Add a member that is not in the table.
+
+        A death is of no use to a dispatcher that never knew the member. After a death that was forgotten
+        here, only a later incarnation or the member itself brings the name back: a message of others may
+        be older than the death.
+        """
+        incarnation, refutations = self.forgotten.get(record.name, (-1, -1))
+        returned = by == record.name and (record.incarnation, record.refutations) > (incarnation, refutations)
+        if record.state >= MemberState.FAILED or (record.incarnation <= incarnation and not returned):
             return False
-        if len(self.members) >= self.most:
+        if len(self.members) >= self.max_members:
             if not self._dead:
                 self.dropped += 1
                 return False
-            self._drop(min(self._dead.values(), key=lambda one: (one.since, one.name)).name)
-        self.gone.pop(claim.name, None)
-        member = self.members[claim.name] = Member(claim, now, by)
-        self._count_in(member)
-        self.comings += 1
+            self._drop(min(self._dead.values(), key=lambda member: (member.since, member.name)).name)
+        self.forgotten.pop(record.name, None)
+        member = self.members[record.name] = Member(record, now, by)
+        self._index(member)
+        self.version += 1
         return True
 
     def _drop(self, name: str) -> None:
         member = self.members.pop(name)
-        self._count_out(member)
-        self.comings += 1
-        self.gone[name] = (member.birth, member.turn)
-        while len(self.gone) > MOST_GONE:
-            self.gone.popitem(last=False)
-
-    def _count_in(self, member: Member) -> None:
+        self._unindex(member)
+        self.version += 1
+        self.forgotten[name] = (member.incarnation, member.refutations)
+        while len(self.forgotten) > MAX_FORGOTTEN:
+            self.forgotten.popitem(last=False)
+
+    def _index(self, member: Member) -> None:
+        """Count a member into the digest and the index of the dead."""
         if not member.living:
             self._dead[member.name] = member
-        if member.living and member.facts is not None:
-            self._digest ^= member.mark()
+        if member.living and member.info is not None:
+            self._digest ^= member.digest()
 
-    def _count_out(self, member: Member) -> None:
+    def _unindex(self, member: Member) -> None:
+        """Undo `_index`, before the member changes."""
         self._dead.pop(member.name, None)
-        if member.living and member.facts is not None:
-            self._digest ^= member.mark()
-
-
-def sound(claim: MemberRecord) -> bool:
-    """Whether it can be a claim at all. Guards against turns that nothing could be raised above."""
-    standing = 0 <= claim.standing <= MemberState.LEFT
-    return bool(claim.name) and standing and claim.birth >= 0 and 0 <= claim.turn <= MOST_TURN
-
-
-def join(one: Iterable[MemberRecord], other: Iterable[MemberRecord]) -> dict[str, MemberRecord]:
-    """Two sets of claims as one, for tests of the laws and for the audit: what any roll comes to by both."""
-    found: dict[str, MemberRecord] = {}
-    for claim in [*one, *other]:
-        known = found.get(claim.name)
-        found[claim.name] = claim if known is None else max(known, claim, key=lambda held: held.key)
-    return found
+        if member.living and member.info is not None:
+            self._digest ^= member.digest()
+
+
+def is_valid(record: MemberRecord) -> bool:
+    """Whether a record can be one at all; rejects counters that no refutation could exceed."""
+    known_state = 0 <= record.state <= MemberState.LEFT
+    counter_in_range = 0 <= record.refutations <= MAX_REFUTATIONS
+    return bool(record.name) and known_state and record.incarnation >= 0 and counter_in_range
+
+
+def merge_records(one: Iterable[MemberRecord], other: Iterable[MemberRecord]) -> dict[str, MemberRecord]:
+    """The join of two sets of records by name: what any table that receives both comes to."""
+    merged: dict[str, MemberRecord] = {}
+    for record in [*one, *other]:
+        known = merged.get(record.name)
+        merged[record.name] = record if known is None else max(known, record, key=lambda held: held.key)
+    return merged
+
+
+def _brings_info(record: MemberRecord, member: Member) -> bool:
+    """Whether the record has info of the known incarnation that is missing here or newer."""
+    if record.info is None or record.incarnation != member.incarnation:
+        return False
+    known = (member.info_refutations, member.info)
+    return member.info is None or (record.refutations, record.info) > known
+
+
+def _update_state(member: Member, record: MemberRecord, now: float, by: str) -> None:
+    if record.refutations > member.refutations:
+        member.witnesses = ()
+    if record.state != member.state:
+        member.since = now
+        member.by = by
+    member.refutations = record.refutations
+    member.state = MemberState(record.state)
--- a/cherrygrade/fleet/runtime/config_exchange.py
+++ b/cherrygrade/fleet/runtime/config_exchange.py
@@ -27,7 +27,8 @@
     StoredConfig,
 )
 from cherrygrade.fleet.config.versions import ConfigVersion
-from cherrygrade.fleet.membership.membership import Effects, MemberConfigReport, Membership
+from cherrygrade.fleet.membership.effects import Effects, MemberConfigReport
+from cherrygrade.fleet.membership.membership import Membership
 from cherrygrade.fleet.membership.messages import ConfigAdvert
 from cherrygrade.fleet.membership.table import MemberState
 from cherrygrade.fleet.runtime.addresses import address
@@ -224,10 +225,10 @@
     async def start(self) -> None:
         """What was kept goes into force, before anything is served."""
         kept = await self._load()
-        core, own = self.core, self.core.roll.own
-        zone = own.facts.zone if own.facts is not None else ""
+        core, own = self.core, self.core.table.own
+        zone = own.info.zone if own.info is not None else ""
         left = self._left = self.file is not None and self.file.left
-        me = (core.name, zone, own.seat, core.record, self.council.voters, self._seed, self.clock())
+        me = (core.name, zone, own.seat, core.fleet_size, self.council.voters, self._seed, self.clock())
         replica = self.replica = ConfigReplica(*me, None if left else kept)
         does = ReplicaEffects(force=(kept.version, kept.stage)) if kept is not None else ReplicaEffects()
         if left and kept is not None:
@@ -293,17 +294,27 @@
         if replica is None:
             return
         for one in hints:
-            config, own = one.config, self.core.config
-            if one.first:
+            config, own = one.config, self.core.config.advert
+            if one.first_hand:
                 self._say(one, now)
-                does = replica.answered(one.name, config.stage, config.mark, now, one.nonce, config.bits)
+                does = replica.answered(
+                    one.name, config.stage, config.digest_prefix, now, one.nonce, config.seat_bitmap
+                )
                 if one.nonce and self.settling is not None:
-                    self.settling.answered(one.name, one.birth, config.stage, one.nonce)
+                    self.settling.answered(one.name, one.incarnation, config.stage, one.nonce)
                     self._settle()
-            elif own is not None and (own.stage, own.mark) == (config.stage, config.mark) and not config.bits:
+            elif (
+                own is not None
+                and (own.stage, own.digest_prefix)
+                == (
+                    config.stage,
+                    config.digest_prefix,
+                )
+                and not config.seat_bitmap
+            ):
                 continue  # nothing new, and nothing to believe
             else:
-                does = replica.hint(one.name, config.stage, config.mark, now, config.bits)
+                does = replica.hint(one.name, config.stage, config.digest_prefix, now, config.seat_bitmap)
             self._do(does)
         self._set()
 
@@ -358,9 +369,9 @@
         if self.settling is not None and now >= self.settling.due():
             for name, nonce in self.settling.beat(self._claims(), now):
                 if name == self.core.name:  # it needs no page to ask itself
-                    self.settling.answered(name, self.core.birth, replica.stage, nonce)
+                    self.settling.answered(name, self.core.incarnation, replica.stage, nonce)
                 else:
-                    self._post(self.core.which(name, nonce))
+                    self._post(self.core.query_config(name, nonce))
             self._settle()
         self._set()
 
@@ -448,7 +459,7 @@
         if not why:
             self.since = self.clock()
         if self.replica is not None:  # the fleet of record may be another now; bits go by its seats
-            self.replica.seats = max(self.core.record, self.core.roll.own.seat + 1)
+            self.replica.seats = max(self.core.fleet_size, self.core.table.own.seat + 1)
         facts = {"number": version.number, "stage": stage, "digest": version.digest.hex()[:16]}
         if why:
             means = "This dispatcher stays on what it has."
@@ -460,17 +471,17 @@
     def _tell(self, does: ReplicaEffects) -> None:
         core = self.core
         for name, nonce in does.which:
-            self._post(core.which(name, nonce))
+            self._post(core.query_config(name, nonce))
         if does.push:
-            self._post(core.hint(does.push))
+            self._post(core.advertise_config(does.push))
         if does.fetch is not None:
             self._fetch(*does.fetch)
 
     def _fetch(self, by: str, wanted: FetchRequest) -> None:
         fetch = ConfigFetch(self, by, wanted)
         self.fetches[fetch] = None
-        member = self.core.roll.members.get(by)
-        to = address(member.facts.place) if member is not None and member.facts is not None else None
+        member = self.core.table.members.get(by)
+        to = address(member.info.address) if member is not None and member.info is not None else None
         fetch.task = asyncio.get_running_loop().create_task(fetch.connect(to, self._source))
 
     def _show(self) -> None:
@@ -478,8 +489,8 @@
         replica = self.replica
         if replica is not None:
             here = replica.here()
-            self.core.config = ConfigAdvert(here.stage, here.mark, here.bits)
-            self.core.config_why = replica.status()[:120]
+            self.core.config.advert = ConfigAdvert(here.stage, here.mark, here.bits)
+            self.core.config.refusal = replica.status()[:120]
             if self._left and replica.sure and self.file is not None:
                 self._left = False
                 self._disk.submit(self.file.leave, False)
@@ -488,21 +499,19 @@
 
     def _near(self) -> list[ReachableMember]:
         return [
-            ReachableMember(one.name, one.facts.zone, one.seat)
-            for one in self.core.roll.others()
-            if one.facts
+            ReachableMember(one.name, one.info.zone, one.seat) for one in self.core.table.others() if one.info
         ]
 
     def _claims(self) -> list[SeatedMember]:
         return [
-            SeatedMember(one.seat, one.name, one.birth, one.living, one.standing is MemberState.LEFT)
-            for one in self.core.roll
-            if one.facts is not None
+            SeatedMember(one.seat, one.name, one.incarnation, one.living, one.state is MemberState.LEFT)
+            for one in self.core.table
+            if one.info is not None
         ]
 
     def _say(self, one: MemberConfigReport, now: float) -> None:
         self.said.pop(one.name, None)
-        self.said[one.name] = (one.birth, one.config.stage, one.why, now)
+        self.said[one.name] = (one.incarnation, one.config.stage, one.why, now)
         while len(self.said) > MOST_SAID:
             del self.said[next(iter(self.said))]
 
@@ -538,15 +547,15 @@
         bits = here.bits if here.stage >= 2 * number else b""
         full = here.stage >= 2 * number and not here.bits
         wanting = []
-        for one in self.core.roll.others():
+        for one in self.core.table.others():
             seat = one.seat
             on = full or (0 <= seat < 8 * len(bits) and bits[seat // 8] >> seat % 8 & 1)
-            if not on and self._stage(one.name, one.birth) < 2 * number:
+            if not on and self._stage(one.name, one.incarnation) < 2 * number:
                 wanting.append(one)
         for one in wanting[:MOST_ASKED]:
             self._asked += 1
             nonce = crc32(f"{self._seed}:person:{self._asked}".encode())
-            self._post(self.core.which(one.name, nonce))
+            self._post(self.core.query_config(one.name, nonce))
         asked = self.clock()
         if wanting:
             await asyncio.sleep(ASK_S)
@@ -555,21 +564,21 @@
             found.append(self._lacks(self.core.name, replica.stage, replica.status(), number))
         for one in wanting:
             _, stage, why, at = self.said.get(one.name, (0, 0, "", -NEVER))
-            if self._stage(one.name, one.birth) >= 2 * number:
+            if self._stage(one.name, one.incarnation) >= 2 * number:
                 continue
-            if one.standing is MemberState.SUSPECT or (at < asked and one in wanting[:MOST_ASKED]):
+            if one.state is MemberState.SUSPECT or (at < asked and one in wanting[:MOST_ASKED]):
                 why = "cut off: it gave no answer"
             found.append(self._lacks(one.name, stage, why, number) | {"seat": one.seat})
-        living = {one.seat for one in self.core.roll.living()}
-        for one in self.core.roll.dead():
-            if 0 <= one.seat < self.core.record and one.seat not in living:
-                left = one.standing is MemberState.LEFT
+        living = {one.seat for one in self.core.table.living()}
+        for one in self.core.table.dead():
+            if 0 <= one.seat < self.core.fleet_size and one.seat not in living:
+                left = one.state is MemberState.LEFT
                 since = round((loop.time() * 1000.0 - one.since) / 1000.0)
                 why = "left" if left else "dead, or cut off from here"
                 why = f"{why}, for {since} s"
                 found.append({"name": one.name, "seat": one.seat, "why": why, "lives": False})
-        known = living | {one.seat for one in self.core.roll.dead()}
-        for seat in range(self.core.record):
+        known = living | {one.seat for one in self.core.table.dead()}
+        for seat in range(self.core.fleet_size):
             if seat not in known:
                 found.append({"name": "", "seat": seat, "why": "nobody of it is known here", "lives": False})
         return found
--- a/cherrygrade/fleet/runtime/fleet_agent.py
+++ b/cherrygrade/fleet/runtime/fleet_agent.py
@@ -15,10 +15,18 @@
 
 import msgspec
 
+from cherrygrade.fleet.membership.effects import Effects
 from cherrygrade.fleet.membership.inbound_budget import InboundBudget
-from cherrygrade.fleet.membership.membership import Effects, Membership
-from cherrygrade.fleet.membership.messages import MOST_PAGE, AnyMessage, MessageCodec, Probe, letter
-from cherrygrade.fleet.membership.partition import TABLE, PartitionState
+from cherrygrade.fleet.membership.membership import Membership
+from cherrygrade.fleet.membership.membership_state import MembershipSettings
+from cherrygrade.fleet.membership.messages import (
+    MAX_DATAGRAM_BYTES,
+    AnyMessage,
+    MessageCodec,
+    Probe,
+    message_tag,
+)
+from cherrygrade.fleet.membership.partition import RULES_BY_STATE, PartitionState
 from cherrygrade.fleet.membership.table import MemberInfo, MemberRecord
 from cherrygrade.fleet.runtime.addresses import address
 from cherrygrade.scheduling.model import Attempt, Outcome
@@ -78,7 +86,17 @@
         self.book = MessageCodec(fleet.name)
         own = MemberInfo(fleet.place, fleet.zone, origin.version, origin.settings, seat)
         self.core = Membership(
-            name, origin.birth, own, record, fleet.contacts, seed, clock(), fleet.period_ms, fleet.keep_ms
+            MembershipSettings(
+                name,
+                origin.birth,
+                own,
+                record,
+                fleet.contacts,
+                seed,
+                fleet.period_ms,
+                fleet.keep_ms,
+            ),
+            clock(),
         )
         self.sent = self.sent_bytes = self.got = self.got_bytes = self.unsent = 0
         self.ration: InboundBudget[tuple[bytes, tuple[str, int]]] = InboundBudget(clock())
@@ -133,7 +151,7 @@
             council,
             self.fleet.name,
             self.name,
-            core.birth,
+            core.incarnation,
             self._seed,
             host,
             self.clock,
@@ -150,19 +168,19 @@
             council,
             self._seed,
             self.clock,
-            lambda: [one.name for one in core.roll.living()] if core.side is PartitionState.MOST else [],
+            lambda: [one.name for one in core.table.living()] if core.side is PartitionState.MOST else [],
             self._log,
         )
         self.tasks.start()
 
     def _where(self, name: str) -> str | None:
-        member = self.core.roll.members.get(name)
-        return member.facts.place if member is not None and member.facts is not None else None
+        member = self.core.table.members.get(name)
+        return member.info.address if member is not None and member.info is not None else None
 
     # What the dispatcher calls.
 
     def tell(self, peer: int | None, payload: bytes) -> None:
-        self._post(self.core.tell(peer, payload))
+        self._post(self.core.send_payload(peer, payload))
 
     def met(self, send: Attempt) -> None:
         """How a send ended, for what the fleet makes of its node. What never left tells nothing."""
@@ -170,7 +188,7 @@
         if how is not None:
             mark = crc32(send.node.address.encode()) & 0xFFFF
             self.addresses[mark] = send.node.address
-            self.core.sent(mark, how, self.clock())
+            self.core.attempt_ended(mark, how, self.clock())
 
     def leave(self) -> None:
         if self.tasks is not None:
@@ -202,18 +220,18 @@
         """What a person on call is shown."""
         core, now = self.core, self.clock()
         members = []
-        for one in sorted(core.roll, key=lambda one: one.name):
-            facts = one.facts or MemberInfo("")
+        for one in sorted(core.table, key=lambda one: one.name):
+            facts = one.info or MemberInfo("")
             members.append(
                 {
                     "name": one.name,
-                    "standing": one.standing.name.lower(),
+                    "standing": one.state.name.lower(),
                     "for_ms": round(now - one.since),
                     "by": one.by,
-                    "heard_ms_ago": round(now - one.heard) if one.heard > 0.0 else None,
-                    "birth": one.birth,
-                    "turn": one.turn,
-                    "place": facts.place,
+                    "heard_ms_ago": round(now - one.last_received_ms) if one.last_received_ms > 0.0 else None,
+                    "birth": one.incarnation,
+                    "turn": one.refutations,
+                    "place": facts.address,
                     "zone": facts.zone,
                     "version": facts.version,
                     "settings": facts.settings,
@@ -224,12 +242,12 @@
             "name": core.name,
             "fleet": self.fleet.name,
             "side": core.side.value,
-            "does": asdict(TABLE[core.side]),
-            "record": core.record,
-            "living": len(core.roll.living()),
-            "digest": f"{core.roll.digest:016x}",
-            "doubt": core.probing.doubt,
-            "yields": core.superseded or core.yielded_to,
+            "does": asdict(RULES_BY_STATE[core.side]),
+            "record": core.fleet_size,
+            "living": len(core.table.living()),
+            "digest": f"{core.table.digest:016x}",
+            "doubt": core.failure_detector.self_doubt,
+            "yields": core.superseded_by or core.seat_yielded_to,
             "counts": self.counts(),
             "members": members,
             "nodes": self._nodes(now),
@@ -240,7 +258,7 @@
 
     def _nodes(self, now: float) -> list[dict[str, Any]]:
         """Those that anybody has trouble with, as the fleet sees them."""
-        seen, found = self.core.seen, []
+        seen, found = self.core.reachability, []
         for mark in seen.troubled(now):
             view, bad, tried, zones = seen.view(mark, now)
             own = seen.own.get(mark)
@@ -265,12 +283,12 @@
             "got_bytes": self.got_bytes,
             "unsent": self.unsent,
             "beyond_ration": self.ration.dropped,
-            "overheard": core.overheard,
-            "accusations": core.probing.accusations,
-            "deaths": core.probing.deaths,
-            "refuted": core.refuted,
-            "stalls": core.probing.stalls,
-            "nodes_troubled": len(core.seen.troubled(self.clock())),
+            "overheard": core.ignored_messages,
+            "accusations": core.failure_detector.accusations,
+            "deaths": core.failure_detector.deaths,
+            "refuted": core.refuted_accusations,
+            "stalls": core.failure_detector.stalls,
+            "nodes_troubled": len(core.reachability.troubled(self.clock())),
             **{f"dropped_{why.replace(' ', '_')}": count for why, count in sorted(self.book.wrong.items())},
         }
 
@@ -278,14 +296,14 @@
 
     def came(self, data: bytes, source: tuple[str, int]) -> None:
         self.got, self.got_bytes = self.got + 1, self.got_bytes + len(data)
-        self.ration.came(letter(data), len(data), (data, source), self.clock())
+        self.ration.arrived(message_tag(data), len(data), (data, source), self.clock())
         if self._work_timer is None:
             self._work()
 
     def _unread(self) -> bool:
         """Whether pages wait, here or with the system. Guards against accusing somebody whose answer came
         while this process did not run: the event loop reads one datagram a turn, and timers ring between."""
-        if any(self.ration.waiting):
+        if self.ration.waiting:
             return True
         sock = self._transport.get_extra_info("socket") if self._transport is not None else None
         if sock is None:
@@ -302,28 +320,30 @@
             data, source = held
             page = self.book.read(data)
             if page is not None:
-                mail = self.core.hear(page, f"{source[0]}:{source[1]}", now)
+                mail = self.core.receive(page, f"{source[0]}:{source[1]}", now)
                 self._post(mail, source, len(data))
         due = self.ration.due(now)
         if due is not None and self._work_timer is None:
             self._work_timer = asyncio.get_running_loop().call_at(due / 1000.0, self._work)
 
     def _beat(self) -> None:
-        self._timer, self.core.short = None, self.ration.short
-        self.core.unread = self._unread()
+        self._timer, self.core.over_budget = None, self.ration.over_budget
+        self.core.has_unread = self._unread()
         self._post(self.core.beat(self.clock() + GRAIN_S * 1000.0))
 
-    def _post(self, mail: Effects, source: tuple[str, int] | None = None, length: int = MOST_PAGE) -> None:
-        for place, page in mail.pages:
-            self._send(page, address(place), MOST_PAGE)
-        for page in mail.answers:
+    def _post(
+        self, mail: Effects, source: tuple[str, int] | None = None, length: int = MAX_DATAGRAM_BYTES
+    ) -> None:
+        for place, page in mail.messages:
+            self._send(page, address(place), MAX_DATAGRAM_BYTES)
+        for page in mail.replies:
             self._send(page, source, length)
-        for name, place in mail.exchange:
+        for name, place in mail.table_exchanges:
             self._exchange(name, place)
-        for seat, payload in mail.words:
+        for seat, payload in mail.scheduler_messages:
             self._heard(seat, payload)
-        if mail.hints and self.config is not None:
-            self.config.heard(mail.hints)
+        if mail.config_reports and self.config is not None:
+            self.config.heard(mail.config_reports)
         self._show()
         at = self.core.due()
         if at < 1e14 and (self._timer is None or at < self._timer_at - 1.0):
@@ -336,12 +356,12 @@
         if to is None or self._transport is None or self._transport.is_closing():
             self.unsent += 1
             return
-        data = self.book.write(page, most if not isinstance(page, Probe) else MOST_PAGE)
+        data = self.book.write(page, most if not isinstance(page, Probe) else MAX_DATAGRAM_BYTES)
         if len(data) > most:
             self.unsent += 1
             return
         self._transport.sendto(data, to)
-        self.ration.spent(letter(data), len(data), self.clock())
+        self.ration.sent(message_tag(data), len(data), self.clock())
         self.sent, self.sent_bytes = self.sent + 1, self.sent_bytes + len(data)
 
     def _exchange(self, name: str, place: str) -> None:
@@ -353,12 +373,12 @@
     def _show(self) -> None:
         """A line where what this dispatcher takes itself for changed."""
         core = self.core
-        shown = (core.side, core.superseded, core.yielded_to)
+        shown = (core.side, core.superseded_by, core.seat_yielded_to)
         if shown != self._shown:
             self._shown = shown
-            facts: dict[str, Any] = {"living": len(core.roll.living()), "record": core.record}
-            if core.superseded or core.yielded_to:
-                facts["seat_is_of"] = core.superseded or core.yielded_to
+            facts: dict[str, Any] = {"living": len(core.table.living()), "record": core.fleet_size}
+            if core.superseded_by or core.seat_yielded_to:
+                facts["seat_is_of"] = core.superseded_by or core.seat_yielded_to
             self._log("fleet side", side=core.side.value, **facts)
 
 
@@ -406,7 +426,7 @@
             self._say()
 
     def _say(self) -> None:
-        claims = self.agent.core.whole()
+        claims = self.agent.core.all_records()
         loads = [claims[at : at + AT_ONCE] for at in range(0, len(claims), AT_ONCE)]
         for index, load in enumerate(loads):
             self.conn.send(Members(msgspec.msgpack.encode(load), index == len(loads) - 1))
--- a/cherrygrade/fleet/runtime/operator_commands.py
+++ b/cherrygrade/fleet/runtime/operator_commands.py
@@ -166,7 +166,7 @@
         here = config.status()
         replica = config.replica
         settled = replica is not None and replica.stage > 2 * number and bool(replica.stage % 2)
-        return {"here": here, "settled": settled, "missing": found, "record": config.core.record}
+        return {"here": here, "settled": settled, "missing": found, "record": config.core.fleet_size}
 
     def closed(self, conn: Connection, why: str) -> None:
         self._gone()
--- a/cherrygrade/fleet/runtime/peer_directory.py
+++ b/cherrygrade/fleet/runtime/peer_directory.py
@@ -13,17 +13,21 @@
     """Seats are the dispatchers' numbers. `has`: False where the configuration gives this one no part."""
 
     def __init__(self, core: Membership, number: int) -> None:
-        super().__init__(core.record)
+        super().__init__(core.fleet_size)
         self.core, self.number, self.has = core, number, True
 
     @property
     def forfeits_quota(self) -> bool:  # type: ignore[override]
-        return self.core.yields or not self.has
+        return self.core.forfeits_seat or not self.has
 
     def aggregator(self, node: int) -> int:
-        return self.core.keepers.keeper(node)
+        return self.core.aggregators.aggregator_seat(node)
 
     def publishes(self, node: int, now: float) -> bool:
         """One that is alone, or late with everything, leaves telling to others: sides.TABLE."""
-        keepers = self.core.keepers
-        return self.core.follows.keeps and keepers.keeper(node) == self.number and keepers.settled(node, now)
+        keepers = self.core.aggregators
+        return (
+            self.core.partition_rules.keeps
+            and keepers.aggregator_seat(node) == self.number
+            and keepers.settled(node, now)
+        )
--- a/cherrygrade/gateway/process.py
+++ b/cherrygrade/gateway/process.py
@@ -470,7 +470,7 @@
         self._in_force, self._unsure = (site, version, stage), not sure
         self.trade, self.bounds = into.trade, site.bounds
         self.come_back_ms = self.watch.come_back_ms = into.bearings.permits.max_retry_after_ms
-        self.agent.core.record = max(into.counts)
+        self.agent.core.fleet_size = max(into.counts)
         self.rounds.stir()
 
     def _held(self) -> list[InflightRequest]:
--- a/cherrygrade/lab/audits/broken.py
+++ b/cherrygrade/lab/audits/broken.py
@@ -15,7 +15,8 @@
 from typing import Any
 
 from cherrygrade.fleet.leases import lease_holder
-from cherrygrade.fleet.membership import failure_detector, load_aggregators, membership, seat_claims, table
+from cherrygrade.fleet.membership import failure_detector, load_aggregators, record_merger, seat_claims, table
+from cherrygrade.fleet.membership.table import Member, MembershipTable
 from cherrygrade.gateway import roster
 from cherrygrade.gateway.life import serve
 from cherrygrade.gateway.process import Gateway
@@ -116,7 +117,7 @@
         membership = getattr(self.company, "core", None)
         if membership is not None:
             for volume in self.volumes.values():
-                volume.hosts = max(1, len(membership.roll.living()))
+                volume.hosts = max(1, len(membership.table.living()))
         usual(self, now, writer, **came)
 
     scheduler.Scheduler.decide = decide  # type: ignore[method-assign]
@@ -125,24 +126,32 @@
 
 def _buries_nobody(site: SiteSettings) -> SiteSettings:
     """Who is suspect stays so."""
-    failure_detector.FailureDetector._bury = lambda self, now, does: self.suspects.clear()  # type: ignore[method-assign]
+
+    def clear(self: failure_detector.FailureDetector, now: float, effects: object) -> None:
+        self.suspicion_ends.clear()
+
+    failure_detector.FailureDetector._declare_failures = clear  # type: ignore[method-assign]
     return site
 
 
 def _raises(site: SiteSettings) -> SiteSettings:
     """Word of a death is answered with a new turn of the dead."""
-    usual = membership.Membership._join
-
-    def join(self: membership.Membership, claims: list[table.MemberRecord], by: str, now: float) -> list[str]:
-        claims = [
-            table.MemberRecord(one.name, one.birth, one.turn + 1, table.MemberState.ALIVE, one.facts)
-            if one.standing == table.MemberState.FAILED
+    usual = record_merger.RecordMerger.merge
+
+    def join(
+        self: record_merger.RecordMerger, records: list[table.MemberRecord], by: str, now: float
+    ) -> list[str]:
+        raised = [
+            table.MemberRecord(
+                one.name, one.incarnation, one.refutations + 1, table.MemberState.ALIVE, one.info
+            )
+            if one.state == table.MemberState.FAILED
             else one
-            for one in claims
+            for one in records
         ]
-        return usual(self, claims, by, now)
+        return usual(self, raised, by, now)
 
-    membership.Membership._join = join  # type: ignore[method-assign]
+    record_merger.RecordMerger.merge = join  # type: ignore[method-assign]
     return site
 
 
@@ -152,15 +161,17 @@
 
     def beat(self: failure_detector.FailureDetector, now: float) -> failure_detector.ProbeEffects:
         does = usual(self, now)
-        others = [one for one in self.roll.others() if one.name not in {out.name for out in self.outs}]
-        if others and self.count % 5 == 0:
-            one = min(others, key=lambda one: one.heard)
+        others = [
+            one for one in self.table.others() if one.name not in {out.name for out in self.outstanding}
+        ]
+        if others and self._counter % 5 == 0:
+            one = min(others, key=lambda one: one.last_received_ms)
             claim = table.MemberRecord(
-                one.name, one.birth, one.turn, table.MemberState.SUSPECT, by=self.roll.me
+                one.name, one.incarnation, one.refutations, table.MemberState.SUSPECT, by=self.table.me
             )
-            self.roll.hear(claim, now, self.roll.me)
-            self.heard(claim, now)
-            does.news.append(one.name)
+            self.table.merge(claim, now, self.table.me)
+            self.record_merged(claim, now)
+            does.changed.append(one.name)
         return does
 
     failure_detector.FailureDetector.beat = beat  # type: ignore[method-assign]
@@ -170,17 +181,17 @@
 def _stuck(site: SiteSettings) -> SiteSettings:
     """Nodes keep the keepers that they had when all were there."""
 
-    def living(self: load_aggregators.LoadAggregators, seats: Any, now: float) -> bool:
+    def update_seats(self: load_aggregators.LoadAggregators, seats: Any, now: float) -> bool:
         seats = [*seats]
         if not {*seats} <= {*self.seats}:
             self.seats = tuple(sorted({*self.seats, *seats}))
-            self._told.clear()
+            self._seat_by_node.clear()
         return False
 
-    load_aggregators.LoadAggregators.living = living  # type: ignore[method-assign]
+    load_aggregators.LoadAggregators.update_seats = update_seats  # type: ignore[method-assign]
 
-    def holder(roll: table.MembershipTable, seat: int) -> table.Member | None:
-        return next((one for one in roll if one.seat == seat), None)
+    def holder(table: MembershipTable, seat: int) -> Member | None:
+        return next((one for one in table if one.seat == seat), None)
 
     seat_claims.holder = holder
     return site
--- a/cherrygrade/lab/audits/fleetaudit.py
+++ b/cherrygrade/lab/audits/fleetaudit.py
@@ -135,12 +135,12 @@
     for at, source, to, lost, data in datagrams(folder / "ways.log"):
         said = book.read(data)
         page = Page(at, source, to, type(said).__name__, len(data), lost, getattr(said, "digest", 0))
-        if said is not None and said.name == f"d{source}" and said.birth not in story.births[said.name]:
-            story.births[said.name].append(said.birth)  # by its own word, from its own place
+        if said is not None and said.name == f"d{source}" and said.incarnation not in story.births[said.name]:
+            story.births[said.name].append(said.incarnation)  # by its own word, from its own place
         if isinstance(said, IndirectProbeRequest):
             page.target = said.target.name
-        for claim in getattr(said, "news", []):
-            page.told.append((claim.name, claim.birth, claim.turn, claim.standing, claim.by))
+        for claim in getattr(said, "records", []):
+            page.told.append((claim.name, claim.incarnation, claim.refutations, claim.state, claim.by))
             _facts(story, claim)
         story.pages.append(page)
         story.by_source[source].append(page)
@@ -158,11 +158,11 @@
 def _facts(story: Story, claim: MemberRecord) -> None:
     """What a member told of itself, whoever passes it on; a name that no process had is a lie of the
     day's."""
-    if claim.facts is None or claim.standing == MemberState.LEFT or not claim.name[1:].isdigit():
+    if claim.info is None or claim.state == MemberState.LEFT or not claim.name[1:].isdigit():
         return
-    told = story.facts[(claim.name, claim.birth)]
-    if (claim.turn, claim.facts) not in told:
-        told.append((claim.turn, claim.facts))
+    told = story.facts[(claim.name, claim.incarnation)]
+    if (claim.refutations, claim.info) not in told:
+        told.append((claim.refutations, claim.info))
 
 
 class Truth:
@@ -204,7 +204,7 @@
                 claim = MemberRecord(
                     name, birth, turn, MemberState.ALIVE, max(facts, key=lambda one: one[0])[1]
                 )
-                self._marks[key] = Member(claim, 0.0, "").mark()
+                self._marks[key] = Member(claim, 0.0, "").digest()
             found ^= self._marks[key]
         return found
 
--- a/cherrygrade/lab/exploration/members.py
+++ b/cherrygrade/lab/exploration/members.py
@@ -12,8 +12,9 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from cherrygrade.fleet.membership.failure_detector import CALLS, ProbeEffects
+from cherrygrade.fleet.membership.failure_detector import FINAL_PROBES, ProbeEffects
 from cherrygrade.fleet.membership.membership import Membership
+from cherrygrade.fleet.membership.membership_state import MembershipSettings
 from cherrygrade.fleet.membership.messages import Probe
 from cherrygrade.fleet.membership.table import Member, MemberInfo, MemberRecord, MemberState
 from cherrygrade.lab.exploration.explore import Breach, Told
@@ -27,21 +28,21 @@
     """One line of a roll. `turn_facts`: the turn that facts were told with, -1 where they are not known."""
 
     name: str
-    birth: int
-    turn: int
-    standing: int
+    incarnation: int
+    refutations: int
+    state: int
     turn_facts: int
 
     @property
     def key(self) -> tuple[int, bool, int, int]:
-        return (self.birth, self.standing == MemberState.LEFT, self.turn, self.standing)
+        return (self.incarnation, self.state == MemberState.LEFT, self.refutations, self.state)
 
 
 class Mind(NamedTuple):
     """What one process knows; `buried`: deaths that it ever knew of and forgot, by our count, not by its
     own."""
 
-    birth: int
+    incarnation: int
     entries: tuple[Entry, ...]
     gone: tuple[tuple[str, int, int], ...]
     left: bool = False
@@ -60,7 +61,7 @@
 
     def __str__(self) -> str:
         one = self.entry
-        told = f"{one.name}.{one.birth}/{one.turn}:{MemberState(one.standing).name}"
+        told = f"{one.name}.{one.incarnation}/{one.refutations}:{MemberState(one.state).name}"
         return f"{told} by itself" if self.itself else told
 
 
@@ -87,20 +88,22 @@
 
 def thaw(name: str, mind: Mind) -> Membership:
     """A member as the product has it, that knows this."""
-    core = Membership(name, mind.birth, FACTS[name], 3, [], 1, 0.0)
+    core = Membership(MembershipSettings(name, mind.incarnation, FACTS[name], 3, [], 1), 0.0)
     core.left = mind.left
-    members = core.roll.members
+    members = core.table.members
     members.clear()
-    core.roll._digest = 0
-    core.roll._dead.clear()
+    core.table._digest = 0
+    core.table._dead.clear()
     for entry in mind.entries:
         facts = FACTS[entry.name] if entry.turn_facts >= 0 else None
-        member = Member(MemberRecord(entry.name, entry.birth, entry.turn, entry.standing, facts), 0.0, "")
-        member.facts_turn = entry.turn_facts
+        member = Member(
+            MemberRecord(entry.name, entry.incarnation, entry.refutations, entry.state, facts), 0.0, ""
+        )
+        member.info_refutations = entry.turn_facts
         members[entry.name] = member
-        core.roll._count_in(member)
-    core.roll.comings += 1
-    core.roll.gone.update({name: (birth, turn) for name, birth, turn in mind.gone})
+        core.table._index(member)
+    core.table.version += 1
+    core.table.forgotten.update({name: (birth, turn) for name, birth, turn in mind.gone})
     return core
 
 
@@ -109,32 +112,32 @@
         sorted(
             Entry(
                 one.name,
-                one.birth,
-                one.turn,
-                int(one.standing),
-                one.facts_turn if one.facts is not None else -1,
+                one.incarnation,
+                one.refutations,
+                int(one.state),
+                one.info_refutations if one.info is not None else -1,
             )
-            for one in core.roll
+            for one in core.table
         )
     )
-    gone = tuple(sorted((name, birth, turn) for name, (birth, turn) in core.roll.gone.items()))
-    return Mind(core.birth, entries, gone, core.left)
+    gone = tuple(sorted((name, birth, turn) for name, (birth, turn) in core.table.forgotten.items()))
+    return Mind(core.incarnation, entries, gone, core.left)
 
 
 def accuse(core: Membership, name: str) -> None:
     """A probe of it came back neither straight nor through others."""
-    probing = core.probing
+    probing = core.failure_detector
     probing.begun = -LATE  # it is no newcomer
-    probing._probe(core.roll.members[name], 1.0, ProbeEffects(), again=True)
-    probing.heard_at = 2.0  # others spoke: it is not deaf
+    probing._probe(core.table.members[name], 1.0, ProbeEffects(), repeated=True)
+    probing.last_received_ms = 2.0  # others spoke: it is not deaf
     probing._end_period(3.0, ProbeEffects())
 
 
 def bury(core: Membership, name: str) -> None:
     """A suspicion ran out."""
-    core.probing.suspects[name] = 0.0
-    for call in range(1, CALLS + 2):  # the last calls, and what comes of them
-        core.probing._bury(call * LATE, ProbeEffects())
+    core.failure_detector.suspicion_ends[name] = 0.0
+    for call in range(1, FINAL_PROBES + 2):  # the last calls, and what comes of them
+        core.failure_detector._declare_failures(call * LATE, ProbeEffects())
 
 
 class Members:
@@ -173,12 +176,12 @@
             for entry in mind.entries:
                 if entry.name == name:
                     continue
-                if entry.standing == MemberState.ALIVE and now.accusations < bounds.accusations:
+                if entry.state == MemberState.ALIVE and now.accusations < bounds.accusations:
                     after = self._does(now, at, mind, "accuses", entry.name)
                     yield f"{name} accuses {entry.name}", after._replace(accusations=now.accusations + 1)
-                if entry.standing == MemberState.SUSPECT:
+                if entry.state == MemberState.SUSPECT:
                     yield f"{name} buries {entry.name}", self._does(now, at, mind, "buries", entry.name)
-            if bounds.forgets and any(entry.standing >= MemberState.FAILED for entry in mind.entries):
+            if bounds.forgets and any(entry.state >= MemberState.FAILED for entry in mind.entries):
                 yield f"{name} forgets", self._does(now, at, mind, "forgets", "")
             for word in self._told.of(now.told):
                 if self._comes_to(at, mind, "hears", word) != mind:
@@ -197,12 +200,16 @@
         core = thaw(name, mind)
         mail = core.leave(0.0)
         words = {
-            Word(Entry(one.name, one.birth, one.turn, one.standing, one.turn), one.facts is not None, True)
-            for _, page in mail.pages
+            Word(
+                Entry(one.name, one.incarnation, one.refutations, one.state, one.refutations),
+                one.info is not None,
+                True,
+            )
+            for _, page in mail.messages
             for one in getattr(page, "news", [])
         }
         turns = {(name, birth): turn for name, birth, turn in now.turns}
-        turns |= {(name, mind.birth): max([0, *(word.entry.turn for word in words)])}
+        turns |= {(name, mind.incarnation): max([0, *(word.entry.refutations for word in words)])}
         told = tuple(sorted((name, birth, turn) for (name, birth), turn in turns.items()))
         now = now._replace(told=now.told | self._told.mask(words), crashes=now.crashes + 1, turns=told)
         return self._put(now, at, freeze(core)._replace(buried=mind.buried))
@@ -215,7 +222,9 @@
             ACTS[act](core, what)
             after = freeze(core)
             buried = {*mind.buried}
-            buried |= {(e.name, e.birth, e.turn) for e in mind.entries if after.entry(e.name) is None}
+            buried |= {
+                (e.name, e.incarnation, e.refutations) for e in mind.entries if after.entry(e.name) is None
+            }
             after = self._after[key] = after._replace(buried=tuple(sorted(buried)))
             _monotone(NAMES[at], mind, after)
         return after
@@ -227,8 +236,8 @@
         turns = dict(((name, birth), turn) for name, birth, turn in now.turns)
         own = after.entry(NAMES[at])
         if own is not None:
-            key = (own.name, own.birth)
-            turns[key] = max(turns.get(key, 0), own.turn)
+            key = (own.name, own.incarnation)
+            turns[key] = max(turns.get(key, 0), own.refutations)
         minds = (*now.minds[:at], after, *now.minds[at + 1 :])
         told = tuple(sorted((name, birth, turn) for (name, birth), turn in turns.items()))
         return self._spread(now._replace(minds=minds, turns=told))
@@ -239,7 +248,7 @@
         for name, mind in zip(NAMES, now.minds, strict=True):
             if mind is not None and not mind.left:
                 for entry in mind.entries:
-                    words.add(Word(entry, entry.turn_facts == entry.turn, entry.name == name))
+                    words.add(Word(entry, entry.turn_facts == entry.refutations, entry.name == name))
                 for gone, birth, turn in mind.gone:  # to whoever comes back
                     words.add(Word(Entry(gone, birth, turn, MemberState.FAILED, -1), False, False))
         return now._replace(told=now.told | self._told.mask(words))
@@ -252,12 +261,12 @@
             if mind is None:
                 continue
             own = mind.entry(name)
-            if own is None or (own.standing != MemberState.ALIVE and not mind.left):
+            if own is None or (own.state != MemberState.ALIVE and not mind.left):
                 return f"{name} does not hold itself for living"
             for entry in mind.entries:
-                if entry.turn > turns.get((entry.name, entry.birth), -1):
-                    return f"{name} holds turn {entry.turn} of {entry.name}, which it never came to"
-                if entry.standing == MemberState.LEFT and self._lives(now, entry):
+                if entry.refutations > turns.get((entry.name, entry.incarnation), -1):
+                    return f"{name} holds turn {entry.refutations} of {entry.name}, which it never came to"
+                if entry.state == MemberState.LEFT and self._lives(now, entry):
                     return f"{name} takes {entry.name} for gone by its own will, and it is here"
         if now.minds not in self._judged:
             self._judged[now.minds] = self._comes_together(now)
@@ -265,7 +274,7 @@
 
     def _lives(self, now: Now, entry: Entry) -> bool:
         mind = now.minds[NAMES.index(entry.name)]
-        return mind is not None and mind.birth == entry.birth and not mind.left
+        return mind is not None and mind.incarnation == entry.incarnation and not mind.left
 
     def _comes_together(self, now: Now) -> str:
         """With all words between the living delivered from now on, and the dead found out, each holds just
@@ -277,26 +286,28 @@
         }
         for _ in range(12):
             for name, core in cores.items():
-                for member in [*core.roll]:
+                for member in [*core.table]:
                     if member.name not in cores and member.living:
-                        if member.standing is MemberState.ALIVE:
+                        if member.state is MemberState.ALIVE:
                             accuse(core, member.name)
                         bury(core, member.name)
                 for other in cores.values():
                     if other is not core:
-                        page = Probe(name, core.birth, 1, core.roll.digest, [core.roll.own.claim()])
-                        for answer in other.hear(page, FACTS[name].place, 0.0).answers:
-                            core.hear(answer, FACTS[other.name].place, 0.0)
-                        other.exchanged(core.whole(), name, 0.0)
-            digests = {core.roll.digest for core in cores.values()}
+                        page = Probe(name, core.incarnation, 1, core.table.digest, [core.table.own.record()])
+                        for answer in other.receive(page, FACTS[name].address, 0.0).replies:
+                            core.receive(answer, FACTS[other.name].address, 0.0)
+                        other.exchanged(core.all_records(), name, 0.0)
+            digests = {core.table.digest for core in cores.values()}
             alive = all(
-                {one.name for one in core.roll if one.standing is MemberState.ALIVE} == cores.keys()
+                {one.name for one in core.table if one.state is MemberState.ALIVE} == cores.keys()
                 for core in cores.values()
             )
             if alive and len(digests) <= 1:
                 return ""
         held = {
-            name: sorted(f"{one.name}/{one.birth}/{one.turn}:{one.standing.name}" for one in core.roll)
+            name: sorted(
+                f"{one.name}/{one.incarnation}/{one.refutations}:{one.state.name}" for one in core.table
+            )
             for name, core in cores.items()
         }
         return f"those who live do not come together: {held}"
@@ -305,14 +316,14 @@
 def hear(core: Membership, word: Word) -> None:
     entry = word.entry
     facts = FACTS[entry.name] if word.facts else None
-    claim = MemberRecord(entry.name, entry.birth, entry.turn, entry.standing, facts)
-    core._join([claim], entry.name if word.itself else "x", 0.0)
+    claim = MemberRecord(entry.name, entry.incarnation, entry.refutations, entry.state, facts)
+    core.record_merger.merge([claim], entry.name if word.itself else "x", 0.0)
 
 
 ACTS: dict[str, Callable[[Membership, Any], object]] = {
     "accuses": accuse,
     "buries": bury,
-    "forgets": lambda core, _: core.roll.forget(LATE),
+    "forgets": lambda core, _: core.table.forget(LATE),
     "hears": hear,
 }
 
@@ -325,5 +336,5 @@
             raise Breach(f"{name} took {held} for newer than {entry}")
     for gone, birth, turn in before.buried:
         held = after.entry(gone)
-        if held is not None and (held.birth, held.turn) <= (birth, turn):
+        if held is not None and (held.incarnation, held.refutations) <= (birth, turn):
             raise Breach(f"{name} takes {gone} back, which was dead in turn {turn}, by {held}")
--- a/cherrygrade/lab/scale/holdback.py
+++ b/cherrygrade/lab/scale/holdback.py
@@ -14,7 +14,7 @@
 from time import perf_counter
 from typing import Any, BinaryIO
 
-from cherrygrade.fleet.membership.messages import letter
+from cherrygrade.fleet.membership.messages import message_tag
 from cherrygrade.lab.scale.plan import Ways, number_of
 from cherrygrade.lab.scale.watch import Watch
 from cherrygrade.standin.ways import ENTRY
@@ -123,7 +123,7 @@
     def _hear(self, data: bytes, addr: Any) -> None:
         if self.held is None or self.held.is_closing():
             return
-        words = letter(data) == b"w"  # of modules: what they say is no talk of the fleet's own
+        words = message_tag(data) == b"w"  # of modules: what they say is no talk of the fleet's own
         self._loop.between.count(self._me, WORDS if words else GOT)
         self._loop.between.count(self._me, WORDS_BYTES if words else GOT_BYTES, len(data))
         self._inner.datagram_received(data, addr)
--- a/cherrygrade/lab/scale/host.py
+++ b/cherrygrade/lab/scale/host.py
@@ -163,10 +163,10 @@
         for number, agent in self.members.items():
             core = agent.core
             found[str(number)] = {
-                "digest": f"{core.roll.digest:016x}",
-                "living": len(core.roll.living()),
+                "digest": f"{core.table.digest:016x}",
+                "living": len(core.table.living()),
                 "side": core.side.value,
-                "entries": len(core.roll.members),
+                "entries": len(core.table.members),
                 "held": len(agent.tasks.holding.held) if agent.tasks is not None else 0,
                 **followed(agent),
             }
@@ -226,7 +226,7 @@
                 self.between.ways.cuts.pop(str(line["name"]), None)
         elif do == "round":  # those of the first were shuffled before real members were known
             for agent in self.members.values():
-                agent.core.probing.order.clear()
+                agent.core.failure_detector.round_order.clear()
         elif do == "state":
             return self.state()
         else:
--- a/cherrygrade/lab/scale/watch.py
+++ b/cherrygrade/lab/scale/watch.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from cherrygrade.fleet.membership.messages import HEAD, GossipPush, Probe, ProbeAck
+from cherrygrade.fleet.membership.messages import HEADER, GossipPush, Probe, ProbeAck
 from cherrygrade.fleet.membership.table import MemberState
 
 AGAIN_MS = 500.0  # a digest that did not change is noted again after this
@@ -24,11 +24,11 @@
 
     def passed(self, at: float, source: int, data: bytes) -> bool:
         """Whether this datagram is to be noted."""
-        kind = data[HEAD.size + 2 : HEAD.size + 3]
+        kind = data[HEADER.size + 2 : HEADER.size + 3]
         if kind not in (b"p", b"a", b"n"):
             return False
         try:
-            page = _decoder.decode(memoryview(data)[HEAD.size :])
+            page = _decoder.decode(memoryview(data)[HEADER.size :])
         except (msgspec.MsgspecError, UnicodeDecodeError):
             return False
         worth = False
@@ -37,13 +37,13 @@
             if known is None or known[0] != page.digest or at - known[1] >= AGAIN_MS:
                 self.digests[source] = (page.digest, at)
                 worth = True
-        if page.news:
+        if page.records:
             told = self.told.setdefault(source, set())
-            for claim in page.news:
+            for claim in page.records:
                 # Suspicions come and go; the audit looks at who lives and who is called dead.
-                if claim.standing == MemberState.SUSPECT:
+                if claim.state == MemberState.SUSPECT:
                     continue
-                key = (claim.name, claim.birth, claim.turn, claim.standing)
+                key = (claim.name, claim.incarnation, claim.refutations, claim.state)
                 if key not in told:
                     told.add(key)
                     worth = True
--- a/cherrygrade/lab/virtual/many.py
+++ b/cherrygrade/lab/virtual/many.py
@@ -14,8 +14,10 @@
 from statistics import median
 from typing import Any
 
-from cherrygrade.fleet.membership.membership import Effects, Membership
-from cherrygrade.fleet.membership.messages import MOST_PAGE, MessageCodec, Probe
+from cherrygrade.fleet.membership.effects import Effects
+from cherrygrade.fleet.membership.membership import Membership
+from cherrygrade.fleet.membership.membership_state import MembershipSettings
+from cherrygrade.fleet.membership.messages import MAX_DATAGRAM_BYTES, MessageCodec, Probe
 from cherrygrade.fleet.membership.table import MemberInfo, MemberRecord, MemberState
 from cherrygrade.virtual.datagrams import Rain
 
@@ -52,24 +54,26 @@
         self.by_place = {place: at for at, place in enumerate(places)}
         self.cores = [
             Membership(
-                f"d{at}",
-                BORN,
-                MemberInfo(place, f"z{at % 3}", "1", "s", at),
-                count,
-                places[:3],
-                seed * 10007 + at,
+                MembershipSettings(
+                    f"d{at}",
+                    BORN,
+                    MemberInfo(place, f"z{at % 3}", "1", "s", at),
+                    count,
+                    places[:3],
+                    seed * 10007 + at,
+                ),
                 0.0,
             )
             for at, place in enumerate(places)
         ]
         first = self.cores[0]
         for core in self.cores[1:]:
-            first.roll.hear(core.roll.own.claim(), 0.0, core.name)
+            first.table.merge(core.table.own.record(), 0.0, core.name)
         for core in self.cores[1:]:
-            core.roll.alike(first.roll)
+            core.table.copy_others(first.table)
         self._due = [float("inf")] * count
         for at, core in enumerate(self.cores):
-            core.news.drop(core.name)
+            core.gossip.drop(core.name)
             core.exchanged([], "", 0.0)
             self._look(at)
 
@@ -107,14 +111,14 @@
         self._due[at] = float("inf")
         self._post(at, self.cores[at].beat(self.now + 5.0), "")
 
-    def _post(self, at: int, mail: Effects, source: str, length: int = MOST_PAGE) -> None:
-        for place, page in mail.pages:
+    def _post(self, at: int, mail: Effects, source: str, length: int = MAX_DATAGRAM_BYTES) -> None:
+        for place, page in mail.messages:
             self._send(at, self.book.write(page), place)
-        for page in mail.answers:
-            data = self.book.write(page, length if not isinstance(page, Probe) else MOST_PAGE)
+        for page in mail.replies:
+            data = self.book.write(page, length if not isinstance(page, Probe) else MAX_DATAGRAM_BYTES)
             if len(data) <= length:
                 self._send(at, data, source)
-        for _, place in mail.exchange:
+        for _, place in mail.table_exchanges:
             to = self.by_place[place]
             if to not in self.killed and (at in self.cut) == (to in self.cut):
                 self.later(EXCHANGE_MS, self._exchange, at, to)
@@ -133,14 +137,14 @@
             return
         page = self.book.read(data)
         if page is not None:
-            source = self.cores[at].place
-            self._post(to, self.cores[to].hear(page, source, self.now), source, len(data))
+            source = self.cores[at].address
+            self._post(to, self.cores[to].receive(page, source, self.now), source, len(data))
 
     def _exchange(self, one: int, other: int) -> None:
         if one in self.killed or other in self.killed:
             return
-        theirs: list[MemberRecord] = self.cores[other].whole()
-        self.cores[other].exchanged(self.cores[one].whole(), self.cores[one].name, self.now)
+        theirs: list[MemberRecord] = self.cores[other].all_records()
+        self.cores[other].exchanged(self.cores[one].all_records(), self.cores[one].name, self.now)
         self.cores[one].exchanged(theirs, self.cores[other].name, self.now)
         self._look(one)
         self._look(other)
@@ -153,8 +157,8 @@
     def whole(self) -> bool:
         """Whether all that live hold the same, and just the living."""
         living = self.living()
-        return len({self.cores[at].roll.digest for at in living}) == 1 and all(
-            not any(self.cores[at].roll.lives(f"d{dead}") for dead in self.killed) for at in living[:1]
+        return len({self.cores[at].table.digest for at in living}) == 1 and all(
+            not any(self.cores[at].table.is_living(f"d{dead}") for dead in self.killed) for at in living[:1]
         )
 
 
@@ -170,17 +174,17 @@
 
     def all_know() -> bool:
         for one in many.living():
-            roll = many.cores[one].roll
-            if one not in known and not any(roll.lives(name) for name in names):
+            roll = many.cores[one].table
+            if one not in known and not any(roll.is_living(name) for name in names):
                 known[one] = many.now - at
         return len(known) == count - dead
 
     many.run(20_000.0, all_know)
     times = sorted(known.values()) if len(known) == count - dead else [float("inf")]
     wrong = sum(
-        member.standing is MemberState.FAILED and int(member.name[1:]) not in many.killed
+        member.state is MemberState.FAILED and int(member.name[1:]) not in many.killed
         for one in many.living()[:20]
-        for member in many.cores[one].roll
+        for member in many.cores[one].table
     )
     most = max(many.bytes.values()) / count
     return Figures(times[0], median(times), times[-1], rest, most, wrong)
--- a/cherrygrade/lab/virtual/virtual_fleet.py
+++ b/cherrygrade/lab/virtual/virtual_fleet.py
@@ -79,15 +79,15 @@
 
     def equal(self) -> bool:
         cores = self.cores().values()
-        whole = all(len(core.roll.living()) == len(self.agents) for core in cores)
-        return whole and len({core.roll.digest for core in cores}) == 1
+        whole = all(len(core.table.living()) == len(self.agents) for core in cores)
+        return whole and len({core.table.digest for core in cores}) == 1
 
     def called(self, name: str, standing: MemberState, birth: int | None = None) -> set[int]:
         """Who holds it for that."""
         found = set()
         for number, core in self.cores().items():
-            member = core.roll.members.get(name)
-            if member is not None and member.standing is standing and birth in (None, member.birth):
+            member = core.table.members.get(name)
+            if member is not None and member.state is standing and birth in (None, member.incarnation):
                 found.add(number)
         return found
 
--- a/cherrygrade/standin/ways.py
+++ b/cherrygrade/standin/ways.py
@@ -220,7 +220,7 @@
     def _know(self, data: bytes, source: int) -> None:
         page = self.book.read(data)
         if page is not None:
-            self.births[source] = (page.name, page.birth)
+            self.births[source] = (page.name, page.incarnation)
 
     def _note(self, data: bytes, source: int, to: int, lost: bool) -> None:
         """As it is: it is read by the audit, not here, so that the ways keep up with a fleet of hundreds."""
--- a/tests/fleet/membership/test_explore_members.py
+++ b/tests/fleet/membership/test_explore_members.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cherrygrade.fleet.membership import failure_detector, membership, table
+from cherrygrade.fleet.membership import failure_detector, record_merger, table
 from cherrygrade.lab.exploration.explore import Breach, explore
 from cherrygrade.lab.exploration.members import Bounds, Members
 
@@ -62,11 +62,11 @@
 
 def by_standing(self: Any) -> tuple[int, bool, int, int]:
     """An older word that is worse holds over a newer one."""
-    return (self.birth, False, 0, int(self.standing))
+    return (self.incarnation, False, 0, int(self.state))
 
 
 def any_birth(self: Any) -> tuple[int, bool, int, int]:
-    return (0, self.standing == table.MemberState.LEFT, self.turn, int(self.standing))
+    return (0, self.state == table.MemberState.LEFT, self.refutations, int(self.state))
 
 
 def older_words(patch: pytest.MonkeyPatch) -> None:
@@ -84,43 +84,49 @@
 
     def drop(self: table.MembershipTable, name: str) -> None:
         usual(self, name)
-        self.gone.clear()
+        self.forgotten.clear()
 
     patch.setattr(table.MembershipTable, "_drop", drop)
 
 
 def no_way_back(patch: pytest.MonkeyPatch) -> None:
     """As it was before the exploration found it: who was forgotten is told nothing."""
-    patch.setattr(table.MembershipTable, "forgotten", lambda self, name, birth: None)
+    patch.setattr(table.MembershipTable, "forgotten_record", lambda self, name, birth: None)
 
 
 def no_refuting(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(table.MembershipTable, "raise_turn", lambda self, above, now, seat=None: None)
+    patch.setattr(table.MembershipTable, "refute", lambda self, above, now, seat=None: None)
 
 
 def raised_by_others(patch: pytest.MonkeyPatch) -> None:
-    usual = membership.Membership._join
+    usual = record_merger.RecordMerger.merge
 
-    def join(self: membership.Membership, claims: list[table.MemberRecord], by: str, now: float) -> list[str]:
+    def join(
+        self: record_merger.RecordMerger, claims: list[table.MemberRecord], by: str, now: float
+    ) -> list[str]:
         raised = [
-            table.MemberRecord(one.name, one.birth, one.turn + 1, 0, one.facts) if one.standing == 2 else one
+            table.MemberRecord(one.name, one.incarnation, one.refutations + 1, 0, one.info)
+            if one.state == 2
+            else one
             for one in claims
         ]
         return usual(self, raised, by, now)
 
-    patch.setattr(membership.Membership, "_join", join)
+    patch.setattr(record_merger.RecordMerger, "merge", join)
 
 
 def died_of_its_own_will(patch: pytest.MonkeyPatch) -> None:
-    usual = failure_detector.FailureDetector._bury
+    usual = failure_detector.FailureDetector._declare_failures
 
-    def bury(self: failure_detector.FailureDetector, now: float, does: failure_detector.ProbeEffects) -> None:
-        usual(self, now, does)
-        for one in self.roll:
-            if one.standing is table.MemberState.FAILED:
-                one.standing = table.MemberState.LEFT
+    def bury(
+        self: failure_detector.FailureDetector, now: float, effects: failure_detector.ProbeEffects
+    ) -> None:
+        usual(self, now, effects)
+        for one in self.table:
+            if one.state is table.MemberState.FAILED:
+                one.state = table.MemberState.LEFT
 
-    patch.setattr(failure_detector.FailureDetector, "_bury", bury)
+    patch.setattr(failure_detector.FailureDetector, "_declare_failures", bury)
 
 
 @pytest.mark.parametrize(
--- a/tests/fleet/membership/test_many_members.py
+++ b/tests/fleet/membership/test_many_members.py
@@ -28,6 +28,6 @@
     many.run(2000.0)
     many.cut = {*range(0, 200, 2)}
     many.run(12_000.0)
-    assert all(many.cores[at].roll.lives("d1") is (at % 2 == 1) for at in range(200))
+    assert all(many.cores[at].table.is_living("d1") is (at % 2 == 1) for at in range(200))
     many.cut = set()
     assert many.run(5000.0, many.whole)
--- a/tests/fleet/membership/test_membership_messages.py
+++ b/tests/fleet/membership/test_membership_messages.py
@@ -11,9 +11,10 @@
 from hypothesis import strategies as st
 
 from cherrygrade.fleet.membership.membership import Membership
+from cherrygrade.fleet.membership.membership_state import MembershipSettings
 from cherrygrade.fleet.membership.messages import (
-    HEAD,
-    MOST_PAGE,
+    HEADER,
+    MAX_DATAGRAM_BYTES,
     ConfigAdvert,
     ConfigQuery,
     ConfigReply,
@@ -22,7 +23,7 @@
     Probe,
     ProbeAck,
     SchedulerMessage,
-    letter,
+    message_tag,
 )
 from cherrygrade.fleet.membership.table import MemberInfo, MemberRecord, MemberState
 
@@ -34,7 +35,7 @@
 
 
 def core() -> Membership:
-    made = Membership("d0", 1, MemberInfo("10.0.0.0:1", seat=0), 40, [], 1, 0.0)
+    made = Membership(MembershipSettings("d0", 1, MemberInfo("10.0.0.0:1", seat=0), 40, [], 1), 0.0)
     made.exchanged(ALIVE, "d1", 1.0)
     return made
 
@@ -47,22 +48,22 @@
         SchedulerMessage("d1", 1, 1, b"x" * 240),
     ):
         data = book.write(page)
-        assert len(data) <= MOST_PAGE
+        assert len(data) <= MAX_DATAGRAM_BYTES
         read = book.read(data)
         assert type(read) is type(page) and read.name == "d1"
         if not isinstance(page, SchedulerMessage):
-            assert read.news == page.news[: len(read.news)] and len(read.news) >= 10
+            assert read.records == page.records[: len(read.records)] and len(read.records) >= 10
     assert len(book.write(Probe("d1", 1, 7, 99))) >= 300
 
 
 def test_an_answer_is_no_longer_than_what_asked_for_it():
     book, here = MessageCodec("fleet"), core()
     for name in (one.name for one in ALIVE[1:]):
-        here.news.add(name, 2.0)
+        here.gossip.add(name, 2.0)
     data = book.write(Probe("d9", 1, 7, 99))
-    mail = here.hear(book.read(data), "10.0.0.9:1", 3.0)
-    assert len(mail.answers) == 1 and isinstance(mail.answers[0], ProbeAck)
-    assert len(book.write(mail.answers[0], len(data))) <= len(data)
+    mail = here.receive(book.read(data), "10.0.0.9:1", 3.0)
+    assert len(mail.replies) == 1 and isinstance(mail.replies[0], ProbeAck)
+    assert len(book.write(mail.replies[0], len(data))) <= len(data)
 
 
 def test_what_is_of_another_fleet_or_version_or_spoilt_is_counted_by_its_kind():
@@ -71,7 +72,7 @@
     assert book.read(other.write(Probe("d1", 1, 7, 99))) is None
     assert book.read(b"cgF9" + data[4:]) is None
     assert book.read(data[:-1] + b"\x00\x01") is None and book.read(b"") is None
-    assert book.read(data + bytes(MOST_PAGE)) is None
+    assert book.read(data + bytes(MAX_DATAGRAM_BYTES)) is None
     assert book.wrong == {"another fleet": 1, "version": 1, "checksum": 1, "length": 2}
 
 
@@ -91,24 +92,26 @@
 def test_a_whole_frame_around_nonsense_is_dropped_or_harmless(value, tag):
     book, here = MessageCodec("fleet"), core()
     body = msgspec.msgpack.encode([tag, *(value if isinstance(value, list) else [value])])
-    data = HEAD.pack(b"cgF1", book.mark, xxhash.xxh3_64_intdigest(body)) + body
+    data = HEADER.pack(b"cgF1", book.fleet_hash, xxhash.xxh3_64_intdigest(body)) + body
     page = book.read(data)
     if page is not None:
-        here.hear(page, "10.0.0.9:1", 3.0)
+        here.receive(page, "10.0.0.9:1", 3.0)
         here.beat(500.0)
-    assert len(here.roll.members) <= 160
+    assert len(here.table.members) <= 160
 
 
 def test_lies_about_others_cost_no_more_than_their_own_word_mends():
     here = core()
     lies = [MemberRecord("d7", 1, 0, MemberState.FAILED), MemberRecord("d0", 1, 4, MemberState.FAILED)]
-    here.hear(GossipPush("d5", 1, lies), "10.0.0.5:1", 5.0)
-    assert here.roll.own.standing is MemberState.ALIVE and here.roll.own.turn == 5  # its own word against it
-    assert here.roll.members["d7"].standing is MemberState.FAILED
-    here.hear(
-        GossipPush("d7", 1, [MemberRecord("d7", 1, 1, MemberState.ALIVE, ALIVE[7].facts)]), "10.0.0.7:1", 6.0
+    here.receive(GossipPush("d5", 1, lies), "10.0.0.5:1", 5.0)
+    assert (
+        here.table.own.state is MemberState.ALIVE and here.table.own.refutations == 5
+    )  # its own word against it
+    assert here.table.members["d7"].state is MemberState.FAILED
+    here.receive(
+        GossipPush("d7", 1, [MemberRecord("d7", 1, 1, MemberState.ALIVE, ALIVE[7].info)]), "10.0.0.7:1", 6.0
     )
-    assert here.roll.members["d7"].standing is MemberState.ALIVE
+    assert here.table.members["d7"].state is MemberState.ALIVE
 
 
 def test_births_and_turns_that_cannot_be_move_nothing():
@@ -122,17 +125,25 @@
         MemberRecord("d7", 2**52, 0, MemberState.ALIVE, far),
         MemberRecord("d8", 1, 2**62, MemberState.SUSPECT),
     ]
-    here.hear(GossipPush("d5", 1, lies), "10.0.0.5:1", 5.0)
-    assert not here.silent and here.roll.own.turn == 0
-    assert here.roll.members["d7"].birth == 1 and here.roll.members["d8"].turn == 0
+    here.receive(GossipPush("d5", 1, lies), "10.0.0.5:1", 5.0)
+    assert not here.silent and here.table.own.refutations == 0
+    assert here.table.members["d7"].incarnation == 1 and here.table.members["d8"].refutations == 0
 
 
 def test_words_of_whoever_does_not_hold_the_seat_move_nothing():
     here = core()
-    assert here.hear(SchedulerMessage("d5", 1, 5, b"word"), "10.0.0.5:1", 5.0).words == [(5, b"word")]
+    assert here.receive(SchedulerMessage("d5", 1, 5, b"word"), "10.0.0.5:1", 5.0).scheduler_messages == [
+        (5, b"word")
+    ]
     for name, birth, seat in (("d5", 1, 6), ("d5", 2, 5), ("nobody", 1, 5), ("d0", 1, 0), ("d5", 1, -1)):
-        assert here.hear(SchedulerMessage(name, birth, seat, b"w"), "10.0.0.5:1", 5.0).words == []
-    flood = [here.hear(SchedulerMessage("d6", 1, 6, b"w"), "10.0.0.6:1", 6.0).words for _ in range(1000)]
+        assert (
+            here.receive(SchedulerMessage(name, birth, seat, b"w"), "10.0.0.5:1", 5.0).scheduler_messages
+            == []
+        )
+    flood = [
+        here.receive(SchedulerMessage("d6", 1, 6, b"w"), "10.0.0.6:1", 6.0).scheduler_messages
+        for _ in range(1000)
+    ]
     assert sum(len(words) for words in flood) == 400
 
 
@@ -143,26 +154,26 @@
     """As a reader of before has them: without what came at their ends."""
 
     name: str
-    birth: int
+    incarnation: int
 
 
 class OldProbe(OldPage, frozen=True, tag="p"):
     number: int
     digest: int
-    news: list[MemberRecord] = []
-    met: list[Any] = []
-    filling: bytes = b""
+    records: list[MemberRecord] = []
+    node_contacts: list[Any] = []
+    padding: bytes = b""
 
 
 class OldAnswer(OldPage, frozen=True, tag="a"):
     number: int
     digest: int
-    news: list[MemberRecord] = []
-    met: list[Any] = []
+    records: list[MemberRecord] = []
+    node_contacts: list[Any] = []
 
 
 class OldPush(OldPage, frozen=True, tag="n"):
-    news: list[MemberRecord] = []
+    records: list[MemberRecord] = []
 
 
 def test_a_reader_of_before_passes_over_the_configuration_and_its_pages_are_read_here():
@@ -174,11 +185,12 @@
     ]
     for page, old, kind in pages:
         data = book.write(page)
-        read = msgspec.msgpack.decode(data[HEAD.size :], type=old)
-        assert (read.name, read.birth, read.news) == ("d1", 1, ALIVE[:2]) and letter(data) == kind
+        read = msgspec.msgpack.decode(data[HEADER.size :], type=old)
+        assert (read.name, read.incarnation, read.records) == ("d1", 1, ALIVE[:2])
+        assert message_tag(data) == kind
         body = msgspec.msgpack.encode(read)
-        back = book.read(HEAD.pack(b"cgF1", book.mark, xxhash.xxh3_64_intdigest(body)) + body)
-        assert back is not None and back.config is None and back.news == ALIVE[:2]
+        back = book.read(HEADER.pack(b"cgF1", book.fleet_hash, xxhash.xxh3_64_intdigest(body)) + body)
+        assert back is not None and back.config is None and back.records == ALIVE[:2]
         assert book.read(data).config.stage == page.config.stage
     assert not book.wrong
 
@@ -187,12 +199,12 @@
     book = MessageCodec("fleet")
 
     def both(hint):
-        bare = hint and ConfigAdvert(hint.stage, hint.mark)
+        bare = hint and ConfigAdvert(hint.stage, hint.digest_prefix)
         ask = Probe("dispatcher-112", 1_700_000_000_000, 2**30, 2**63, config=hint)
         answer = ProbeAck("dispatcher-113", 1_700_000_000_000, 2**30, 2**63, config=bare)
         return len(book.write(ask)) + len(book.write(answer))
 
-    before = len(HEAD.pack(b"", 0, 0)) + len(
+    before = len(HEADER.pack(b"", 0, 0)) + len(
         msgspec.msgpack.encode(OldAnswer("dispatcher-113", 1_700_000_000_000, 2**30, 2**63))
     )
     assert both(ConfigAdvert(2**20, 2**64 - 1)) < 1.05 * (300 + before)
@@ -204,22 +216,22 @@
     book = MessageCodec("fleet")
     assert book.read(book.write(Probe("d1", 1, 7, 99, config=HINT))).config == HINT
     full = book.read(book.write(Probe("d1", 1, 7, 99, ALIVE[:30], config=HINT)))
-    assert full.config == ConfigAdvert(HINT.stage, HINT.mark) and full.news == ALIVE[:30]
+    assert full.config == ConfigAdvert(HINT.stage, HINT.digest_prefix) and full.records == ALIVE[:30]
 
 
 def test_who_is_asked_which_answers_with_no_more_than_the_question_and_says_nothing_without_any():
     book, here = MessageCodec("fleet"), core()
-    asks = [page for _, page in core().which("d7", 2**64 - 1).pages]
+    asks = [page for _, page in core().query_config("d7", 2**64 - 1).messages]
     assert [type(page) for page in asks] == [ConfigQuery]
     data = book.write(ConfigQuery("d9", 1, 2**64 - 1))
-    assert not here.hear(book.read(data), "10.0.0.9:1", 3.0).answers
-    here.config = ConfigAdvert(0, 0)  # none yet: told to who asks, and rides on nothing
-    assert here.hear(book.read(data), "10.0.0.9:1", 3.0).answers == [
+    assert not here.receive(book.read(data), "10.0.0.9:1", 3.0).replies
+    here.config.advert = ConfigAdvert(0, 0)  # none yet: told to who asks, and rides on nothing
+    assert here.receive(book.read(data), "10.0.0.9:1", 3.0).replies == [
         ConfigReply("d0", 1, 2**64 - 1, 0, ConfigAdvert(0, 0))
     ]
-    assert here.hear(Probe("d7", 1, 9, 9), "10.0.0.7:1", 3.0).answers[0].config is None
-    here.config, here.config_why = HINT, "x" * 120
-    answer = here.hear(book.read(data), "10.0.0.9:1", 3.0).answers[0]
+    assert here.receive(Probe("d7", 1, 9, 9), "10.0.0.7:1", 3.0).replies[0].config is None
+    here.config.advert, here.config.refusal = HINT, "x" * 120
+    answer = here.receive(book.read(data), "10.0.0.9:1", 3.0).replies[0]
     assert answer == ConfigReply("d0", 1, 2**64 - 1, 0, HINT, "x" * 120)
     told = book.write(answer, len(data))
     assert len(told) <= len(data) and book.read(told).config.stage == HINT.stage
@@ -227,13 +239,16 @@
 
 def test_words_on_the_configuration_are_handed_on_of_the_living_alone_and_first_hand_by_their_number():
     here, hint = core(), ConfigAdvert(7, 8)
-    here.config = ConfigAdvert(3, 4)
-    [asked] = [page for _, page in here.beat(500.0).pages if isinstance(page, Probe)][:1]
+    here.config.advert = ConfigAdvert(3, 4)
+    [asked] = [page for _, page in here.beat(500.0).messages if isinstance(page, Probe)][:1]
     assert asked.config == ConfigAdvert(3, 4)
-    target = here.probing.outs[0].name
+    target = here.failure_detector.outstanding[0].name
 
     def heard(page):
-        return [(one.name, one.first, one.nonce) for one in here.hear(page, "10.0.0.9:1", 501.0).hints]
+        return [
+            (one.name, one.first_hand, one.nonce)
+            for one in here.receive(page, "10.0.0.9:1", 501.0).config_reports
+        ]
 
     assert heard(ProbeAck(target, 1, asked.number + 1, 9, config=hint)) == [(target, False, 0)]
     assert heard(ProbeAck(target, 1, asked.number, 9, config=hint)) == [(target, True, 0)]
@@ -244,4 +259,6 @@
     assert (
         heard(GossipPush("d7", 2, [], hint)) == heard(GossipPush("nobody", 1, [], hint)) == []
     )  # another life
-    assert [page.config for _, page in here.hint(["d5", "nobody"]).pages] == [ConfigAdvert(3, 4)]
+    assert [page.config for _, page in here.advertise_config(["d5", "nobody"]).messages] == [
+        ConfigAdvert(3, 4)
+    ]
--- a/tests/fleet/membership/test_reachability.py
+++ b/tests/fleet/membership/test_reachability.py
@@ -9,13 +9,13 @@
 def told(seen: ReachabilityView, now: float, *troubled: bool, node: int = 7) -> None:
     for at, trouble in enumerate(troubled):
         met = NodeContact(node, 0 if trouble else 9, 0, 9 if trouble else 0, 100)
-        seen.hear(f"d{at}", f"z{at % 2}", [met], now)
+        seen.report_received(f"d{at}", f"z{at % 2}", [met], now)
 
 
 def test_where_others_are_answered_it_is_our_own_link():
     seen = ReachabilityView()
     for _ in range(5):
-        seen.sent(7, "silent", 0.0)
+        seen.attempt_ended(7, "silent", 0.0)
     told(seen, 0.0, False, False, True)
     assert seen.view(7, 0.0) == (Reachability.LINK, 1, 3, ["z0"])
     assert seen.troubled(0.0) == [7]
@@ -23,7 +23,7 @@
 
 def test_where_most_meet_trouble_it_is_the_node():
     seen = ReachabilityView()
-    seen.sent(7, "answered", 0.0)
+    seen.attempt_ended(7, "answered", 0.0)
     told(seen, 0.0, True, True, False)
     assert seen.view(7, 0.0) == (Reachability.BAD, 2, 3, ["z0", "z1"])
 
@@ -35,13 +35,13 @@
     told(seen, 0.0, True, True, True)
     assert seen.view(7, FRESH_MS + 1.0)[0] is Reachability.UNKNOWN and not seen.troubled(FRESH_MS + 1.0)
     seen.forget(lambda name: name == "d0", 1.0)
-    assert [*seen.told] == ["d0"]
+    assert [*seen.reported] == ["d0"]
 
 
 def test_what_was_met_fades_and_goes():
     seen = ReachabilityView()
     for now in range(100):
-        seen.sent(now, "errored", float(now))
+        seen.attempt_ended(now, "errored", float(now))
     digest = seen.digest(100.0)
     assert len(digest) == 8 and all(met.trouble for met in digest)
     assert seen.digest(60_000.0) == [] and not seen.own
--- a/tests/fleet/membership/test_virtual_fleet.py
+++ b/tests/fleet/membership/test_virtual_fleet.py
@@ -27,9 +27,9 @@
         await virtual_fleet.until(
             lambda: virtual_fleet.called("d7", MemberState.FAILED) == {*virtual_fleet.agents}, KNOWN_MS
         )
-        assert not any(7 in core.keepers.seats for core in virtual_fleet.cores().values())
-        born = (await virtual_fleet.start(7)).core.birth
-        assert born > dead.core.birth
+        assert not any(7 in core.aggregators.seats for core in virtual_fleet.cores().values())
+        born = (await virtual_fleet.start(7)).core.incarnation
+        assert born > dead.core.incarnation
         await virtual_fleet.until(
             lambda: virtual_fleet.called("d7", MemberState.ALIVE, born) == {*virtual_fleet.agents}, 3000.0
         )
@@ -51,8 +51,10 @@
             for process in still:
                 process.go_on()
             await asyncio.sleep(4.0)
-        assert sum(core.probing.accusations for core in virtual_fleet.cores().values()) > 0  # the test bites
-        assert sum(core.probing.deaths for core in virtual_fleet.cores().values()) == 0
+        assert (
+            sum(core.failure_detector.accusations for core in virtual_fleet.cores().values()) > 0
+        )  # the test bites
+        assert sum(core.failure_detector.deaths for core in virtual_fleet.cores().values()) == 0
         await virtual_fleet.until(virtual_fleet.equal, 3000.0)
 
     play(story, 20, seed, ROUGH)
@@ -68,11 +70,12 @@
         await asyncio.sleep(12.0)
         for number, core in virtual_fleet.cores().items():
             assert core.side is (PartitionState.FEW if number in few else PartitionState.MOST)
-            assert len(core.roll.living()) == (6 if number in few else 14)
+            assert len(core.table.living()) == (6 if number in few else 14)
         virtual_fleet.heal()
         await virtual_fleet.until(virtual_fleet.equal, BACK_MS)
         assert all(
-            core.side is PartitionState.MOST and not core.yields for core in virtual_fleet.cores().values()
+            core.side is PartitionState.MOST and not core.forfeits_seat
+            for core in virtual_fleet.cores().values()
         )
 
     play(story, 20, seed, ROUGH)
@@ -87,7 +90,7 @@
         virtual_fleet.cut({1, 4})
         await asyncio.sleep(20.0)
         assert all(
-            "d4" not in core.roll.members for at, core in virtual_fleet.cores().items() if at not in (1, 4)
+            "d4" not in core.table.members for at, core in virtual_fleet.cores().items() if at not in (1, 4)
         )
         virtual_fleet.heal()
         # One contact point is beyond the cut, and is tried every ten seconds.
@@ -104,7 +107,7 @@
         await asyncio.sleep(8.0)
         assert virtual_fleet.called("d4", MemberState.FAILED) >= {*virtual_fleet.agents} - {4}
         # It hears that it is called dead, and is not believed, since nobody hears it.
-        assert virtual_fleet.cores()[4].refuted > 0
+        assert virtual_fleet.cores()[4].refuted_accusations > 0
         virtual_fleet.heal()
         await virtual_fleet.until(virtual_fleet.equal, BACK_MS)
 
@@ -122,8 +125,8 @@
         await virtual_fleet.until(virtual_fleet.equal, 12000.0)
         seats = {*virtual_fleet.agents}
         for core in virtual_fleet.cores().values():
-            assert {core.keepers.keeper(node) for node in range(300)} <= seats
-            assert core.record == 30
+            assert {core.aggregators.aggregator_seat(node) for node in range(300)} <= seats
+            assert core.fleet_size == 30
 
     play(story, 30, 2, ROUGH)
 
@@ -138,10 +141,10 @@
         await asyncio.sleep(2.0)
         assert not virtual_fleet.cores()[
             3
-        ].yields  # cut off, it cannot know: until the heal both use the part
+        ].forfeits_seat  # cut off, it cannot know: until the heal both use the part
         virtual_fleet.heal()
-        await virtual_fleet.until(lambda: virtual_fleet.cores()[3].yields, BACK_MS)
-        assert not virtual_fleet.cores()[8].yields
+        await virtual_fleet.until(lambda: virtual_fleet.cores()[3].forfeits_seat, BACK_MS)
+        assert not virtual_fleet.cores()[8].forfeits_seat
 
     play(story, 8, 1, ROUGH)
 
@@ -152,7 +155,7 @@
         await virtual_fleet.until(virtual_fleet.equal, 8000.0)
         newer = await virtual_fleet.start(9, name="d2", seat=2)
         await virtual_fleet.until(lambda: virtual_fleet.cores()[2].silent, 3000.0)
-        assert not newer.core.silent and virtual_fleet.cores()[2].yields
+        assert not newer.core.silent and virtual_fleet.cores()[2].forfeits_seat
 
     play(story, 8, 1, ROUGH)
 
@@ -179,7 +182,7 @@
         from cherrygrade.fleet.membership.messages import Probe
 
         agent.came(stranger.write(Probe("x0", 1, 1, 1)), ("10.0.0.99", 7500))
-        assert agent.book.wrong == {"another fleet": 1} and len(agent.core.roll.living()) == 4
+        assert agent.book.wrong == {"another fleet": 1} and len(agent.core.table.living()) == 4
 
     play(story, 4)
 
@@ -193,7 +196,7 @@
         await asyncio.sleep(6.0)
         virtual_fleet.heal()
         await asyncio.sleep(3.0)
-        rolls = [core.roll.digest for core in virtual_fleet.cores().values()]
+        rolls = [core.table.digest for core in virtual_fleet.cores().values()]
         return [virtual_fleet.network.datagrams_sent, virtual_fleet.network.datagram_bytes, *rolls]
 
     assert play(story, 10, 5, ROUGH) == play(story, 10, 5, ROUGH) != play(story, 10, 6, ROUGH)
--- a/tests/fleet/runtime/test_config_in_force.py
+++ b/tests/fleet/runtime/test_config_in_force.py
@@ -114,7 +114,7 @@
         "lanes": [lane.tight for lane in [*module.lanes.values(), module.unplaced]],
         "rooms": (dict(rooms._works), {name: (one[0].weight, one[1]) for name, one in rooms._shares.items()}),
         "store": (rooms.store.in_share, rooms.store.beyond),
-        "record": gateway.agent.core.record,
+        "record": gateway.agent.core.fleet_size,
         "stage": gateway._in_force[2],
     }
 
@@ -358,7 +358,7 @@
         more, fewer = "place: dispatchers: 5", "place: dispatchers: 2"
         assert await gateway.in_force(version(1, more, old), 2) == ""
         assert gateway.company.dispatcher_counts == (3, 5) and gateway.trade.volumes["v"].hosts == 5
-        assert gateway.agent.core.record == 5 and not gateway.company.forfeits_quota
+        assert gateway.agent.core.fleet_size == 5 and not gateway.company.forfeits_quota
         assert await gateway.in_force(version(1, more, old), 3) == ""
         assert gateway.company.dispatcher_counts == (5,)
         grown = gateway.overlay.judge("", more)[1]
@@ -367,7 +367,7 @@
         assert gateway.company.forfeits_quota and gateway.place.number == 2  # outside of the new count
         assert await gateway.in_force(version(2, fewer, grown), 5) == ""
         assert gateway.company.dispatcher_counts == (2,) and gateway.company.forfeits_quota
-        assert gateway.agent.core.record == 2
+        assert gateway.agent.core.fleet_size == 2
         client = house.client(gateway)
         assert isinstance(await client.write("write", "w", "k", b"x", shard=0, deadline_ms=900), Ok)
 
@@ -379,9 +379,9 @@
         one = One(house, tmp_path)
         gateway = await one.open()
         await one.sure(gateway)
-        mark = gateway.agent.core.roll.own.facts.settings
+        mark = gateway.agent.core.table.own.info.settings
         assert await gateway.in_force(version(1, ALL), 3) == ""
-        assert gateway.agent.core.roll.own.facts.settings == mark == origin_of(gateway.overlay.own).settings
+        assert gateway.agent.core.table.own.info.settings == mark == origin_of(gateway.overlay.own).settings
 
     run(story)
 
--- a/tests/lab/test_lab_fleet.py
+++ b/tests/lab/test_lab_fleet.py
@@ -22,7 +22,7 @@
 def mark(number: int, turn: int = 0) -> int:
     return Member(
         MemberRecord(f"d{number}", 100 + number, turn, MemberState.ALIVE, FACTS[number]), 0.0, ""
-    ).mark()
+    ).digest()
 
 
 WHOLE = mark(0) ^ mark(1) ^ mark(2) ^ mark(3)
