--- a/benchmarks/fleet_config.py
+++ b/benchmarks/fleet_config.py
@@ -32,7 +32,7 @@
 
 from cherrygrade.client import Client, Ok
 from cherrygrade.fleet.errors import ConfigRefusedError, ConfigUnreachableError
-from cherrygrade.fleet.membership.messages import letter
+from cherrygrade.fleet.membership.messages import message_tag
 from cherrygrade.fleet.runtime.admin_client import send_admin_request
 from cherrygrade.fleet.runtime.admin_messages import PutRequest
 from cherrygrade.fleet.runtime.operator_commands import new_request_id
@@ -149,7 +149,7 @@
         while at < len(data):
             when, _, _, _, length = ENTRY.unpack_from(data, at)
             at += ENTRY.size + length
-            kind = letter(data[at - length : at])
+            kind = message_tag(data[at - length : at])
             if begun <= when < ended and kind in lengths:
                 lengths[kind].append(length)
         return sum(mean(some) for some in lengths.values())
--- a/cherrygrade/fleet/runtime/admin_server.py
+++ b/cherrygrade/fleet/runtime/admin_server.py
@@ -153,7 +153,7 @@
             "here": here,
             "settled": settled,
             "missing": [asdict(member) for member in missing],
-            "record": config.membership.record,
+            "record": config.membership.fleet_size,
         }
 
     def closed(self, conn: Connection, why: str) -> None:
--- a/cherrygrade/fleet/runtime/agent_status.py
+++ b/cherrygrade/fleet/runtime/agent_status.py
@@ -5,7 +5,7 @@
 from dataclasses import asdict
 from typing import TYPE_CHECKING, Any
 
-from cherrygrade.fleet.membership.partition import TABLE
+from cherrygrade.fleet.membership.partition import RULES_BY_STATE
 from cherrygrade.fleet.membership.table import Member, MemberInfo
 
 if TYPE_CHECKING:
@@ -15,17 +15,17 @@
 def agent_status(agent: FleetAgent) -> dict[str, Any]:
     """Return the fleet as one dispatcher knows it; times are ms before now."""
     membership, now = agent.membership, agent.clock()
-    members = sorted(membership.roll, key=lambda member: member.name)
+    members = sorted(membership.table, key=lambda member: member.name)
     return {
         "name": membership.name,
         "fleet": agent.fleet.name,
         "side": membership.side.value,
-        "does": asdict(TABLE[membership.side]),
-        "record": membership.record,
-        "living": len(membership.roll.living()),
-        "digest": f"{membership.roll.digest:016x}",
-        "doubt": membership.probing.doubt,
-        "yields": membership.superseded or membership.yielded_to,
+        "does": asdict(RULES_BY_STATE[membership.side]),
+        "record": membership.fleet_size,
+        "living": len(membership.table.living()),
+        "digest": f"{membership.table.digest:016x}",
+        "doubt": membership.failure_detector.self_doubt,
+        "yields": membership.superseded_by or membership.seat_yielded_to,
         "counts": agent.counts(),
         "members": [_member_status(member, now) for member in members],
         "nodes": _node_faults(agent, now),
@@ -36,16 +36,16 @@
 
 
 def _member_status(member: Member, now: float) -> dict[str, Any]:
-    facts = member.facts or MemberInfo("")
+    facts = member.info or MemberInfo("")
     return {
         "name": member.name,
-        "standing": member.standing.name.lower(),
+        "standing": member.state.name.lower(),
         "for_ms": round(now - member.since),
         "by": member.by,
-        "heard_ms_ago": round(now - member.heard) if member.heard > 0.0 else None,
-        "birth": member.birth,
-        "turn": member.turn,
-        "place": facts.place,
+        "heard_ms_ago": round(now - member.last_received_ms) if member.last_received_ms > 0.0 else None,
+        "birth": member.incarnation,
+        "turn": member.refutations,
+        "place": facts.address,
         "zone": facts.zone,
         "version": facts.version,
         "settings": facts.settings,
@@ -55,7 +55,7 @@
 
 def _node_faults(agent: FleetAgent, now: float) -> list[dict[str, Any]]:
     """Return the storage nodes that any member can't use, as the fleet sees them."""
-    reachability, found = agent.membership.seen, []
+    reachability, found = agent.membership.reachability, []
     for mark in reachability.troubled(now):
         view, bad, tried, zones = reachability.view(mark, now)
         own = reachability.own.get(mark)
@@ -83,11 +83,11 @@
         "got_bytes": agent.received_bytes,
         "unsent": agent.unsent,
         "beyond_ration": agent.inbound_budget.dropped,
-        "overheard": membership.overheard,
-        "accusations": membership.probing.accusations,
-        "deaths": membership.probing.deaths,
-        "refuted": membership.refuted,
-        "stalls": membership.probing.stalls,
-        "nodes_troubled": len(membership.seen.troubled(agent.clock())),
+        "overheard": membership.ignored_messages,
+        "accusations": membership.failure_detector.accusations,
+        "deaths": membership.failure_detector.deaths,
+        "refuted": membership.refuted_accusations,
+        "stalls": membership.failure_detector.stalls,
+        "nodes_troubled": len(membership.reachability.troubled(agent.clock())),
         **{f"dropped_{why.replace(' ', '_')}": count for why, count in dropped},
     }
--- a/cherrygrade/fleet/runtime/config_coverage.py
+++ b/cherrygrade/fleet/runtime/config_coverage.py
@@ -9,7 +9,8 @@
 
 from cherrygrade.fleet.config.replica import ConfigReplica
 from cherrygrade.fleet.config.replica_messages import OwnAdvert
-from cherrygrade.fleet.membership.membership import Effects, MemberConfigReport, Membership
+from cherrygrade.fleet.membership.effects import Effects, MemberConfigReport
+from cherrygrade.fleet.membership.membership import Membership
 from cherrygrade.fleet.membership.table import Member, MemberState
 
 REPLY_TIMEOUT_S = 0.35  # for the reports of those that are missing, where an operator asks
@@ -66,7 +67,7 @@
     def report_received(self, report: MemberConfigReport, now: float) -> None:
         """Remember a member's own report."""
         self.reports.pop(report.name, None)
-        self.reports[report.name] = FirsthandReport(report.birth, report.config.stage, report.why, now)
+        self.reports[report.name] = FirsthandReport(report.incarnation, report.config.stage, report.why, now)
         while len(self.reports) > MAX_REPORTS:
             del self.reports[next(iter(self.reports))]
 
@@ -81,7 +82,7 @@
         for member in asked:
             self._queries += 1
             nonce = crc32(f"{self._seed}:person:{self._queries}".encode())
-            self._post(self._membership.which(member.name, nonce))
+            self._post(self._membership.query_config(member.name, nonce))
         asked_ms = self._clock()
         if lacking:
             await asyncio.sleep(REPLY_TIMEOUT_S)
@@ -98,7 +99,7 @@
         bits = own.bits if own.stage >= 2 * number else b""
         everybody_has_it = own.stage >= 2 * number and not own.bits
         lacking = []
-        for member in self._membership.roll.others():
+        for member in self._membership.table.others():
             seat = member.seat
             has_it = everybody_has_it or (0 <= seat < 8 * len(bits) and bits[seat // 8] >> seat % 8 & 1)
             if not has_it and self._stage(member) < 2 * number:
@@ -108,36 +109,36 @@
     def _stage(self, member: Member) -> int:
         """Return the stage that a member reported since its start, -1 where it did not."""
         report = self.reports.get(member.name)
-        return report.stage if report is not None and report.birth == member.birth else -1
+        return report.stage if report is not None and report.birth == member.incarnation else -1
 
     def _late_member(self, member: Member, asked_ms: float, was_asked: bool) -> MissingMember:
         report = self.reports.get(member.name, FirsthandReport(0, 0, "", LONG_AGO_MS))
         why = report.why
-        if member.standing is MemberState.SUSPECT or (report.received_ms < asked_ms and was_asked):
+        if member.state is MemberState.SUSPECT or (report.received_ms < asked_ms and was_asked):
             why = "cut off: it gave no answer"
         return _late(member.name, member.seat, report.stage, why)
 
     def _living_seats(self) -> set[int]:
-        return {member.seat for member in self._membership.roll.living()}
+        return {member.seat for member in self._membership.table.living()}
 
     def _dead_members(self) -> list[MissingMember]:
         """Return those of record that left or failed and whose seat no living member has."""
         found = []
         living = self._living_seats()
         now_ms = asyncio.get_running_loop().time() * 1000.0
-        for member in self._membership.roll.dead():
-            if 0 <= member.seat < self._membership.record and member.seat not in living:
-                left = member.standing is MemberState.LEFT
+        for member in self._membership.table.dead():
+            if 0 <= member.seat < self._membership.fleet_size and member.seat not in living:
+                left = member.state is MemberState.LEFT
                 why = "left" if left else "dead, or cut off from here"
                 since_s = round((now_ms - member.since) / 1000.0)
                 found.append(MissingMember(member.name, member.seat, f"{why}, for {since_s} s", False))
         return found
 
     def _unknown_seats(self) -> list[MissingMember]:
-        known = self._living_seats() | {member.seat for member in self._membership.roll.dead()}
+        known = self._living_seats() | {member.seat for member in self._membership.table.dead()}
         return [
             MissingMember("", seat, "nobody of it is known here", False)
-            for seat in range(self._membership.record)
+            for seat in range(self._membership.fleet_size)
             if seat not in known
         ]
 
--- a/cherrygrade/fleet/runtime/config_exchange.py
+++ b/cherrygrade/fleet/runtime/config_exchange.py
@@ -22,7 +22,8 @@
 )
 from cherrygrade.fleet.config.versions import ConfigVersion
 from cherrygrade.fleet.consensus.voter import Voter
-from cherrygrade.fleet.membership.membership import Effects, MemberConfigReport, Membership
+from cherrygrade.fleet.membership.effects import Effects, MemberConfigReport
+from cherrygrade.fleet.membership.membership import Membership
 from cherrygrade.fleet.membership.messages import ConfigAdvert
 from cherrygrade.fleet.runtime.addresses import parse_address
 from cherrygrade.fleet.runtime.config_connections import ConfigFetch, ConfigServer
@@ -126,13 +127,13 @@
     async def start(self) -> None:
         """Put in force what was kept, before anything is served."""
         stored = await self.storage.load()
-        membership, own = self.membership, self.membership.roll.own
+        membership, own = self.membership, self.membership.table.own
         has_left = self._has_left = self.storage.has_left
         replica = self.replica = ConfigReplica(
             membership.name,
-            own.facts.zone if own.facts is not None else "",
+            own.info.zone if own.info is not None else "",
             own.seat,
-            membership.record,
+            membership.fleet_size,
             self.council.voters,
             self._seed,
             self.clock(),
@@ -182,19 +183,27 @@
         if replica is None:
             return
         for report in reports:
-            advert, own = report.config, self.membership.config
-            if report.first:
+            advert, own = report.config, self.membership.config.advert
+            if report.first_hand:
                 self.coverage.report_received(report, now)
                 effects = replica.receive_statement(
-                    report.name, advert.stage, advert.mark, now, report.nonce, advert.bits
+                    report.name, advert.stage, advert.digest_prefix, now, report.nonce, advert.seat_bitmap
                 )
                 if report.nonce and self.joint_phase is not None:
-                    self.joint_phase.receive_answer(report.name, report.birth, advert.stage, report.nonce)
+                    self.joint_phase.receive_answer(
+                        report.name, report.incarnation, advert.stage, report.nonce
+                    )
                     self._settle_if_complete()
-            elif own is not None and (own.stage, own.mark) == (advert.stage, advert.mark) and not advert.bits:
+            elif (
+                own is not None
+                and (own.stage, own.digest_prefix) == (advert.stage, advert.digest_prefix)
+                and not advert.seat_bitmap
+            ):
                 continue  # it has what this dispatcher has: nothing to learn
             else:
-                effects = replica.receive_advert(report.name, advert.stage, advert.mark, now, advert.bits)
+                effects = replica.receive_advert(
+                    report.name, advert.stage, advert.digest_prefix, now, advert.seat_bitmap
+                )
             self._apply_effects(effects)
         self._set_timer()
 
@@ -268,13 +277,13 @@
         if replica is None or self.membership.silent:
             return
         if now >= replica.next_deadline() or not replica.is_certain:
-            self._apply_effects(replica.tick(reachable_members(self.membership.roll), now))
+            self._apply_effects(replica.tick(reachable_members(self.membership.table), now))
         if self.joint_phase is not None and now >= self.joint_phase.next_deadline():
-            for name, nonce in self.joint_phase.tick(seated_members(self.membership.roll), now):
+            for name, nonce in self.joint_phase.tick(seated_members(self.membership.table), now):
                 if name == self.membership.name:  # no message is needed to ask this dispatcher itself
-                    self.joint_phase.receive_answer(name, self.membership.birth, replica.stage, nonce)
+                    self.joint_phase.receive_answer(name, self.membership.incarnation, replica.stage, nonce)
                 else:
-                    self._post(self.membership.which(name, nonce))
+                    self._post(self.membership.query_config(name, nonce))
             self._settle_if_complete()
         self._set_timer()
 
@@ -282,7 +291,7 @@
         phase = self.joint_phase
         if phase is None or self.council_server is None:
             return
-        if not phase.is_complete(seated_members(self.membership.roll)):
+        if not phase.is_complete(seated_members(self.membership.table)):
             return
         self.joint_phase = None
         number = self._joint_phase_of[1]
@@ -347,7 +356,7 @@
         if not why:
             self.since = self.clock()
         if self.replica is not None:  # the version may have changed the fleet of record
-            self.replica.seats.count = max(self.membership.record, self.membership.roll.own.seat + 1)
+            self.replica.seats.count = max(self.membership.fleet_size, self.membership.table.own.seat + 1)
         facts = {"number": version.number, "stage": stage, "digest": version.digest.hex()[:16]}
         if why:
             means = "This dispatcher stays on what it has."
@@ -358,17 +367,17 @@
 
     def _send_effects(self, effects: ReplicaEffects) -> None:
         for name, nonce in effects.questions:
-            self._post(self.membership.which(name, nonce))
+            self._post(self.membership.query_config(name, nonce))
         if effects.push_to:
-            self._post(self.membership.hint(effects.push_to))
+            self._post(self.membership.advertise_config(effects.push_to))
         if effects.fetch is not None:
             self._fetch(*effects.fetch)
 
     def _fetch(self, name: str, request: FetchRequest) -> None:
         fetch = ConfigFetch(self, name, request)
         self.fetches[fetch] = None
-        member = self.membership.roll.members.get(name)
-        to = parse_address(member.facts.place) if member is not None and member.facts is not None else None
+        member = self.membership.table.members.get(name)
+        to = parse_address(member.info.address) if member is not None and member.info is not None else None
         fetch.task = asyncio.get_running_loop().create_task(fetch.connect(to, self._source))
 
     def _advertise(self) -> None:
@@ -377,8 +386,8 @@
         if replica is None:
             return
         own = replica.own_advert()
-        self.membership.config = ConfigAdvert(own.stage, own.digest_prefix, own.bits)
-        self.membership.config_why = replica.status()[:MAX_STATUS_CHARACTERS]
+        self.membership.config.advert = ConfigAdvert(own.stage, own.digest_prefix, own.bits)
+        self.membership.config.refusal = replica.status()[:MAX_STATUS_CHARACTERS]
         if self._has_left and replica.is_certain and self.storage.file is not None:
             self._has_left = False
             self.storage.forget_leaving()
--- a/cherrygrade/fleet/runtime/config_members.py
+++ b/cherrygrade/fleet/runtime/config_members.py
@@ -10,9 +10,9 @@
 def reachable_members(table: MembershipTable) -> list[ReachableMember]:
     """Return the other living members whose address is known."""
     return [
-        ReachableMember(member.name, member.facts.zone, member.seat)
+        ReachableMember(member.name, member.info.zone, member.seat)
         for member in table.others()
-        if member.facts
+        if member.info
     ]
 
 
@@ -22,10 +22,10 @@
         SeatedMember(
             member.seat,
             member.name,
-            member.birth,
+            member.incarnation,
             member.living,
-            member.standing is MemberState.LEFT,
+            member.state is MemberState.LEFT,
         )
         for member in table
-        if member.facts is not None
+        if member.info is not None
     ]
--- a/cherrygrade/fleet/runtime/council_server.py
+++ b/cherrygrade/fleet/runtime/council_server.py
@@ -21,7 +21,7 @@
 from cherrygrade.fleet.consensus.council_messages import AnyReply, AnyRequest, NotLeader, PutConfig
 from cherrygrade.fleet.consensus.raft_messages import PersistentState
 from cherrygrade.fleet.consensus.voter import Voter
-from cherrygrade.fleet.consensus.voter_effects import ConfigVerdict, VoterEffects
+from cherrygrade.fleet.consensus.voter_effects import ConfigVerdict, OutgoingReply, VoterEffects
 from cherrygrade.fleet.errors import VoterStoppedError
 from cherrygrade.fleet.runtime.addresses import parse_address
 from cherrygrade.fleet.runtime.config_judge import Judge, judge_text
--- a/cherrygrade/fleet/runtime/fleet_agent.py
+++ b/cherrygrade/fleet/runtime/fleet_agent.py
@@ -12,9 +12,17 @@
 from typing import TYPE_CHECKING, Any
 from zlib import crc32
 
+from cherrygrade.fleet.membership.effects import Effects
 from cherrygrade.fleet.membership.inbound_budget import InboundBudget
-from cherrygrade.fleet.membership.membership import Effects, Membership
-from cherrygrade.fleet.membership.messages import MOST_PAGE, AnyMessage, MessageCodec, Probe, letter
+from cherrygrade.fleet.membership.membership import Membership
+from cherrygrade.fleet.membership.membership_state import MembershipSettings
+from cherrygrade.fleet.membership.messages import (
+    MAX_DATAGRAM_BYTES,
+    AnyMessage,
+    MessageCodec,
+    Probe,
+    message_tag,
+)
 from cherrygrade.fleet.membership.partition import PartitionState
 from cherrygrade.fleet.membership.table import MemberInfo
 from cherrygrade.fleet.runtime.addresses import parse_address
@@ -107,7 +115,17 @@
         self.codec = MessageCodec(fleet.name)
         own = MemberInfo(fleet.place, fleet.zone, start.version, start.settings, seat)
         self.membership = Membership(
-            name, start.birth, own, record, fleet.contacts, seed, clock(), fleet.period_ms, fleet.keep_ms
+            MembershipSettings(
+                name,
+                start.birth,
+                own,
+                record,
+                fleet.contacts,
+                seed,
+                fleet.period_ms,
+                fleet.keep_ms,
+            ),
+            clock(),
         )
         self.inbound_budget: InboundBudget[tuple[bytes, tuple[str, int]]] = InboundBudget(clock())
         self.streams: dict[PeerStream, None] = {}
@@ -179,7 +197,7 @@
             council,
             self.fleet.name,
             self.name,
-            self.membership.birth,
+            self.membership.incarnation,
             self._seed,
             host,
             self.clock,
@@ -197,14 +215,14 @@
         self.lease_tasks.start()
 
     def _address_of(self, name: str) -> str | None:
-        member = self.membership.roll.members.get(name)
-        return member.facts.place if member is not None and member.facts is not None else None
+        member = self.membership.table.members.get(name)
+        return member.info.address if member is not None and member.info is not None else None
 
     def _members_for_tasks(self) -> list[str]:
         """Return living members by name; nobody while this dispatcher is cut off or overloaded."""
         if self.membership.side is not PartitionState.MOST:
             return []
-        return [member.name for member in self.membership.roll.living()]
+        return [member.name for member in self.membership.table.living()]
 
     def accept_operator(self, conn: Connection) -> AdminServer | None:
         """Take the connection of an operator's command; None where there are too many, or no council."""
@@ -224,7 +242,7 @@
 
     def send_scheduler_message(self, peer: int | None, payload: bytes) -> None:
         """Send a scheduler's message to the dispatcher at a seat, or to all (None)."""
-        self.apply_effects(self.membership.tell(peer, payload))
+        self.apply_effects(self.membership.send_payload(peer, payload))
 
     def attempt_finished(self, attempt: Attempt) -> None:
         """Learn from an attempt's outcome whether its node can be reached."""
@@ -232,7 +250,7 @@
         if contact is not None:
             mark = crc32(attempt.node.address.encode()) & NODE_MARK_BITS
             self.node_addresses[mark] = attempt.node.address
-            self.membership.sent(mark, contact, self.clock())
+            self.membership.attempt_ended(mark, contact, self.clock())
 
     def leave(self) -> None:
         """Give leases back and tell members that this dispatcher leaves; `close` follows."""
@@ -276,7 +294,7 @@
         """Take a datagram; it is read in its turn."""
         self.received += 1
         self.received_bytes += len(data)
-        self.inbound_budget.came(letter(data), len(data), (data, source), self.clock())
+        self.inbound_budget.arrived(message_tag(data), len(data), (data, source), self.clock())
         if self._read_timer is None:
             self._read_next()
 
@@ -286,7 +304,7 @@
         The event loop reads one datagram a turn, and timers run between: without this, a member whose answer
         waits would be accused after this process did not run for a while.
         """
-        if any(self.inbound_budget.waiting):
+        if self.inbound_budget.waiting:
             return True
         sock = self._transport.get_extra_info("socket") if self._transport is not None else None
         if sock is None:
@@ -304,7 +322,7 @@
             data, source = waiting
             message = self.codec.read(data)
             if message is not None:
-                effects = self.membership.hear(message, f"{source[0]}:{source[1]}", now)
+                effects = self.membership.receive(message, f"{source[0]}:{source[1]}", now)
                 self.apply_effects(effects, source, len(data))
         due = self.inbound_budget.due(now)
         if due is not None and self._read_timer is None:
@@ -312,14 +330,17 @@
 
     def _timer_due(self) -> None:
         self._timer = None
-        self.membership.short = self.inbound_budget.short
-        self.membership.unread = self._has_unread_datagrams()
+        self.membership.over_budget = self.inbound_budget.over_budget
+        self.membership.has_unread = self._has_unread_datagrams()
         self.apply_effects(self.membership.beat(self.clock() + TIMER_GRAIN_MS))
 
     # Effects.
 
     def apply_effects(
-        self, effects: Effects, source: tuple[str, int] | None = None, max_answer_bytes: int = MOST_PAGE
+        self,
+        effects: Effects,
+        source: tuple[str, int] | None = None,
+        max_answer_bytes: int = MAX_DATAGRAM_BYTES,
     ) -> None:
         """Carry out effects of the membership, and set the timer anew.
 
@@ -328,16 +349,16 @@
             source: Where the datagram came from that the effects' answers go back to.
             max_answer_bytes: An answer is no longer than the datagram: nobody can use it to flood others.
         """
-        for place, message in effects.pages:
-            self._send(message, parse_address(place), MOST_PAGE)
-        for message in effects.answers:
+        for place, message in effects.messages:
+            self._send(message, parse_address(place), MAX_DATAGRAM_BYTES)
+        for message in effects.replies:
             self._send(message, source, max_answer_bytes)
-        for name, place in effects.exchange:
+        for name, place in effects.table_exchanges:
             self._start_exchange(name, place)
-        for seat, payload in effects.words:
+        for seat, payload in effects.scheduler_messages:
             self._on_scheduler_message(seat, payload)
-        if effects.hints and self.config is not None:
-            self.config.reports_received(effects.hints)
+        if effects.config_reports and self.config is not None:
+            self.config.reports_received(effects.config_reports)
         self._log_state()
         self._set_timer()
 
@@ -354,12 +375,12 @@
         if to is None or self._transport is None or self._transport.is_closing():
             self.unsent += 1
             return
-        data = self.codec.write(message, max_bytes if not isinstance(message, Probe) else MOST_PAGE)
+        data = self.codec.write(message, max_bytes if not isinstance(message, Probe) else MAX_DATAGRAM_BYTES)
         if len(data) > max_bytes:
             self.unsent += 1
             return
         self._transport.sendto(data, to)
-        self.inbound_budget.spent(letter(data), len(data), self.clock())
+        self.inbound_budget.sent(message_tag(data), len(data), self.clock())
         self.sent += 1
         self.sent_bytes += len(data)
 
@@ -372,11 +393,11 @@
     def _log_state(self) -> None:
         """Log a line where this dispatcher's side of a partition, or the owner of its seat, changed."""
         membership = self.membership
-        state = (membership.side, membership.superseded, membership.yielded_to)
+        state = (membership.side, membership.superseded_by, membership.seat_yielded_to)
         if state == self._logged_state:
             return
         self._logged_state = state
-        facts: dict[str, Any] = {"living": len(membership.roll.living()), "record": membership.record}
-        if membership.superseded or membership.yielded_to:
-            facts["seat_is_of"] = membership.superseded or membership.yielded_to
+        facts: dict[str, Any] = {"living": len(membership.table.living()), "record": membership.fleet_size}
+        if membership.superseded_by or membership.seat_yielded_to:
+            facts["seat_is_of"] = membership.superseded_by or membership.seat_yielded_to
         self._log("fleet side", side=membership.side.value, **facts)
--- a/cherrygrade/fleet/runtime/peer_directory.py
+++ b/cherrygrade/fleet/runtime/peer_directory.py
@@ -19,7 +19,7 @@
     """
 
     def __init__(self, membership: Membership, seat: int) -> None:
-        super().__init__(membership.record)
+        super().__init__(membership.fleet_size)
         self.membership = membership
         self.seat = seat
         self.has_quota = True
@@ -27,18 +27,20 @@
     @property
     def forfeits_quota(self) -> bool:  # type: ignore[override]
         """Whether this dispatcher must leave its part of the quotas unused."""
-        return self.membership.yields or not self.has_quota
+        return self.membership.forfeits_seat or not self.has_quota
 
     def aggregator(self, node: int) -> int:
         """Return the seat of the dispatcher that aggregates the load reports of `node`."""
-        return self.membership.keepers.keeper(node)
+        return self.membership.aggregators.aggregator_seat(node)
 
     def publishes(self, node: int, now: float) -> bool:
         """Return whether this dispatcher publishes the aggregated load of `node` at `now` (ms).
 
-        One that is cut off or overloaded leaves publishing to others: see the rules in `partition.TABLE`.
+        One that is cut off or overloaded leaves publishing to others: see the rules in `partition.RULES_BY_STATE`.
         """
-        keepers = self.membership.keepers
+        keepers = self.membership.aggregators
         return (
-            self.membership.follows.keeps and keepers.keeper(node) == self.seat and keepers.settled(node, now)
+            self.membership.partition_rules.keeps
+            and keepers.aggregator_seat(node) == self.seat
+            and keepers.settled(node, now)
         )
--- a/cherrygrade/fleet/runtime/peer_stream.py
+++ b/cherrygrade/fleet/runtime/peer_stream.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from cherrygrade.fleet.membership.membership import Effects
+from cherrygrade.fleet.membership.effects import Effects
 from cherrygrade.fleet.membership.table import MemberRecord
 from cherrygrade.fleet.runtime import stream_roles
 from cherrygrade.fleet.runtime.framed_connection import FramedConnection, send_in_frames
@@ -76,7 +76,7 @@
             self._send_table()
 
     def _send_table(self) -> None:
-        records = self.agent.membership.whole()
+        records = self.agent.membership.all_records()
         batches = [
             records[start : start + RECORDS_PER_FRAME] for start in range(0, len(records), RECORDS_PER_FRAME)
         ]
