--- a/cherrygrade/fleet/runtime/peer_directory.py
+++ b/cherrygrade/fleet/runtime/peer_directory.py
@@ -36,11 +36,11 @@
     def publishes(self, node: int, now: float) -> bool:
         """Return whether this dispatcher publishes the aggregated load of `node` at `now` (ms).
 
-        One that is cut off or overloaded leaves publishing to others: see the rules in `partition.RULES_BY_STATE`.
+        One that is cut off or overloaded leaves publishing to others: see `partition.RULES_BY_STATE`.
         """
-        keepers = self.membership.aggregators
+        aggregators = self.membership.aggregators
         return (
             self.membership.partition_rules.keeps
-            and keepers.aggregator_seat(node) == self.seat
-            and keepers.settled(node, now)
+            and aggregators.aggregator_seat(node) == self.seat
+            and aggregators.settled(node, now)
         )
