--- a/cherrygrade/fleet/config/replica.py
+++ b/cherrygrade/fleet/config/replica.py
@@ -157,9 +157,9 @@
     ) -> ReplicaEffects:
         """Handle what any message of a living member told of its stage."""
         self._merge_seats(stage, digest_prefix, bits, now)
-        if stage > self.stage and name != self.name:
-            if self.witnesses.add_advert(name, StageDigest(stage, digest_prefix)):
-                self._tick_now = True
+        is_newer = stage > self.stage and name != self.name
+        if is_newer and self.witnesses.add_advert(name, StageDigest(stage, digest_prefix)):
+            self._tick_now = True
         return ReplicaEffects()
 
     def receive_statement(
--- a/cherrygrade/fleet/membership/contacts.py
+++ b/cherrygrade/fleet/membership/contacts.py
@@ -1,5 +1,6 @@
-"""Addresses that are probed without a known member behind them: contact points, and members that are said
-to be back.
+"""Addresses that are probed without a known member behind them.
+
+They are contact points, and members that are said to be back.
 
 Free of I/O, clock and chance: what varies comes from a seed and a counter.
 """
--- a/cherrygrade/fleet/membership/effects.py
+++ b/cherrygrade/fleet/membership/effects.py
@@ -55,8 +55,9 @@
 
 @dataclass(slots=True)
 class Effects:
-    """All that a call asks for. The caller carries the lists out in the order of these attributes, each
-    list from first to last.
+    """All that a call asks for.
+
+    The caller carries the lists out in the order of these attributes, each list from first to last.
 
     Attributes:
         messages: Datagrams to send.
--- a/cherrygrade/fleet/membership/gossip.py
+++ b/cherrygrade/fleet/membership/gossip.py
@@ -146,8 +146,10 @@
             del self._ranks[name]
 
     def _rank(self, name: str) -> tuple[int, int]:
-        """What was passed on least goes first; among equals each member has an order of its own, so that
-        not all pass on the same few of many."""
+        """What was passed on least goes first.
+
+        Among equals each member has an order of its own, so that not all pass on the same few of many.
+        """
         return self.transmissions.get(name, 0), self._ranks.get(name, 0)
 
 
--- a/cherrygrade/fleet/membership/load_aggregators.py
+++ b/cherrygrade/fleet/membership/load_aggregators.py
@@ -1,5 +1,6 @@
-"""Which dispatcher aggregates the load reports of which node: rendezvous hashing over the seats of the
-living (Thaler, Ravishankar 1998).
+"""Which dispatcher aggregates the load reports of which node.
+
+Rendezvous hashing over the seats of the living (Thaler, Ravishankar 1998).
 
 The aggregator of a node is the seat that ranks first for it. When one dies only its own nodes move, each to
 the seat that ranked second. Free of I/O, clock and chance.
--- a/cherrygrade/fleet/membership/membership_state.py
+++ b/cherrygrade/fleet/membership/membership_state.py
@@ -152,8 +152,10 @@
         return self.gossip.pick(self.table, first=accused)
 
     def next_probe_number(self) -> int:
+        """Return the number of the next probe."""
         self._probe_number = (self._probe_number + 1) & 0x7FFFFFFF
         return self._probe_number
 
     def relayed_result(self, probe: RelayedProbe, denied: bool) -> IndirectProbeResult:
+        """Return the result of a probe that was made for another; `denied`: it got no answer."""
         return IndirectProbeResult(self.name, self.incarnation, probe.number, probe.target, denied)
--- a/cherrygrade/fleet/membership/messages.py
+++ b/cherrygrade/fleet/membership/messages.py
@@ -244,9 +244,10 @@
         if not why:
             try:
                 message: AnyMessage = _decoder.decode(data[HEADER.size :])
-                return message
             except (msgspec.MsgspecError, UnicodeDecodeError):
                 why = "form"
+            else:
+                return message
         self.wrong[why] += 1
         return None
 
--- a/cherrygrade/fleet/runtime/agent_status.py
+++ b/cherrygrade/fleet/runtime/agent_status.py
@@ -2,17 +2,57 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Mapping
 from dataclasses import asdict
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
+from cherrygrade.fleet.membership.inbound_budget import InboundBudget
+from cherrygrade.fleet.membership.membership import Membership
+from cherrygrade.fleet.membership.messages import MessageCodec
 from cherrygrade.fleet.membership.partition import RULES_BY_STATE
 from cherrygrade.fleet.membership.table import Member, MemberInfo
+from cherrygrade.settings import FleetSettings
 
-if TYPE_CHECKING:
-    from cherrygrade.fleet.runtime.fleet_agent import FleetAgent
 
+class HasStatus(Protocol):
+    """A part of the agent that has a status of its own."""
 
-def agent_status(agent: FleetAgent) -> dict[str, Any]:
+    def status(self) -> Mapping[str, Any] | None:
+        """Return it in JSON's terms."""
+
+
+class StatusSource(Protocol):
+    """The fleet agent, as its status needs it; see `FleetAgent`."""
+
+    membership: Membership
+    clock: Callable[[], float]
+    fleet: FleetSettings
+    codec: MessageCodec
+    inbound_budget: InboundBudget[tuple[bytes, tuple[str, int]]]
+    node_addresses: dict[int, str]
+    sent: int
+    sent_bytes: int
+    received: int
+    received_bytes: int
+    unsent: int
+
+    @property
+    def council_server(self) -> HasStatus | None:
+        """The council's part, where there is one."""
+
+    @property
+    def lease_tasks(self) -> HasStatus | None:
+        """The leases' part, where there is one."""
+
+    @property
+    def config(self) -> HasStatus | None:
+        """The configuration's part, where there is one."""
+
+    def counts(self) -> dict[str, int]:
+        """Return the counters."""
+
+
+def agent_status(agent: StatusSource) -> dict[str, Any]:
     """Return the fleet as one dispatcher knows it; times are ms before now."""
     membership, now = agent.membership, agent.clock()
     members = sorted(membership.table, key=lambda member: member.name)
@@ -53,7 +93,7 @@
     }
 
 
-def _node_faults(agent: FleetAgent, now: float) -> list[dict[str, Any]]:
+def _node_faults(agent: StatusSource, now: float) -> list[dict[str, Any]]:
     """Return the storage nodes that any member can't use, as the fleet sees them."""
     reachability, found = agent.membership.reachability, []
     for mark in reachability.troubled(now):
@@ -72,7 +112,7 @@
     return found
 
 
-def agent_counts(agent: FleetAgent) -> dict[str, int]:
+def agent_counts(agent: StatusSource) -> dict[str, int]:
     """Return the counters of one dispatcher's part in the fleet, for its status and its log."""
     membership = agent.membership
     dropped = sorted(agent.codec.wrong.items())
--- a/cherrygrade/fleet/runtime/config_connections.py
+++ b/cherrygrade/fleet/runtime/config_connections.py
@@ -3,22 +3,47 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 import msgspec
 
+from cherrygrade.fleet.config.replica import ConfigReplica
 from cherrygrade.fleet.config.replica_messages import FetchRequest, FetchResponse
+from cherrygrade.fleet.membership.membership import Membership
 from cherrygrade.fleet.runtime import stream_roles
 from cherrygrade.fleet.runtime.framed_connection import FramedConnection
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, Hello
 
-if TYPE_CHECKING:
-    from cherrygrade.fleet.runtime.config_exchange import ConfigExchange
-
 FETCH_TIMEOUT_S = 1.5  # for the connection, and again for the content
 
 
+class ConfigEndpoint(Protocol):
+    """The configuration exchange, as its connections need it.
+
+    Attributes:
+        fleet: The fleet's name.
+        membership: This dispatcher's membership.
+        replica: Answers fetches; None before the start.
+        sent_bytes: Bytes of content sent, in all.
+        fetches: Fetches that have not ended.
+        server_connections: Connections that fetch here.
+    """
+
+    fleet: str
+    membership: Membership
+    replica: ConfigReplica | None
+    sent_bytes: int
+    fetches: dict[ConfigFetch, None]
+    server_connections: dict[ConfigServer, None]
+
+    def fetch_succeeded(self, member: str, response: FetchResponse, length: int) -> None:
+        """Called with a member's response, of so many bytes."""
+
+    def fetch_failed(self, member: str, why: str) -> None:
+        """Called where nothing came of a fetch."""
+
+
 class ConfigFetch(FramedConnection):
     """One fetch of content from a member; it ends once, with content or with why there is none.
 
@@ -28,7 +53,7 @@
         task: Makes the connection.
     """
 
-    def __init__(self, config: ConfigExchange, member: str, request: FetchRequest) -> None:
+    def __init__(self, config: ConfigEndpoint, member: str, request: FetchRequest) -> None:
         super().__init__()
         self.config = config
         self.member = member
@@ -40,9 +65,10 @@
     async def connect(self, to: tuple[str, int] | None, source: str) -> None:
         """Connect to the member; `to` is None where its address is not known."""
         loop = asyncio.get_running_loop()
+        if to is None:
+            self.fail("no stream: it is not known where it is")
+            return
         try:
-            if to is None:
-                raise OSError("it is not known where it is")
             async with asyncio.timeout(FETCH_TIMEOUT_S):
                 await loop.create_connection(lambda: self.conn, *to, local_addr=(source, 0))
             self._timer = loop.call_later(FETCH_TIMEOUT_S, self.conn.abort, "no content in time")
@@ -89,7 +115,7 @@
 class ConfigServer(FramedConnection):
     """Serves one member that fetches content here; its `PeerStream` passes the frames on."""
 
-    def __init__(self, config: ConfigExchange, conn: Connection) -> None:
+    def __init__(self, config: ConfigEndpoint, conn: Connection) -> None:
         super().__init__(conn)
         self.config = config
         self._serving = False
--- a/cherrygrade/fleet/runtime/config_status.py
+++ b/cherrygrade/fleet/runtime/config_status.py
@@ -2,13 +2,23 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
-if TYPE_CHECKING:
-    from cherrygrade.fleet.runtime.config_exchange import ConfigExchange
+from cherrygrade.fleet.config.replica import ConfigReplica
+from cherrygrade.fleet.runtime.config_storage import ConfigStorage
 
 
-def config_status(exchange: ConfigExchange) -> dict[str, Any]:
+class ConfigCounters(Protocol):
+    """The configuration exchange, as its status needs it; see `ConfigExchange`."""
+
+    replica: ConfigReplica | None
+    storage: ConfigStorage
+    since: float
+    fetched_bytes: int
+    sent_bytes: int
+
+
+def config_status(exchange: ConfigCounters) -> dict[str, Any]:
     """Return the configuration as one dispatcher knows it, in JSON's terms; empty before its start."""
     replica = exchange.replica
     if replica is None:
--- a/cherrygrade/fleet/runtime/config_storage.py
+++ b/cherrygrade/fleet/runtime/config_storage.py
@@ -73,13 +73,14 @@
         loop = asyncio.get_running_loop()
         try:
             await loop.run_in_executor(self._thread, self.file.save, msgspec.msgpack.encode(config))
-            self.saves += 1
-            self.trouble = ""
-            return ""
         except OSError as error:
             self.trouble = f"{self.file.path} takes nothing: {error.strerror or error}"
             means = "It goes into force here and is asked for again after a restart."
             self._log("configuration not kept", what=self.trouble, means=means, do="Make room there.")
+        else:
+            self.saves += 1
+            self.trouble = ""
+            return ""
         try:
             await loop.run_in_executor(self._thread, self.file.remove)
         except OSError as error:
--- a/cherrygrade/fleet/runtime/council_connections.py
+++ b/cherrygrade/fleet/runtime/council_connections.py
@@ -7,7 +7,7 @@
 
 import asyncio
 from collections import deque
-from typing import TYPE_CHECKING, Any, ClassVar
+from typing import Any, ClassVar, Protocol
 
 import msgspec
 
@@ -16,9 +16,6 @@
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, Hello
 
-if TYPE_CHECKING:
-    from cherrygrade.fleet.runtime.council_server import CouncilServer
-
 RAFT_MESSAGE = b"r"  # between voters
 REQUEST = b"q"  # of a member, to a voter
 REPLY = b"n"  # of a voter, to the member
@@ -32,6 +29,31 @@
 _encode = msgspec.msgpack.Encoder().encode
 
 
+class CouncilEndpoint(Protocol):
+    """The council server, as its connections need it.
+
+    Attributes:
+        name: This dispatcher's name.
+        fleet: The fleet's name.
+        source: The IP address that connections are made from.
+        sent_bytes: Bytes of messages sent, in all.
+    """
+
+    name: str
+    fleet: str
+    source: str
+    sent_bytes: int
+
+    def address_of(self, name: str) -> tuple[str, int] | None:
+        """Return where a voter can be reached; None where it is not known."""
+
+    def connection_lost(self, connection: CouncilConnection) -> None:
+        """Called when a connection has ended, or could not be made."""
+
+    def message_received(self, connection: CouncilConnection, message: bytes) -> None:
+        """Called with each message."""
+
+
 class CouncilConnection(FramedConnection):
     """The connection to one voter, made when the first message to it is sent.
 
@@ -46,7 +68,7 @@
     max_message_bytes: ClassVar[int] = MAX_MESSAGE_BYTES
     purpose: ClassVar[str] = "in council"
 
-    def __init__(self, council_server: CouncilServer, name: str, conn: Connection | None = None) -> None:
+    def __init__(self, council_server: CouncilEndpoint, name: str, conn: Connection | None = None) -> None:
         super().__init__(conn)
         self.council_server = council_server
         self.name = name
@@ -113,7 +135,7 @@
 class CouncilClientConnection(CouncilConnection):
     """A connection that a member or voter made to here; its `PeerStream` passes the frames on."""
 
-    def __init__(self, council_server: CouncilServer, conn: Connection, name: str) -> None:
+    def __init__(self, council_server: CouncilEndpoint, conn: Connection, name: str) -> None:
         super().__init__(council_server, name, conn)
         self.ready = True
 
--- a/cherrygrade/fleet/runtime/fleet_agent.py
+++ b/cherrygrade/fleet/runtime/fleet_agent.py
@@ -162,7 +162,7 @@
         if self.fleet.council is not None and self._in_force is not None:
             await self._start_config(self.fleet.council, host, self._in_force)
         self._transport, _ = await loop.create_datagram_endpoint(
-            lambda: DatagramReceiver(self), local_addr=(host, int(port))
+            lambda: DatagramReceiver(self.datagram_received), local_addr=(host, int(port))
         )
         self._server = await listen(lambda: PeerStream(self).conn, f"{host}:{port}", MAX_STREAMS)
         self._timer_due()
--- a/cherrygrade/fleet/runtime/framed_connection.py
+++ b/cherrygrade/fleet/runtime/framed_connection.py
@@ -71,7 +71,7 @@
 
     def room(self, conn: Connection, message: Any, length: int) -> None:
         """Called by the connection for a frame's body: these messages have none."""
-        return None
+        return
 
     def frame(self, conn: Connection, message: Any, body: object) -> None:
         """Called by the connection with each frame."""
--- a/cherrygrade/fleet/runtime/lease_exercise.py
+++ b/cherrygrade/fleet/runtime/lease_exercise.py
@@ -8,13 +8,11 @@
 
 import asyncio
 import json
-from typing import TYPE_CHECKING
+from collections.abc import Callable
 
+from cherrygrade.fleet.leases.lease_holder import LeaseHolder
 from cherrygrade.fleet.runtime.addresses import parse_address
 
-if TYPE_CHECKING:
-    from cherrygrade.fleet.runtime.lease_tasks import LeaseTaskRunner
-
 ORDER_INTERVAL_S = 0.1
 
 
@@ -22,14 +20,16 @@
     """Sends the orders of all exercise tasks that are held, on one connection.
 
     Attributes:
-        runner: Holds the leases.
+        holder: Holds the leases.
+        clock: Tells the time, in ms.
         receiver: `IP:PORT` of the receiver.
         source: The IP address that the connection is made from.
         count: Orders sent, in all.
     """
 
-    def __init__(self, runner: LeaseTaskRunner, receiver: str, source: str) -> None:
-        self.runner = runner
+    def __init__(self, holder: LeaseHolder, clock: Callable[[], float], receiver: str, source: str) -> None:
+        self.holder = holder
+        self.clock = clock
         self.receiver = receiver
         self.source = source
         self.count = 0
@@ -54,7 +54,7 @@
             await asyncio.sleep(ORDER_INTERVAL_S)
 
     async def _send_orders(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        holder, clock = self.runner.holder, self.runner.clock
+        holder, clock = self.holder, self.clock
         while True:
             for task in [*holder.held]:
                 number = holder.may(task, clock())  # right before the write: the lease may have ended
--- a/cherrygrade/fleet/runtime/lease_tasks.py
+++ b/cherrygrade/fleet/runtime/lease_tasks.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 from collections.abc import Callable, Coroutine
 from typing import Any
 
@@ -79,7 +80,9 @@
     def start(self) -> None:
         """Begin to look for free tasks."""
         if self.council.drills and self.council.receiver:
-            self.exercise = LeaseExercise(self, self.council.receiver, self.council_server.source)
+            self.exercise = LeaseExercise(
+                self.holder, self.clock, self.council.receiver, self.council_server.source
+            )
         self._tick()
 
     def leave(self) -> None:
@@ -146,10 +149,9 @@
 
     async def _request_release(self, task: str, number: int, failed: str = "") -> None:
         request = ReleaseLease(self.holder.ask(self.clock()), task, number, failed)
-        try:
+        # Without an answer the lease ends by its time, or a renewal finds that it is not held here.
+        with contextlib.suppress(CouncilUnreachableError):
             await self.council_server.request(request, REQUEST_TIMEOUT_S)
-        except CouncilUnreachableError:
-            pass  # the lease ends by its time, or a renewal finds that it is not held here
 
     async def _renew(self) -> None:
         asked, same = self.holder.renew(self.clock())
--- a/cherrygrade/fleet/runtime/peer_stream.py
+++ b/cherrygrade/fleet/runtime/peer_stream.py
@@ -4,20 +4,20 @@
 
 import asyncio
 import json
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable
+from typing import Any, Protocol
 
 import msgspec
 
 from cherrygrade.fleet.membership.effects import Effects
+from cherrygrade.fleet.membership.membership import Membership
 from cherrygrade.fleet.membership.table import MemberRecord
 from cherrygrade.fleet.runtime import stream_roles
 from cherrygrade.fleet.runtime.framed_connection import FramedConnection, send_in_frames
+from cherrygrade.settings import FleetSettings
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, Bye, Hello, Members, Welcome
 
-if TYPE_CHECKING:
-    from cherrygrade.fleet.runtime.fleet_agent import FleetAgent
-
 EXCHANGE_TIMEOUT_S = 2.0
 MAX_STREAMS = 16  # exchanges and status queries that have not ended
 RECORDS_PER_FRAME = 64
@@ -27,6 +27,47 @@
 _records_decoder = msgspec.msgpack.Decoder(list[MemberRecord])
 
 
+class AcceptsMembers(Protocol):
+    """The council server, as streams need it."""
+
+    def accept(self, conn: Connection, name: str) -> FramedConnection | None:
+        """Serve a stream of this member; None refuses it."""
+
+
+class AcceptsFetches(Protocol):
+    """The configuration exchange, as streams need it."""
+
+    def accept(self, conn: Connection) -> FramedConnection | None:
+        """Serve a stream that fetches; None refuses it."""
+
+
+class StreamOwner(Protocol):
+    """The fleet agent, as its streams need it; see `FleetAgent`."""
+
+    name: str
+    fleet: FleetSettings
+    membership: Membership
+    clock: Callable[[], float]
+    streams: dict[PeerStream, None]
+
+    @property
+    def council_server(self) -> AcceptsMembers | None:
+        """The council's part, where there is one."""
+
+    @property
+    def config(self) -> AcceptsFetches | None:
+        """The configuration's part, where there is one."""
+
+    def status(self) -> dict[str, Any]:
+        """Return the answer to a status query."""
+
+    def accept_operator(self, conn: Connection) -> FramedConnection | None:
+        """Serve an operator's stream; None refuses it."""
+
+    def apply_effects(self, effects: Effects) -> None:
+        """Carry out what a call of the membership asks for."""
+
+
 class PeerStream:
     """One exchange of membership tables, begun here or there, or a stream that another connection serves.
 
@@ -42,7 +83,7 @@
         handler: Serves the stream once it was handed over.
     """
 
-    def __init__(self, agent: FleetAgent, target: str = "") -> None:
+    def __init__(self, agent: StreamOwner, target: str = "") -> None:
         self.agent = agent
         self.target = target
         self.task: asyncio.Task[None] | None = None
@@ -85,7 +126,7 @@
 
     def room(self, conn: Connection, message: Any, length: int) -> None:
         """Called by the connection for a frame's body: these messages have none."""
-        return None
+        return
 
     def frame(self, conn: Connection, message: Any, body: object) -> None:
         """Called by the connection with each frame."""
--- a/cherrygrade/fleet/runtime/sealed_file.py
+++ b/cherrygrade/fleet/runtime/sealed_file.py
@@ -88,7 +88,7 @@
             file.write(seal(body))
             file.flush()
             os.fsync(file.fileno())
-        os.replace(self._new_path, self.path)
+        self._new_path.replace(self.path)
         self._sync_folder()
 
     @property
--- a/cherrygrade/fleet/runtime/status_query.py
+++ b/cherrygrade/fleet/runtime/status_query.py
@@ -33,7 +33,7 @@
 
     def room(self, conn: Connection, message: Any, length: int) -> None:
         """Called by the connection for a frame's body: these messages have none."""
-        return None
+        return
 
     def frame(self, conn: Connection, message: Any, body: object) -> None:
         """Called by the connection with each frame; the status has any length."""
--- a/cherrygrade/platform/connection_pool.py
+++ b/cherrygrade/platform/connection_pool.py
@@ -130,8 +130,11 @@
         self.send_waiting()
 
     def _may_send(self, attempt: InflightAttempt) -> bool:
-        """Checked again as the bytes leave: since the decision the client may have closed, the node begun
-        to drain, the deadline or the window for repeats have passed."""
+        """Whether the attempt may still leave, checked as its bytes do.
+
+        Since the decision the client may have closed, the node begun to drain, the deadline or the window
+        for repeats have passed.
+        """
         pending = attempt.request
         now = self.rounds.clock_now()
         assert isinstance(pending, PendingRequest)
--- a/cherrygrade/platform/node_connection.py
+++ b/cherrygrade/platform/node_connection.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import socket
 from typing import Protocol
 
@@ -167,9 +168,7 @@
         self._reader.release()
         if self._transport is not None:
             if self._socket is not None:
-                try:
+                with contextlib.suppress(OSError):  # the node may have closed already
                     self._socket.shutdown(socket.SHUT_RDWR)
-                except OSError:
-                    pass  # the node has closed already
             self._transport.abort()
         self._owner.connection_closed(self)
--- a/cherrygrade/platform/node_messages.py
+++ b/cherrygrade/platform/node_messages.py
@@ -24,7 +24,8 @@
 
 def encode_attempt(pending: PendingRequest, address: EndpointAddress, remaining_ms: int) -> bytes:
     """The request that a node gets for one attempt. `remaining_ms`: until its answer is of no use."""
-    assert pending.workload is not None and pending.plan is not None
+    assert pending.workload is not None
+    assert pending.plan is not None
     fields = (
         (b"X-Call-Id", pending.call_id),
         (b"X-Call-Class", pending.workload.name.encode("latin-1")),
--- a/cherrygrade/platform/shutdown.py
+++ b/cherrygrade/platform/shutdown.py
@@ -36,14 +36,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSchedule:
-    """When each phase begins, in ms after SIGTERM. With a longest deadline of 2 s:
+    """When each phase begins, in ms after SIGTERM.
+
+    With a longest deadline of 2 s:
 
     | at, ms | phase        | what happens to an open request                                          |
     |--------|--------------|--------------------------------------------------------------------------|
     | 0      | ACCEPTING    | runs on; its deadline is no later than the final answers                 |
     | 700    | DRAINING     | runs on; without any client or request left the process exits now        |
     | 2430   | TURNING_AWAY | runs on; its answer closes its connection                                |
-    | 2530   | FLUSHING     | is answered at once: 503 where it certainly did not run, else 502        |
+    | 2530   | FLUSHING     | is answered at once: 503 where trying again is harmless, else 502        |
     | 2620   | exit         | connections still open are aborted                                       |
     | 2700   |              | the platform kills the process                                           |
 
--- a/tests/fleet/membership/test_virtual_fleet.py
+++ b/tests/fleet/membership/test_virtual_fleet.py
@@ -27,7 +27,7 @@
         await virtual_fleet.until(
             lambda: virtual_fleet.called("d7", MemberState.FAILED) == {*virtual_fleet.agents}, KNOWN_MS
         )
-        assert not any(7 in core.keepers.seats for core in virtual_fleet.cores().values())
+        assert not any(7 in core.aggregators.seats for core in virtual_fleet.cores().values())
         born = (await virtual_fleet.start(7)).membership.birth
         assert born > dead.membership.birth
         await virtual_fleet.until(
@@ -155,7 +155,7 @@
         await virtual_fleet.until(virtual_fleet.equal, 8000.0)
         newer = await virtual_fleet.start(9, name="d2", seat=2)
         await virtual_fleet.until(lambda: virtual_fleet.cores()[2].silent, 3000.0)
-        assert not newer.membership.silent and virtual_fleet.cores()[2].yields
+        assert not newer.membership.silent and virtual_fleet.cores()[2].forfeits_seat
 
     play(story, 8, 1, ROUGH)
 
--- a/tests/gateway/test_quota_parts_in_force.py
+++ b/tests/gateway/test_quota_parts_in_force.py
@@ -82,7 +82,7 @@
     """One dispatcher: its module, and all that it sent: time, node or volume, units."""
 
     def __init__(self, number: int, first: SiteSettings, now: float, made=Scheduler) -> None:
-        core = SimpleNamespace(record=first.place.dispatchers, yields=False)
+        core = SimpleNamespace(fleet_size=first.place.dispatchers, forfeits_seat=False)
         self.number, self.company = number, FleetPeerDirectory(core, number)
         self.text = sys.modules[made.__module__]  # the module as it reads, or as it was compiled
         bearings = first.bearings
