--- a/cherrygrade/fleet/config/replica.py
+++ b/cherrygrade/fleet/config/replica.py
@@ -321,7 +321,7 @@
         return effects
 
     def _update_belief(self, statement: StageDigest) -> None:
-        """Whether what was just said has its witnesses.
+        """Believe the stage that was just said, if it now has its witnesses.
 
         A member that says a later stage of a version confirms the earlier one too, not the other way round.
         """
--- a/cherrygrade/fleet/leases/lease_holder.py
+++ b/cherrygrade/fleet/leases/lease_holder.py
@@ -2,7 +2,8 @@
 
 It reckons each end from when it *asked*, by its own monotonic clock less the drift, and stops before. A pause
 between its last look at the clock and an order on the socket is covered by the order's number alone
-(`council/orders.py`); who carries orders out and knows no numbers is covered by time alone, less `MARGIN_MS`.
+(`consensus/fencing.py`); who carries orders out and knows no numbers is covered by time alone, less
+`MARGIN_MS`.
 
 Free of I/O and clock.
 """
--- a/cherrygrade/fleet/leases/lease_table.py
+++ b/cherrygrade/fleet/leases/lease_table.py
@@ -1,7 +1,8 @@
 """Leases, as the council's log deals them out: the same entries come to the same on every voter.
 
 A lease's number is the index of its entry. No entry is written to renew one: that is the leader's memory and
-a majority's proof (count.py). One is freed by its holder, or by a leader that counted its time to the end.
+a majority's proof (renewal_tracker.py). One is freed by its holder, or by a leader that counted its time to
+the end.
 Free of I/O, clock and chance; `at` is the leaders' time, told in the entries, and decides only how soon a
 task that failed is tried again.
 """
--- a/cherrygrade/fleet/membership/failure_detector.py
+++ b/cherrygrade/fleet/membership/failure_detector.py
@@ -168,7 +168,7 @@
         seed: Of all that varies.
         period_ms: Length of a period at rest.
         self_doubt: 0 to `MAX_SELF_DOUBT`; raised by signs that this process is slow, lowered by acks.
-        may_accuse: Whether it may suspect others; set by the caller from `partition.RULES_BY_STATE`.
+        may_accuse: Whether it may suspect others; the caller sets it unless it is overloaded.
         has_unread: Messages wait that were not processed, acks perhaps among them; set by the caller.
         over_budget: More came than may be processed: it probes, and leaves helpers, hurry and failures to
             others; set by the caller.
--- a/cherrygrade/platform/shutdown.py
+++ b/cherrygrade/platform/shutdown.py
@@ -42,7 +42,7 @@
 
     | at, ms | phase        | what happens to an open request                                          |
     |--------|--------------|--------------------------------------------------------------------------|
-    | 0      | ACCEPTING    | runs on; its deadline is no later than the final answers                 |
+    | 0      | ACCEPTING    | runs on; requests from now on get a deadline before the final answers    |
     | 700    | DRAINING     | runs on; without any client or request left the process exits now        |
     | 2430   | TURNING_AWAY | runs on; its answer closes its connection                                |
     | 2530   | FLUSHING     | is answered at once: 503 where trying again is harmless, else 502        |
--- a/cherrygrade/scheduling/admission.py
+++ b/cherrygrade/scheduling/admission.py
@@ -1,4 +1,6 @@
-"""The one place that every attempt passes: the seven rules of the service, in order.
+"""The one place that every attempt passes: the seven rules of the service.
+
+The numbers are the rules' names, not the order of the checks.
 
 1. One final answer, in time. 2. No effect twice. 3. Nothing to a node that is draining or gone. 4. All
 dispatchers together never push a warming node over. 5. Keyed order. 6. The retry budget. 7. Limits of plans
--- a/cherrygrade/scheduling/giving_up.py
+++ b/cherrygrade/scheduling/giving_up.py
@@ -46,7 +46,10 @@
         return self.utility.is_beyond_quota(queued)
 
     def may_retry(self, queued: QueuedRequest, attempt: Attempt, now: float) -> bool:
-        """Whether a request whose attempt failed goes back to a queue."""
+        """Whether a request whose attempt failed is queued again, while it can still meet its objective.
+
+        The retry budget is checked when the attempt starts (`Admission.earliest_start_ms`).
+        """
         request = queued.request
         if len(request.attempts) >= self.settings.policy.max_attempts:
             return False
--- a/cherrygrade/scheduling/retries.py
+++ b/cherrygrade/scheduling/retries.py
@@ -18,10 +18,11 @@
     Workload,
 )
 
+# Which nodes drop a repeat that carries an idempotency key.
 SCOPE_EVERYWHERE = "all"
 SCOPE_ZONE = "zone"
 SCOPE_CELL = "cell"
-"""Which nodes drop a repeat that carries an idempotency key: all, those of a zone, those of a shard."""
+"""Nodes that hold one shard."""
 
 
 def workload_of(request: Request) -> Workload:
@@ -80,7 +81,7 @@
 
 
 def outcome_allows_retry(outcome: Outcome | None) -> bool:
-    """Whether a retry has a chance: after a time-out the client's time is up as well."""
+    """Whether a retry can be in time; an attempt times out at its request's deadline."""
     return outcome is not Outcome.TIMED_OUT
 
 
--- a/cherrygrade/scheduling/slow_start.py
+++ b/cherrygrade/scheduling/slow_start.py
@@ -18,6 +18,8 @@
 from cherrygrade.scheduling.timing import NEVER_MS
 
 UNLIMITED_UNITS = NEVER_MS
+"""More units than any request has; the number is that of NEVER_MS."""
+
 MIN_COLD_CAPACITY = 0.01
 ROUNDING_UNITS = 1e-6
 
@@ -26,12 +28,12 @@
     """The rule, as one dispatcher keeps to it.
 
     Attributes:
-        settings: what a node that has just started bears.
+        settings: what a node that has just started can take.
         number: this dispatcher's number among all.
         peers: the other dispatchers.
         mean_units: units of a mean request, the smallest part that is dealt out.
-        owned_since_ms: since when this dispatcher has its part. A node that started before may have been
-            sent the part by whoever had it before.
+        owned_since_ms: since when this dispatcher is entitled to its part. A node that started before may
+            have been sent that part by the dispatcher that was entitled to it then.
     """
 
     def __init__(
@@ -55,7 +57,10 @@
         return spent_part(now) if node.started_ms <= self.owned_since_ms else []
 
     def units_left(self, queue: NodeQueue, now: float) -> float:
-        """Units that this dispatcher may still send to the node in the present window."""
+        """Units that this dispatcher may still send to the node in the present window.
+
+        A node whose start is not known counts as warmed up.
+        """
         settings = self.settings
         started_ms = max(queue.node.started_ms or BEFORE_ANY_START_MS, queue.health.restarted_ms)
         age_ms = now - started_ms
@@ -68,7 +73,7 @@
     def _borne_units(self, queue: NodeQueue, age_ms: float) -> float:
         """Units that the node bears in a window, from all dispatchers together."""
         settings = self.settings
-        # One unit at a time, as slowly as answers come here in the quietest mean, any node can do.
+        # Any node can process one unit at a time, at the pace of the lowest mean latency observed here.
         one_at_a_time = (
             settings.overload_multiple
             * settings.cold_capacity
--- a/tests/fleet/membership/test_virtual_fleet.py
+++ b/tests/fleet/membership/test_virtual_fleet.py
@@ -28,8 +28,8 @@
             lambda: virtual_fleet.called("d7", MemberState.FAILED) == {*virtual_fleet.agents}, KNOWN_MS
         )
         assert not any(7 in core.aggregators.seats for core in virtual_fleet.cores().values())
-        born = (await virtual_fleet.start(7)).membership.birth
-        assert born > dead.membership.birth
+        born = (await virtual_fleet.start(7)).membership.incarnation
+        assert born > dead.membership.incarnation
         await virtual_fleet.until(
             lambda: virtual_fleet.called("d7", MemberState.ALIVE, born) == {*virtual_fleet.agents}, 3000.0
         )
