--- a/cherrygrade/fleet/config/replica.py
+++ b/cherrygrade/fleet/config/replica.py
@@ -157,9 +157,9 @@
     ) -> ReplicaEffects:
         """Handle what any message of a living member told of its stage."""
         self._merge_seats(stage, digest_prefix, bits, now)
-        if stage > self.stage and name != self.name:
-            if self.witnesses.add_advert(name, StageDigest(stage, digest_prefix)):
-                self._tick_now = True
+        is_newer = stage > self.stage and name != self.name
+        if is_newer and self.witnesses.add_advert(name, StageDigest(stage, digest_prefix)):
+            self._tick_now = True
         return ReplicaEffects()
 
     def receive_statement(
@@ -321,7 +321,7 @@
         return effects
 
     def _update_belief(self, statement: StageDigest) -> None:
-        """Whether what was just said has its witnesses.
+        """Believe the stage that was just said, if it now has its witnesses.
 
         A member that says a later stage of a version confirms the earlier one too, not the other way round.
         """
