--- /dev/null
+++ b/tests/golden/test_outer_names.py
@@ -0,0 +1,33 @@
+"""Names that peers, operators and files use stay letter for letter.
+
+A rename that follows every use in the code would also change a key of a status answer or a stored field, and
+the tests that read it with it. `outer-names.txt` lists those names; each must still be written in a tracked
+file other than tests, pages and the journal.
+"""
+
+from __future__ import annotations
+
+import re
+from pathlib import Path
+
+ROOT = Path(__file__).parents[2]
+LIST = Path(__file__).with_name("outer-names.txt")
+FOLDERS = ("cherrygrade", "deploy", "scenarios")
+SUFFIXES = (".py", ".rec", ".toml", ".json")
+
+
+def listed_names() -> set[str]:
+    lines = (line.strip() for line in LIST.read_text().splitlines())
+    return {line for line in lines if line and not line.startswith("#")}
+
+
+def written_names() -> set[str]:
+    paths = [path for folder in FOLDERS for path in (ROOT / folder).rglob("*") if path.suffix in SUFFIXES]
+    text = "\n".join(path.read_text() for path in paths)
+    dotted = re.findall(r"[\w./-]+", text)
+    return {*re.findall(r"[\w-]+", text), *dotted, *(name.rstrip("/") for name in dotted)}
+
+
+def test_each_outer_name_is_still_written():
+    assert len(listed_names()) > 600
+    assert sorted(listed_names() - written_names()) == []
