--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -28,7 +28,7 @@
 from msgspec import msgpack
 
 from cherrygrade.client.library import Client, Ok
-from cherrygrade.compiled import dispatcher
+from cherrygrade.compiled import scheduler_class
 from cherrygrade.fleet.consensus.council_messages import (
     AcquireLease,
     LeaseAcquired,
@@ -333,7 +333,7 @@
 
 def module(count: int, rounds: int) -> None:
     """In a process of its own: prints what so many nodes cost the module."""
-    make, compiled = dispatcher()
+    make, compiled = scheduler_class()
     work, plan = Workload("read", 1000.0, 5000.0, 3.0), ServicePlan("p", usual_rate=1e6)
     nodes = [Node(f"10.{at // 250}.{at % 250}.7:7400", f"z{at % 6}", "k", at) for at in range(count)]
     one = make(
--- a/cherrygrade/cli.py
+++ b/cherrygrade/cli.py
@@ -72,7 +72,7 @@
         Form of the log on standard error.
     """
     site = _site(file, given)
-    from cherrygrade.compiled import dispatcher
+    from cherrygrade.compiled import scheduler_class
     from cherrygrade.gateway.life import serve as run
     from cherrygrade.gateway.process import Gateway
     from cherrygrade.logs import make_log
@@ -85,7 +85,7 @@
         sys.setswitchinterval(SWITCH_S)
 
     async def main() -> int:
-        make, compiled = dispatcher()
+        make, compiled = scheduler_class()
         told = make_log(log, dispatcher=site.place.name)
         told("module", compiled=compiled)
         gateway = Gateway(
--- a/cherrygrade/compiled.py
+++ b/cherrygrade/compiled.py
@@ -35,7 +35,7 @@
     return digest.hexdigest()
 
 
-def dispatcher() -> tuple[type[scheduler.Scheduler], bool]:
+def scheduler_class() -> tuple[type[scheduler.Scheduler], bool]:
     """The scheduler's class, and whether it is the compiled one."""
     try:
         package = importlib.import_module(PACKAGE)
@@ -57,7 +57,7 @@
     Raises:
         RuntimeError: it cannot be compiled; the program runs the sources as they read.
     """
-    if dispatcher()[1]:
+    if scheduler_class()[1]:
         return "the compiled module is of this source already"
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
--- a/cherrygrade/extents/carrier.py
+++ b/cherrygrade/extents/carrier.py
@@ -97,7 +97,7 @@
         workload: Workload,
         volume: VolumeSettings,
     ) -> None:
-        self.carrier, self.session, self.ask, self.until = carrier, session, ask, until
+        self.carrier, self.session, self.rpc, self.until = carrier, session, ask, until
         self.workload, self.volume = workload, volume
         self.writes = isinstance(ask, WriteRpc)
         self.length = ask.length if isinstance(ask, ReadRpc) else len(body or b"")
@@ -110,7 +110,7 @@
 
     def enter(self) -> None:
         """Find room for the whole, if it is put together here, and then the map."""
-        session, ask, rooms = self.session, self.ask, self.carrier.house.rooms
+        session, ask, rooms = self.session, self.rpc, self.carrier.house.rooms
         if not (self.writes or self.streams) and self.length:
             self.claim = rooms.ask(session.account, ask.workload, ask.volume, self.length, self, ask.left_ms)
             if waits(self.claim):
@@ -123,38 +123,38 @@
     def cramped(self, claim: Claim) -> None:
         self.drop()
         house = self.carrier.house
-        house.final(self, Rejected(self.ask.id, house.come_back_ms, "no room for its bytes"))
+        house.final(self, Rejected(self.rpc.id, house.come_back_ms, "no room for its bytes"))
 
     def plan(self) -> None:
         """Begin anew by the map, which is known now; nothing has been sent before it was."""
         self.drop()
-        cuts, ask = self.carrier.cuts, self.ask
+        cuts, ask = self.carrier.cuts, self.rpc
         if not self.streams and self.whole is None:
             self.whole = memoryview(bytearray(self.length))
         stretches = self.carrier.map.stretches(ask.volume, ask.offset, self.length, cuts.most_piece)
         self.parent = Parent(stretches, self.length, self.writes, cuts.pieces, cuts.pieces_a_shard)
-        self.feed()
+        self.start_pieces()
 
     @property
     def pieces(self) -> list[InflightRequest]:
         return [*self.helds.values()]
 
-    def feed(self) -> None:
+    def start_pieces(self) -> None:
         """Take more pieces while the client takes what comes: what is out and what waits count alike."""
         session = self.session
-        narrow = session.slow >= Step.NARROW and bool(session.conn.waiting or session.flying)
-        if narrow or session.conn.waiting + session.flying >= session.conn.high:
-            session.hungry[self] = None
+        narrow = session.slow >= Step.NARROW and bool(session.conn.waiting or session.bytes_in_flight)
+        if narrow or session.conn.waiting + session.bytes_in_flight >= session.conn.high:
+            session.waiting_ranges[self] = None
             return
-        session.hungry.pop(self, None)
+        session.waiting_ranges.pop(self, None)
         if self.cramped_piece is not None and waits(self.cramped_piece.claim):
             return  # one that waits for room is enough: the next goes behind it
         carrier, self.cramped_piece = self.carrier, None
         most = 1 if carrier.house.rooms.store.waits else carrier.cuts.pieces
-        for piece in self.parent.more(lambda extent: carrier.map.home(self.ask.volume, extent), most):
+        for piece in self.parent.more(lambda extent: carrier.map.home(self.rpc.volume, extent), most):
             held = carrier.hold_piece(self, piece)
             self.helds[piece] = held
-            session.flying += piece.stretch.length
+            session.bytes_in_flight += piece.stretch.length
             carrier.house.admit(held)
             if waits(held.claim):
                 self.cramped_piece = held
@@ -164,11 +164,11 @@
         assert isinstance(piece, Piece)
         stretch = piece.stretch
         if self.streams and body is not None:
-            self.session.hand(Part(self.ask.id, stretch.at), body, self.carrier.house.release(held))
-        elif self.whole is not None and not self.writes and body is not None and body is not held.place:
+            self.session.send_message(Part(self.rpc.id, stretch.at), body, self.carrier.house.release(held))
+        elif self.whole is not None and not self.writes and body is not None and body is not held.destination:
             self.whole[stretch.at : stretch.at + stretch.length] = body
         self._landed(piece)
-        held.body = held.place = None  # what is in a circle of references would keep its bytes for long
+        held.body = held.destination = None  # what is in a circle of references would keep its bytes for long
         self.parent.ok(piece, held.version)
         self._on()
 
@@ -195,13 +195,13 @@
         end, parent = self.parent.end, self.parent
         session = self.session
         if end is None:
-            self.feed()
-        for range_ in [*session.hungry][:4]:
-            range_.feed()
+            self.start_pieces()
+        for range_ in [*session.waiting_ranges][:4]:
+            range_.start_pieces()
         if end is None:
             return
         self.drop()
-        ask, house = self.ask, self.carrier.house
+        ask, house = self.rpc, self.carrier.house
         if end is End.OK:
             body = None if self.streams or self.writes else self.whole
             house.final(self, Ok(ask.id, -1), body)
@@ -213,7 +213,7 @@
 
     def drop(self) -> None:
         """Pieces that are still held are of no use any more."""
-        self.session.hungry.pop(self, None)
+        self.session.waiting_ranges.pop(self, None)
         helds, self.helds = self.helds, {}
         for held in helds.values():
             self.carrier.house.abandon(held)
@@ -221,7 +221,7 @@
 
     def _let_go(self, held: InflightRequest) -> None:
         house = self.carrier.house
-        self.session.flying -= held.length
+        self.session.bytes_in_flight -= held.length
         if self.claim is not None:
             house.pin_sends(held, self.claim)
         house.let_go(held)
@@ -306,7 +306,7 @@
         return self._held(session, ask, body, stretch, shard, version, self.house.until(session, ask))
 
     def hold_piece(self, range_: Range, piece: Piece) -> InflightRequest:
-        stretch, ask = piece.stretch, range_.ask
+        stretch, ask = piece.stretch, range_.rpc
         body = None
         if range_.writes and range_.whole is not None:
             body = range_.whole[stretch.at : stretch.at + stretch.length]
@@ -318,7 +318,7 @@
         held.id = f"{held.id}/{stretch.at}.{piece.turn}"
         held.range, held.piece = range_, piece
         if not range_.writes and range_.whole is not None:
-            held.place = range_.whole[stretch.at : stretch.at + stretch.length]
+            held.destination = range_.whole[stretch.at : stretch.at + stretch.length]
         return held
 
     def _held(
@@ -413,11 +413,11 @@
 
     def find(self, range_: Range) -> None:
         """It has its room: it goes by the map, or waits for it."""
-        ask = range_.ask
+        ask = range_.rpc
         if not self.map.known(ask.volume):
             self.unmapped.setdefault(ask.volume, []).append(range_)
             self._ask(ask.volume, 0, 2**31)
-            range_.feed()
+            range_.start_pieces()
             return
         told = self._judge(ask, range_.length, range_.workload)
         if told is None:
--- a/cherrygrade/gateway/inforce.py
+++ b/cherrygrade/gateway/inforce.py
@@ -27,7 +27,7 @@
 from cherrygrade.scheduling.model import Workload
 from cherrygrade.scheduling.quota import USUAL_RATE_FRACTION, VolumeQuota
 from cherrygrade.scheduling.scheduler import Scheduler
-from cherrygrade.scheduling.slow_start import spent_part
+from cherrygrade.scheduling.slow_start import sends_exhausting_quota
 from cherrygrade.settings import SchedulingSettings, SiteSettings, TrafficSettings
 
 
@@ -84,7 +84,7 @@
     retry_budget.settings = bearings.budget
     slow_start.settings = bearings.cold
     slow_start.mean_units = bearings.earnings.mean_units
-    scheduler.admission.order.rest_ms = bearings.key_rest_ms
+    scheduler.admission.order.cool_down_ms = bearings.key_rest_ms
     for name, quota in _quotas(scheduler):
         _deal(quota, name, into, now, forfeited, old_utility != bearings.earnings)
     if blank:
@@ -93,16 +93,16 @@
     for queue in [*scheduler.node_queues.values(), scheduler.unplaced]:
         queue.tightest_objective_ms = into.tight
         if blank:
-            queue.warm_up_sends = spent_part(now)
+            queue.warm_up_sends = sends_exhausting_quota(now)
 
 
 def _restart_unanswered(shared: SharedLatency, old_objective_ms: float, objective_ms: float) -> None:
     """Estimates that stand at the old objective, since nothing was answered yet, begin at the new one."""
     if shared.mean_answer_ms == old_objective_ms:
         shared.mean_answer_ms = objective_ms
-    if shared.quietest_answer_ms == old_objective_ms:
+    if shared.min_mean_answer_ms == old_objective_ms:
         quietest_ms = min(objective_ms, shared.mean_answer_ms)
-        shared.quietest_answer_ms = max(shared.quietest_answer_ms, quietest_ms)
+        shared.min_mean_answer_ms = max(shared.min_mean_answer_ms, quietest_ms)
 
 
 def _quotas(scheduler: Scheduler) -> Iterator[tuple[str, VolumeQuota]]:
--- a/cherrygrade/gateway/links.py
+++ b/cherrygrade/gateway/links.py
@@ -74,8 +74,8 @@
             return None
         self.receiving = flight
         held = flight.parts[0].request
-        if len(flight.parts) == 1 and isinstance(held, InflightRequest) and held.place is not None:
-            return held.place if held.length == length else None
+        if len(flight.parts) == 1 and isinstance(held, InflightRequest) and held.destination is not None:
+            return held.destination if held.length == length else None
         return bytearray(length)
 
     def frame(self, conn: Connection, message: Any, body: bytearray | memoryview | None) -> None:
@@ -173,7 +173,7 @@
         """One send, or several that share one frame."""
         flight = Flight(outs)
         for out in outs:
-            out.flight = flight
+            out.frame = flight
         self.waiting.append(flight)
         self.pump()
 
@@ -212,7 +212,7 @@
         limit = max(out.request.deadline_ms for out in flight.parts) - now
         length, units = flight.high - flight.low, lead.coalesced_units or held.units
         if held.is_write:
-            ask = held.ask
+            ask = held.rpc
             assert isinstance(ask, WriteRpc)
             tokened = held.workload.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
             bodies = [
@@ -221,7 +221,7 @@
                 if isinstance(out.request, InflightRequest)
             ]
             rooms = [
-                out.claim or out.request.room()
+                out.claim or out.request.memory_claim()
                 for out in flight.parts
                 if isinstance(out.request, InflightRequest)
             ]
@@ -335,11 +335,15 @@
     ) -> None:
         self.wheel.drop(out, out.timer_slot)
         self.rounds.outcome(out, outcome, body)
-        flight: Flight | None = out.flight
+        flight: Flight | None = out.frame
         claim, out.claim = out.claim, None
         if flight is not None and flight.line is not None and flight.line.receiving is flight:
             held = out.request  # nobody waits for its bytes any more, but they go on coming in
-            if claim is None and isinstance(held, InflightRequest) and (claim := held.room()) is not None:
+            if (
+                claim is None
+                and isinstance(held, InflightRequest)
+                and (claim := held.memory_claim()) is not None
+            ):
                 claim.pin()
             if claim is not None:
                 flight.line.keeps.append(claim)
@@ -358,7 +362,7 @@
 
         Others that share its frame go on.
         """
-        flight: Flight | None = out.flight
+        flight: Flight | None = out.frame
         if flight is None or out not in flight.parts or out.outcome is not None:
             return
         if flight.line is None:
--- a/cherrygrade/gateway/process.py
+++ b/cherrygrade/gateway/process.py
@@ -229,10 +229,10 @@
             return
         self.rounds.end()
         for held in [*self.held]:
-            assert held.ask is not None
+            assert held.rpc is not None
             if not isinstance(held, InflightRequest):
                 held.drop()
-            self.final(held, Errored(held.ask.id, "dispatcher ends"))
+            self.final(held, Errored(held.rpc.id, "dispatcher ends"))
         if self._server is not None:
             self._server.close()
         self.register_watch.close()
@@ -289,7 +289,7 @@
     def until(self, session: ClientSession, ask: ReadRpc | WriteRpc) -> float:
         """When the RPC's answer must be on its way. To be asked once an RPC."""
         now = self.rounds.clock()
-        waited = session.waited(ask.at_ms, now)
+        waited = session.transit_ms(ask.at_ms, now)
         workload = self.trade.workloads.get(ask.workload)
         # Clients of one workload that give themselves more time than it has would make the others look late.
         left = min(ask.left_ms, workload.deadline_ms if workload else 1e7) - waited
@@ -322,7 +322,7 @@
             offset=start,
             length=length,
             session=session,
-            ask=ask,
+            rpc=ask,
             body=body,
         )
 
@@ -345,7 +345,7 @@
         assert session is not None
         # Room was taken before, or there is nothing to bring while it is not known where it lies.
         whole = held.is_write or (held.range is not None and (not held.range.streams or held.extent < 0))
-        if work is not None and held.length and not whole and not session.pays(held, work.name):
+        if work is not None and held.length and not whole and not session.reserve_small_read(held, work.name):
             left = held.deadline_ms - self.rounds.clock()
             held.claim = self.rooms.ask(session.account, work.name, held.volume, held.length, held, left)
         if not waits(held.claim):
@@ -372,8 +372,8 @@
         held.finished = True
         if held.range is not None:
             held.range.rejected(held, self.come_back_ms)
-        elif held.ask is not None:
-            self.final(held, Rejected(held.ask.id, self.come_back_ms, "no room for its bytes"))
+        elif held.rpc is not None:
+            self.final(held, Rejected(held.rpc.id, self.come_back_ms, "no room for its bytes"))
 
     def release(self, held: InflightRequest | RangeRequest) -> Claim | None:
         """The RPC needs its room no more: whoever gets it gives it back. Sends that are out still hold it."""
@@ -391,7 +391,7 @@
             if (
                 isinstance(out, InflightAttempt)
                 and out.outcome is None
-                and out.flight is not None
+                and out.frame is not None
                 and out.claim is None
             ):
                 claim.pin()
@@ -542,28 +542,28 @@
         if held.range is not None:
             held.range.ok(held)
             return
-        assert held.ask is not None
-        self.final(held, Ok(held.ask.id, out.node.shard), None if held.is_write else held.body)
+        assert held.rpc is not None
+        self.final(held, Ok(held.rpc.id, out.node.shard), None if held.is_write else held.body)
 
     def answer_rejected(self, held: InflightRequest, come_back_ms: float) -> None:
         if held.range is not None:
             held.range.rejected(held, come_back_ms)
             return
-        assert held.ask is not None
+        assert held.rpc is not None
         reason = ""
         if held.workload is None:
-            reason = f"unknown workload '{held.ask.workload}'"
+            reason = f"unknown workload '{held.rpc.workload}'"
         elif held.plan is None:
             reason = f"unknown volume '{held.volume}'"
-        self.final(held, Rejected(held.ask.id, come_back_ms, reason))
+        self.final(held, Rejected(held.rpc.id, come_back_ms, reason))
 
     def answer_errored(self, held: InflightRequest) -> None:
         if held.range is not None:
             held.range.errored(held)
             return
-        assert held.ask is not None
+        assert held.rpc is not None
         last = held.attempts[-1].outcome if held.attempts else None
-        self.final(held, Errored(held.ask.id, f"last send: {last.value}" if last else ""))
+        self.final(held, Errored(held.rpc.id, f"last send: {last.value}" if last else ""))
 
     def final(
         self, held: InflightRequest | RangeRequest, message: Ok | Rejected | Errored, body: Any = None
--- a/cherrygrade/gateway/roster.py
+++ b/cherrygrade/gateway/roster.py
@@ -46,4 +46,4 @@
             node.state = STANDINGS.get(entry.standing, NodeState.GONE)
             named.append(node)
         self.epoch, self.version, self.gap = roster.epoch, roster.version, False
-        return self.nodes.told(named, roster.full)
+        return self.nodes.apply_list(named, roster.full)
--- a/cherrygrade/gateway/rounds.py
+++ b/cherrygrade/gateway/rounds.py
@@ -177,7 +177,7 @@
     def fetch(self) -> None:
         self._todo.append((self._carrier.ask_list, (False,)))
 
-    def probe(self, node: Node) -> None:
+    def check_health(self, node: Node) -> None:
         self._log(f"probe of {node.address} passed over: this gateway has none")
 
     def release(self, node: Node) -> None:
--- a/cherrygrade/gateway/sessions.py
+++ b/cherrygrade/gateway/sessions.py
@@ -87,8 +87,9 @@
         self.name = ""
         self.rpcs: dict[int, InflightRequest | RangeRequest] = {}
         self.features: list[str] = []
-        self.flying = 0  # bytes of pieces that are out for this client
-        self.hungry: dict[RangeRequest, None] = {}  # wait for room here; emptied by it and by their ends
+        self.bytes_in_flight = 0  # bytes of pieces that are out for this client
+        # wait for room here; emptied by it and by their ends
+        self.waiting_ranges: dict[RangeRequest, None] = {}
         self.account = Account()
         self.claim: Claim | None = None  # of the body that is coming in, or that waits to
         self.purse: Purse | None = None
@@ -131,7 +132,7 @@
         self.conn.give(None)
         self.read_on()
 
-    def pays(self, held: InflightRequest, workload: str) -> bool:
+    def reserve_small_read(self, held: InflightRequest, workload: str) -> bool:
         """Whether the purse pays for the bytes that a small read will bring."""
         conn = self.conn
         if held.length > PURSE // 8 or conn.stuck or not self.house.rooms.bounded:
@@ -146,14 +147,14 @@
         held.purse = purse
         return True
 
-    def waited(self, since_hello_ms: float, now: float) -> float:
+    def transit_ms(self, since_hello_ms: float, now: float) -> float:
         """How long its word was on its way, ms."""
         return self.transit.waited(since_hello_ms, now)
 
-    def admitted(self, held: InflightRequest) -> None:
+    def memory_granted(self, held: InflightRequest) -> None:
         self.house.admitted(held)
 
-    def turned_away(self, held: InflightRequest) -> None:
+    def memory_refused(self, held: InflightRequest) -> None:
         self.house.turn_away(held)
 
     def idle(self) -> None:
@@ -166,7 +167,7 @@
     def taken(self, claim: Claim) -> None:
         """The client has a body; a narrowed one gets its next piece only then."""
         self.house.rooms.unpin(claim)
-        if self.hungry and not self.conn.waiting:
+        if self.waiting_ranges and not self.conn.waiting:
             self.feed_hungry()
 
     def read_on(self) -> None:
@@ -233,7 +234,7 @@
             return None
         return self.house.take(self, ask, body)
 
-    def hand(self, message: Ok | Rejected | Errored | Part, body: Body, claim: Claim | None) -> None:
+    def send_message(self, message: Ok | Rejected | Errored | Part, body: Body, claim: Claim | None) -> None:
         """To the client. A body's room goes with it, until the client has taken it."""
         if self.conn.waiting and isinstance(body, memoryview) and len(body) < memoryview(body.obj).nbytes:
             body = bytearray(body)  # a part of what others share: it must not keep all of that for long
@@ -248,7 +249,7 @@
         if self.rpcs.pop(message.id, None) is None:
             self.house.rooms.leave(claim)
             return
-        self.hand(message, body, claim)
+        self.send_message(message, body, claim)
         if self.conn.full:  # it does not read its answers: no more of its RPCs are read either
             self.conn.hold_reading(True)
 
@@ -257,8 +258,8 @@
         self.feed_hungry()
 
     def feed_hungry(self) -> None:
-        for range_ in [*self.hungry]:
-            range_.feed()
+        for range_ in [*self.waiting_ranges]:
+            range_.start_pieces()
 
     def closed(self, conn: Connection, why: str) -> None:
         if self._greeting is not None:
--- a/cherrygrade/inflight.py
+++ b/cherrygrade/inflight.py
@@ -29,7 +29,7 @@
     def session(self) -> ClientSession: ...
 
     @property
-    def ask(self) -> ReadRpc | WriteRpc: ...
+    def rpc(self) -> ReadRpc | WriteRpc: ...
 
     @property
     def streams(self) -> bool:
@@ -39,7 +39,7 @@
     def pieces(self) -> list[InflightRequest]:
         """Those that are taken and not over."""
 
-    def feed(self) -> None:
+    def start_pieces(self) -> None:
         """There may be room for more pieces."""
 
     def ok(self, held: InflightRequest) -> None: ...
@@ -57,9 +57,9 @@
 
     name: str
     features: list[str]
-    flying: int
+    bytes_in_flight: int
     """Bytes of pieces that are out for it."""
-    hungry: dict[RangeRequest, None]
+    waiting_ranges: dict[RangeRequest, None]
     """Wait until it has taken more."""
 
     @property
@@ -71,19 +71,21 @@
     @property
     def slow(self) -> Step: ...
 
-    def waited(self, since_hello_ms: float, now: float) -> float:
+    def transit_ms(self, since_hello_ms: float, now: float) -> float:
         """How long its word was on its way, ms."""
 
-    def pays(self, held: InflightRequest, workload: str) -> bool:
+    def reserve_small_read(self, held: InflightRequest, workload: str) -> bool:
         """Whether its purse pays for the bytes of a small read."""
 
-    def admitted(self, held: InflightRequest) -> None:
+    def memory_granted(self, held: InflightRequest) -> None:
         """Room for the RPC's bytes came."""
 
-    def turned_away(self, held: InflightRequest) -> None:
+    def memory_refused(self, held: InflightRequest) -> None:
         """It did not come in time."""
 
-    def hand(self, message: Ok | Rejected | Errored | Part, body: Body, claim: Claim | None) -> None: ...
+    def send_message(
+        self, message: Ok | Rejected | Errored | Part, body: Body, claim: Claim | None
+    ) -> None: ...
 
     def answer(self, message: Ok | Rejected | Errored, body: Body, claim: Claim | None) -> None: ...
 
@@ -93,10 +95,10 @@
     """A client's RPC, with where its answer goes, and what it asked."""
 
     session: ClientSession | None = None
-    ask: ReadRpc | WriteRpc | None = None
+    rpc: ReadRpc | WriteRpc | None = None
     body: Body = None
     """What a write writes; what a read's ok answer carries."""
-    place: memoryview | None = None
+    destination: memoryview | None = None
     """Where a read's bytes belong, if that is known before they come."""
     extent: int = -1
     version: int = -1
@@ -110,26 +112,26 @@
     purse: Purse | None = None
     """That pays for it in place of a claim of its own."""
 
-    def room(self) -> Claim | None:
+    def memory_claim(self) -> Claim | None:
         """What holds the room of its bytes."""
         return self.claim or (self.range.claim if self.range is not None else None)
 
     def roomy(self, claim: Claim) -> None:
         assert self.session is not None
-        self.session.admitted(self)
+        self.session.memory_granted(self)
         if self.range is not None:
-            self.range.feed()
+            self.range.start_pieces()
 
     def cramped(self, claim: Claim) -> None:
         assert self.session is not None
-        self.session.turned_away(self)
+        self.session.memory_refused(self)
 
 
 @dataclass(slots=True, eq=False)
 class InflightAttempt(Attempt):
     """One send, with the frame that carries it, alone or with others, or the HTTP exchange that does."""
 
-    flight: Any = None
+    frame: Any = None
     """The frame; of the link that carries it."""
     timer_slot: int = 0
     """Of the wheel of time-outs."""
--- a/cherrygrade/platform/config.py
+++ b/cherrygrade/platform/config.py
@@ -136,13 +136,13 @@
 
 def _settings(content: dict[str, Any], seed: int) -> StartSettings:
     """The scheduler's settings, with which one can be made."""
-    settings = StartSettings.nested(_table(content, "settings"))
+    settings = StartSettings.from_nested(_table(content, "settings"))
     try:
         if not settings.workloads():
             raise ConfigError("settings.classes: a list of one class or more wanted, not []")
         if not settings.plans():
             raise ConfigError("settings.grades: a list of one plan or more wanted, not []")
-        settings.dispatcher(Scheduler, seed)
+        settings.create_scheduler(Scheduler, seed)
     except ValueError as error:
         raise ConfigError(f"settings.{error}") from None
     return settings
--- a/cherrygrade/platform/endpoint_list.py
+++ b/cherrygrade/platform/endpoint_list.py
@@ -96,7 +96,7 @@
             return None
         named = [node for node in map(self._update, endpoints) if node is not None]
         self.version = version
-        return self.nodes.told(named, is_whole_list)
+        return self.nodes.apply_list(named, is_whole_list)
 
     def _update(self, endpoint: _Endpoint) -> Node | None:
         """The node, up to date; None for one that was never known and is gone."""
--- a/cherrygrade/platform/process.py
+++ b/cherrygrade/platform/process.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable, Mapping
 
-from cherrygrade.compiled import dispatcher
+from cherrygrade.compiled import scheduler_class
 from cherrygrade.gateway.life import LEFT_BROKEN, LEFT_BY_FORCE, module_broke, serve
 from cherrygrade.http.reader import BodyBudget, HttpError, Message
 from cherrygrade.logs import plain_log
@@ -115,7 +115,7 @@
     def _make_round_carrier(self, make_scheduler: Callable[..., Scheduler]) -> RoundCarrier:
         settings = self.config.settings
         return RoundCarrier(
-            settings.dispatcher(make_scheduler, self.config.seed),
+            settings.create_scheduler(make_scheduler, self.config.seed),
             self.endpoint_list,
             self.socket_budget,
             self.receive_buffer,
@@ -195,7 +195,7 @@
         compared = (
             ("listen", config.listen, old.listen),
             ("limits.sockets", config.sockets, old.sockets),
-            ("settings", config.settings.same(), old.settings.same()),
+            ("settings", config.settings.as_pairs(), old.settings.as_pairs()),
         )
         needs_restart = [key for key, new_value, old_value in compared if new_value != old_value]
         self.log("configuration reloaded", discovery=config.discovery, needs_restart=needs_restart)
@@ -337,7 +337,7 @@
         print(error, file=sys.stderr)
         return 2
     log = plain_log(dispatcher=config.name)
-    make_scheduler, compiled = dispatcher()
+    make_scheduler, compiled = scheduler_class()
     log("module", compiled=compiled)
 
     async def _run() -> int:
--- a/cherrygrade/scheduling/giving_up.py
+++ b/cherrygrade/scheduling/early_rejection.py
@@ -17,7 +17,7 @@
 from cherrygrade.scheduling.utility import UtilityRules
 
 
-class GivingUp:
+class EarlyRejection:
     """Decides on requests that wait, and on those whose attempt ended without an answer."""
 
     def __init__(self, settings: EffectiveSettings, utility: UtilityRules, unplaced: NodeQueue) -> None:
--- a/cherrygrade/scheduling/endpoint_polling.py
+++ b/cherrygrade/scheduling/endpoint_polling.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from cherrygrade.scheduling.chance import fraction
 from cherrygrade.scheduling.effective_settings import EffectiveSettings
+from cherrygrade.scheduling.seeded_random import random_fraction
 from cherrygrade.scheduling.timing import NEVER_MS
 
 MIN_SPREAD_MS = 1000.0
@@ -48,7 +48,7 @@
             self.poll_at_ms = NEVER_MS
             self.wait_ms = self.spread_ms
         else:
-            self.poll_at_ms = now + self.wait_ms * fraction(self._seed, self.wait_ms)
+            self.poll_at_ms = now + self.wait_ms * random_fraction(self._seed, self.wait_ms)
             self.wait_ms = min(self.wait_ms * BACKOFF_FACTOR, policy.max_poll_interval_ms)
 
     def take_due(self, now: float) -> bool:
--- a/cherrygrade/scheduling/load_gossip.py
+++ b/cherrygrade/scheduling/load_gossip.py
@@ -160,7 +160,7 @@
         aggregators: aggregate by node queue, of the nodes that this dispatcher aggregates.
         outgoing: reports of this round by receiver; None: all. Emptied by the round.
         publish_at_ms: when aggregates are looked at next.
-        queues_by_mark: node queues by the mark that reports name them by; made anew with each list.
+        queues_by_hash: node queues by the mark that reports name them by; made anew with each list.
         malformed: reports that were cut short, or not from or to the node's aggregator.
     """
 
@@ -171,12 +171,12 @@
         self.aggregators: dict[NodeQueue, LoadAggregator] = {}
         self.outgoing: dict[int | None, list[bytes]] = {}
         self.publish_at_ms = NEVER_MS
-        self.queues_by_mark: dict[int, NodeQueue] = {}
+        self.queues_by_hash: dict[int, NodeQueue] = {}
         self.malformed = 0
 
     def index(self, queues: Iterable[NodeQueue]) -> None:
         """Enter node queues under their marks."""
-        self.queues_by_mark = {queue.mark: queue for queue in queues}
+        self.queues_by_hash = {queue.node_hash: queue for queue in queues}
 
     def receive(self, peer: int, message: bytes, now: float) -> None:
         """A message of a peer; what makes no sense is counted and changes nothing."""
@@ -189,7 +189,7 @@
 
     def _receive_one(self, peer: int, kind: int, mark: int, units: int, value: int, now: float) -> bool:
         """Whether it was from the node's aggregator, or to it."""
-        queue = self.queues_by_mark.get(mark)
+        queue = self.queues_by_hash.get(mark)
         aggregator = self.peers.aggregator(mark)
         if kind == WAITING and aggregator == peer:
             if queue is not None:
@@ -213,12 +213,12 @@
         """Report what goes to a node or comes back to the node's aggregator, which may be this dispatcher."""
         if not self.settings.policy.allows_gossip:
             return
-        receiver = self.peers.aggregator(queue.mark)
+        receiver = self.peers.aggregator(queue.node_hash)
         if receiver == self.number:
             self._aggregate(queue, kind, units, latency_ms, now)
             return
         tenths = min(MAX_BYTE, int(units * UNITS_SCALE))
-        report = pack(REPORT_FORMAT, kind, queue.mark, tenths, min(MAX_SHORT, int(latency_ms)))
+        report = pack(REPORT_FORMAT, kind, queue.node_hash, tenths, min(MAX_SHORT, int(latency_ms)))
         self.outgoing.setdefault(receiver, []).append(report)
 
     def send(self, now: float, sink: DecisionSink) -> None:
@@ -231,11 +231,11 @@
 
     def _publish(self, now: float) -> None:
         for queue, aggregator in self.aggregators.items():
-            if self.peers.publishes(queue.mark, now) and aggregator.step(now):
+            if self.peers.publishes(queue.node_hash, now) and aggregator.step(now):
                 waiting_ms, unit_ms = aggregator.published
                 queue.latency.receive_report(now, waiting_ms, unit_ms)
                 steps = min(MAX_BYTE, int(unit_ms / WORK_SCALE))
-                report = pack(REPORT_FORMAT, WAITING, queue.mark, steps, int(waiting_ms))
+                report = pack(REPORT_FORMAT, WAITING, queue.node_hash, steps, int(waiting_ms))
                 self.outgoing.setdefault(None, []).append(report)
         self.aggregators = {
             queue: aggregator
--- a/cherrygrade/scheduling/model.py
+++ b/cherrygrade/scheduling/model.py
@@ -341,7 +341,7 @@
     def wake(self, after_ms: float) -> None:
         """Call again after so long."""
 
-    def probe(self, node: Node) -> None:
+    def check_health(self, node: Node) -> None:
         """Send a health check."""
 
     def release(self, node: Node) -> None:
--- a/cherrygrade/scheduling/node_queue.py
+++ b/cherrygrade/scheduling/node_queue.py
@@ -33,7 +33,7 @@
 MIN_SHARE = 0.01
 """Bound on the divisor by which work is charged to a side."""
 
-NODE_MARK_MASK = 0xFFFF
+NODE_HASH_MASK = 0xFFFF
 REPORTED_SILENCE_MS = 2000.0
 """A node that aggregated reports give less waiting than this answers others."""
 
@@ -57,7 +57,7 @@
         newest_is_extra: whether that one went beyond the window.
         next_step_ms, next_window_ms: when the controller and the window step next.
         due_ms: the earliest time at which anything is wanted here.
-        mark: 16 bits that gossip names the node by.
+        node_hash: 16 bits that gossip names the node by.
         warm_up_sends: time and units of attempts in the window of the slow start.
     """
 
@@ -87,7 +87,7 @@
         self.next_step_ms = now + CONTROL_INTERVAL_MS
         self.next_window_ms = now + WINDOW_INTERVAL_MS
         self.due_ms = NEVER_MS
-        self.mark = crc32(node.address.encode()) & NODE_MARK_MASK
+        self.node_hash = crc32(node.address.encode()) & NODE_HASH_MASK
         self.warm_up_sends = warm_up_sends
 
     # Slots and queues.
--- a/cherrygrade/scheduling/ordering.py
+++ b/cherrygrade/scheduling/ordering.py
@@ -17,13 +17,13 @@
     """Ordered requests by key.
 
     Attributes:
-        rest_ms: how long a key rests after an unknown outcome.
+        cool_down_ms: how long a key rests after an unknown outcome.
         turns: ordered requests of a key, the one whose turn it is first; a key goes with its last request.
         resting_until_ms: when a key's rest ends; dropped once it is over.
     """
 
-    def __init__(self, rest_ms: float) -> None:
-        self.rest_ms = rest_ms
+    def __init__(self, cool_down_ms: float) -> None:
+        self.cool_down_ms = cool_down_ms
         self.turns: dict[str, deque[QueuedRequest]] = {}
         self.resting_until_ms: dict[str, float] = {}
 
@@ -58,7 +58,7 @@
         """An attempt that may still run makes its key rest."""
         request, outcome = attempt.request, attempt.outcome
         if outcome is not None and outcome.may_still_run and request.key and workload_of(request).ordered:
-            self.resting_until_ms[request.key] = now + self.rest_ms
+            self.resting_until_ms[request.key] = now + self.cool_down_ms
 
     def is_its_turn(self, queued: QueuedRequest, now: float) -> bool:
         """Whether the request is the first of its key, and the key does not rest."""
--- a/cherrygrade/scheduling/placement.py
+++ b/cherrygrade/scheduling/placement.py
@@ -11,11 +11,11 @@
 from collections.abc import Iterable
 
 from cherrygrade.scheduling.admission import Admission
-from cherrygrade.scheduling.chance import Counter, drawn
 from cherrygrade.scheduling.model import Node, NodeState
 from cherrygrade.scheduling.node_queue import NodeQueue
 from cherrygrade.scheduling.queued_request import QueuedRequest
 from cherrygrade.scheduling.retries import may_have_run
+from cherrygrade.scheduling.seeded_random import Counter, random_uint32
 from cherrygrade.scheduling.slow_start import UNLIMITED_UNITS
 from cherrygrade.scheduling.timing import NEVER_MS
 
@@ -77,7 +77,7 @@
     def _soonest(self, queued: QueuedRequest, number: int, now: float) -> NodeQueue:
         chosen, soonest_ms = self.unplaced, NEVER_MS
         queues = [*self.queues.values()]
-        start = drawn(self._seed, number) % len(queues) if queues else 0
+        start = random_uint32(self._seed, number) % len(queues) if queues else 0
         left = CANDIDATES
         for queue in queues[start:] + queues[:start]:
             if not _has_credit(queue):
--- a/cherrygrade/scheduling/round_inputs.py
+++ b/cherrygrade/scheduling/round_inputs.py
@@ -65,19 +65,19 @@
             del self.by_address[node.address]
         self._listed.discard(node.address)
 
-    def told(self, named: Iterable[Node], whole: bool) -> list[Node]:
+    def apply_list(self, listed: Iterable[Node], is_complete: bool) -> list[Node]:
         """A list was received.
 
         Args:
-            named: the nodes that it names, already up to date.
-            whole: it names all nodes, so that one it leaves out is gone.
+            listed: the nodes that it names, already up to date.
+            is_complete: it names all nodes, so that one it leaves out is gone.
 
         Returns:
             All nodes of which the list says something.
         """
-        changed = list(named)
+        changed = list(listed)
         addresses = {node.address for node in changed}
-        if not whole:
+        if not is_complete:
             self._listed |= addresses
             return changed
         for address in sorted(self._listed - addresses):
--- a/cherrygrade/scheduling/scheduler.py
+++ b/cherrygrade/scheduling/scheduler.py
@@ -15,12 +15,11 @@
 from collections.abc import Sequence
 
 from cherrygrade.scheduling.admission import Admission
-from cherrygrade.scheduling.chance import Counter
 from cherrygrade.scheduling.client_retries import ClientRetries
 from cherrygrade.scheduling.coalescing import Coalescing
+from cherrygrade.scheduling.early_rejection import EarlyRejection
 from cherrygrade.scheduling.effective_settings import EffectiveSettings
 from cherrygrade.scheduling.endpoint_polling import EndpointPolling
-from cherrygrade.scheduling.giving_up import GivingUp
 from cherrygrade.scheduling.latency_estimate import SharedLatency
 from cherrygrade.scheduling.load_gossip import ANSWERED, ENDED, SENT, LoadGossip
 from cherrygrade.scheduling.model import (
@@ -41,6 +40,7 @@
 from cherrygrade.scheduling.placement import Placement
 from cherrygrade.scheduling.queued_request import QueuedRequest
 from cherrygrade.scheduling.quota import VolumeQuota
+from cherrygrade.scheduling.seeded_random import Counter
 from cherrygrade.scheduling.utility import UtilityRules
 from cherrygrade.scheduling.wake_ups import WakeUps
 
@@ -107,7 +107,7 @@
         self.load_gossip = LoadGossip(self.settings, self.peers, number)
         self.polling = EndpointPolling(self.settings, seed, dispatchers)
         self.client_retries = ClientRetries(self.settings)
-        self.giving_up = GivingUp(self.settings, self.utility, self.unplaced)
+        self.early_rejection = EarlyRejection(self.settings, self.utility, self.unplaced)
         self.coalescing = Coalescing(self.settings, self.admission)
         self.touched: dict[NodeQueue, None] = {}
 
@@ -258,7 +258,7 @@
         if request.finished:
             self._finish(queued, now)
         elif request in self.requests and not queued.in_flight and queued.queue is None:
-            if self.giving_up.may_retry(queued, attempt, now):
+            if self.early_rejection.may_retry(queued, attempt, now):
                 self._place(queued, now)
             else:
                 self._give_up(queued, now, sink)
@@ -267,7 +267,7 @@
         """Answer at once: a rejection where trying again is harmless, else an error."""
         self.client_retries.record_given_up(queued)
         if self.admission.may_reject(queued.request):
-            sink.reject(queued.request, self.giving_up.retry_after_ms())
+            sink.reject(queued.request, self.early_rejection.retry_after_ms())
         else:
             sink.fail(queued.request)
         self._finish(queued, now)
@@ -284,17 +284,17 @@
 
     def _sweep(self, queue: NodeQueue, now: float, sink: DecisionSink) -> None:
         """Give up what is not worth waiting any more, and move what waits at a lost node."""
-        giving_up = self.giving_up
+        early_rejection = self.early_rejection
         for queued in [*queue.pressed, *queue.batch]:
             expected_ms = queue.latency.expected_ms(queued.request.units)
-            objective_start_ms = giving_up.latest_objective_start_ms(queued, expected_ms)
-            latest_start_ms = giving_up.latest_start_ms(queued, expected_ms)
+            objective_start_ms = early_rejection.latest_objective_start_ms(queued, expected_ms)
+            latest_start_ms = early_rejection.latest_start_ms(queued, expected_ms)
             misses_objective = now > objective_start_ms
             if misses_objective and queued.pressed:  # else the controller saw only what was answered
                 client_ms = queued.request.deadline_ms - queued.arrived_ms
                 queue.controller.record(now, client_ms / queued.workload.latency_objective_ms)
-            is_lost = giving_up.node_is_lost(queued, queue)
-            worthless = misses_objective and giving_up.is_worthless_late(queued, queue, is_lost)
+            is_lost = early_rejection.node_is_lost(queued, queue)
+            worthless = misses_objective and early_rejection.is_worthless_late(queued, queue, is_lost)
             if now > latest_start_ms or worthless:
                 self._give_up(queued, now, sink)
                 continue
--- a/cherrygrade/scheduling/chance.py
+++ b/cherrygrade/scheduling/seeded_random.py
@@ -1,4 +1,4 @@
-"""Chance without a generator: drawn from the seed and a counter, so that a run can be played again."""
+"""Random numbers computed from a seed and a counter, so that a run can be repeated exactly."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 CRC_VALUES = 2.0**32
 
 
-def drawn(seed: int, number: int) -> int:
+def random_uint32(seed: int, number: int) -> int:
     """A 32-bit number for the draw of this number."""
     return crc32(f"{seed}:{number}".encode())
 
 
-def fraction(seed: int, value: float) -> float:
+def random_fraction(seed: int, value: float) -> float:
     """A number from 0 up to 1 for a draw that is told from others by this value."""
     return crc32(f"{seed}:{value}".encode()) / CRC_VALUES
 
--- a/cherrygrade/scheduling/slow_start.py
+++ b/cherrygrade/scheduling/slow_start.py
@@ -54,7 +54,7 @@
 
         A dispatcher before this one may have spent the part of a node that is older than this dispatcher.
         """
-        return spent_part(now) if node.started_ms <= self.owned_since_ms else []
+        return sends_exhausting_quota(now) if node.started_ms <= self.owned_since_ms else []
 
     def units_left(self, queue: NodeQueue, now: float) -> float:
         """Units that this dispatcher may still send to the node in the present window.
@@ -78,7 +78,7 @@
             settings.overload_multiple
             * settings.cold_capacity
             * settings.window_ms
-            / queue.latency.shared.quietest_answer_ms
+            / queue.latency.shared.min_mean_answer_ms
         )
         borne = max(settings.base_units, one_at_a_time)
         growth = 1.0 / max(settings.cold_capacity, MIN_COLD_CAPACITY) - 1.0
@@ -104,6 +104,6 @@
         queue.warm_up_sends = [*recent, (now, units)]
 
 
-def spent_part(now: float) -> list[tuple[float, float]]:
+def sends_exhausting_quota(now: float) -> list[tuple[float, float]]:
     """Sends that leave nothing of a part until a whole window has passed."""
     return [(now, NEVER_MS)]
--- a/cherrygrade/scheduling/start_settings.py
+++ b/cherrygrade/scheduling/start_settings.py
@@ -59,11 +59,11 @@
         self._pairs = dict(part.split("=", 1) for part in parts if "=" in part)
 
     @classmethod
-    def nested(cls, settings: dict[str, Any]) -> StartSettings:
+    def from_nested(cls, settings: dict[str, Any]) -> StartSettings:
         """From nested JSON."""
         return cls([*_flat(settings)])
 
-    def same(self) -> dict[str, str]:
+    def as_pairs(self) -> dict[str, str]:
         """All pairs, to be compared with another message's."""
         return dict(self._pairs)
 
@@ -180,7 +180,7 @@
             max_poll_interval_ms=self.ms("guarantees.askWithinS"),
         )
 
-    def dispatcher(self, make: Callable[..., Scheduler], seed: int) -> Scheduler:
+    def create_scheduler(self, make: Callable[..., Scheduler], seed: int) -> Scheduler:
         """A scheduler set up as the message says. Raises ValueError as `number` does."""
         return make(
             seed=seed,
--- a/cherrygrade/scheduling/wake_ups.py
+++ b/cherrygrade/scheduling/wake_ups.py
@@ -4,9 +4,9 @@
 
 from heapq import heappop, heappush
 
-from cherrygrade.scheduling.chance import Counter
 from cherrygrade.scheduling.model import DecisionSink
 from cherrygrade.scheduling.node_queue import NodeQueue
+from cherrygrade.scheduling.seeded_random import Counter
 from cherrygrade.scheduling.timing import NEVER_MS, next_mark
 
 ROUNDING_MS = 0.01
--- a/cherrygrade/wirehost/host.py
+++ b/cherrygrade/wirehost/host.py
@@ -73,7 +73,7 @@
         """Call again after so long."""
         self._write("SCHEDULE", seconds(after_ms), "0")
 
-    def probe(self, node: Node) -> None:
+    def check_health(self, node: Node) -> None:
         """Send a health check."""
         self._write("POLL", node.address)
 
@@ -255,7 +255,7 @@
     def _on_born(self, fields: Fields) -> None:
         who = fields[1]
         settings = StartSettings(fields[3:])
-        scheduler = settings.dispatcher(Scheduler, int(number(fields[2])))
+        scheduler = settings.create_scheduler(Scheduler, int(number(fields[2])))
         writer = InstanceWriter(who, self._lines)
         instance = Instance(writer=writer, scheduler=scheduler, settings=settings)
         self._instances[who] = instance
@@ -315,7 +315,7 @@
         if mode != LIST_COMPLETE:
             instance.inputs.endpoint_list_received = True
         named = [_listed_node(instance.nodes, entry) for entry in self._lists[fields[3]]]
-        instance.inputs.endpoint_changes += instance.nodes.told(named, whole=mode != LIST_CHANGES)
+        instance.inputs.endpoint_changes += instance.nodes.apply_list(named, is_complete=mode != LIST_CHANGES)
 
     def _on_note(self, fields: Fields) -> None:
         payload = b"" if fields[3] == "-" else base64.b64decode(fields[3])
--- a/tests/fleet/runtime/test_config_in_force.py
+++ b/tests/fleet/runtime/test_config_in_force.py
@@ -116,7 +116,7 @@
             admission.retry_budget.settings,
             admission.settings.policy,
             admission.slow_start.mean_units,
-            admission.order.rest_ms,
+            admission.order.cool_down_ms,
         ),
         "counts": (
             scheduler.peers.dispatcher_counts,
--- a/tests/gateway/test_carrying.py
+++ b/tests/gateway/test_carrying.py
@@ -179,6 +179,6 @@
     module.Scheduler, package.DIGEST = object, "of another source"
     monkeypatch.setitem(sys.modules, package.__name__, package)
     monkeypatch.setitem(sys.modules, module.__name__, module)
-    assert compiled.dispatcher() == (scheduler.Scheduler, False)
+    assert compiled.scheduler_class() == (scheduler.Scheduler, False)
     package.DIGEST = compiled.source_digest()
-    assert compiled.dispatcher() == (object, True)
+    assert compiled.scheduler_class() == (object, True)
--- a/tests/gateway/test_gossip_connections.py
+++ b/tests/gateway/test_gossip_connections.py
@@ -44,7 +44,7 @@
         gateways = await pair(house, house.reserve(2))
         modules = [gateway.rounds.module for gateway in gateways]
         lane = next(iter(modules[0].node_queues.values()))
-        keeper = lane.mark % 2
+        keeper = lane.node_hash % 2
         client = house.client(gateways[1 - keeper])
         for _ in range(20):  # words before the connection stands are lost
             await use(client, 5)
--- a/tests/gateway/test_quota_parts_in_force.py
+++ b/tests/gateway/test_quota_parts_in_force.py
@@ -11,7 +11,7 @@
 from zlib import crc32
 
 import pytest
-from scheduling.test_compiled import rough_day
+from scheduling.test_compiled import decisions_of_seeded_run
 
 from cherrygrade import compiled
 from cherrygrade.fleet.config.joint_phase import quota_parts
@@ -307,7 +307,7 @@
     age = now - max(queue.node.started_ms or -1e12, queue.health.restarted_ms)
     if not cold.base_units or age >= cold.warm_up_ms:
         return NEVER_MS
-    quietest_ms = queue.latency.shared.quietest_answer_ms
+    quietest_ms = queue.latency.shared.min_mean_answer_ms
     bears = max(cold.base_units, cold.overload_multiple * cold.cold_capacity * cold.window_ms / quietest_ms)
     bears *= (
         1.0
@@ -322,9 +322,9 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_with_one_count_decisions_are_those_of_before_bit_for_bit(seed, monkeypatch):
-    now = rough_day(scheduler.Scheduler, seed)
+    now = decisions_of_seeded_run(scheduler.Scheduler, seed)
     monkeypatch.setattr(SlowStartLimit, "units_left", units_left_with_one_count)
-    assert now == rough_day(scheduler.Scheduler, seed)
+    assert now == decisions_of_seeded_run(scheduler.Scheduler, seed)
 
 
 def test_with_two_counts_a_part_is_the_smaller_of_the_two():
@@ -343,7 +343,7 @@
 
 
 def test_the_compiled_module_takes_settings_while_it_runs():
-    made, is_compiled = compiled.dispatcher()
+    made, is_compiled = compiled.scheduler_class()
     if not is_compiled:
         pytest.skip("no C compiler here: the program runs the module as it reads")
     one = Seat(0, site(9), 1_000_000.0, made)
--- a/tests/golden/test_decisions.py
+++ b/tests/golden/test_decisions.py
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize(("name", "seed"), CASES)
 def test_compiled_decisions_are_those_recorded(name, seed):
-    make, is_compiled = compiled.dispatcher()
+    make, is_compiled = compiled.scheduler_class()
     if not is_compiled:
         pytest.skip("no C compiler here: the program runs the module as it reads")
     assert digests(make, BY_NAME[name], int(seed), RECORDED["rounds"]) == recorded(name, seed)
--- a/tests/golden/test_settings.py
+++ b/tests/golden/test_settings.py
@@ -36,7 +36,7 @@
     config = read_config({"BALANCER_CONFIG": str(ROOT / "deploy/platform-example.json")})
     known = [config.sockets, config.memory_mb, config.known_endpoints]
     return positional(
-        [config.name, config.listen, config.discovery, config.seed, *known, config.settings.same()]
+        [config.name, config.listen, config.discovery, config.seed, *known, config.settings.as_pairs()]
     )
 
 
@@ -73,7 +73,7 @@
 
 def test_start_message_sets_up_the_module_as_recorded():
     seen: dict[str, Any] = {}
-    StartSettings(RECORDED["start"]["pairs"]).dispatcher(lambda **given: seen.update(given), 5)
+    StartSettings(RECORDED["start"]["pairs"]).create_scheduler(lambda **given: seen.update(given), 5)
     assert json.loads(json.dumps([positional(one) for one in seen.values()])) == RECORDED["start"]["module"]
 
 
--- a/tests/scheduling/test_compiled.py
+++ b/tests/scheduling/test_compiled.py
@@ -73,7 +73,7 @@
         self.log.append(("subscribe",))
 
 
-def rough_day(made, seed: int) -> list:
+def decisions_of_seeded_run(made, seed: int) -> list:
     chance, told = random.Random(seed), Told()
     nodes = [
         Node(f"n{i}", zone="z", shard=i % 5, started_ms=chance.choice([0, told.now - 500])) for i in range(6)
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_rough_days_are_decided_alike(seed):
-    made, is_compiled = compiled.dispatcher()
+    made, is_compiled = compiled.scheduler_class()
     if not is_compiled:
         pytest.skip("no C compiler here: the program runs the module as it reads")
-    assert rough_day(made, seed) == rough_day(scheduler.Scheduler, seed)
+    assert decisions_of_seeded_run(made, seed) == decisions_of_seeded_run(scheduler.Scheduler, seed)
--- a/tests/scheduling/test_load_gossip.py
+++ b/tests/scheduling/test_load_gossip.py
@@ -61,7 +61,7 @@
 
 def test_what_one_dispatcher_has_out_is_known_to_another_that_never_sent_there():
     room = Room(3)
-    keeper = next(iter(room.hosts[0].dispatcher.node_queues.values())).mark % 3
+    keeper = next(iter(room.hosts[0].dispatcher.node_queues.values())).node_hash % 3
     sender, other = (number for number in range(3) if number != keeper)
     for host in room.hosts:
         host.dispatcher.node_queues[host.nodes[0]].limit.window = 40.0
@@ -82,7 +82,7 @@
 
 def test_a_dead_keeper_costs_words_only_and_the_lane_goes_by_what_it_sees():
     room = Room(2)
-    keeper = next(iter(room.hosts[0].dispatcher.node_queues.values())).mark % 2
+    keeper = next(iter(room.hosts[0].dispatcher.node_queues.values())).node_hash % 2
     room.dead.add(keeper)
     room.load(1 - keeper, 5, 100.0)
     host = room.hosts[1 - keeper]
@@ -92,7 +92,7 @@
 
 def test_a_keeper_forgets_what_a_dispatcher_that_died_never_ended():
     room = Room(2)
-    keeper = next(iter(room.hosts[0].dispatcher.node_queues.values())).mark % 2
+    keeper = next(iter(room.hosts[0].dispatcher.node_queues.values())).node_hash % 2
     host, keeping = room.hosts[1 - keeper], room.hosts[keeper]
     host.take(*[host.rpc(EXPORT, units=4.0) for _ in range(2)])
     kept = next(iter(keeping.dispatcher.load_gossip.aggregators.values()))
@@ -142,16 +142,16 @@
         host = FakeHost(permits=PEERS, dispatchers=3, number=1)
         host.send_gossip = lambda peer, told: None
         lane = host.dispatcher.node_queues[host.nodes[0]]
-        keeper = lane.mark % 3
-        host.round(gossip=[(peer, pack(REPORT_FORMAT, WAITING, lane.mark, 10, 900))])
+        keeper = lane.node_hash % 3
+        host.round(gossip=[(peer, pack(REPORT_FORMAT, WAITING, lane.node_hash, 10, 900))])
         assert (lane.latency.waiting_ms == 900.0) == (peer == keeper)
-        host.round(gossip=[(peer, pack(REPORT_FORMAT, SENT, lane.mark, 10, 0)), (peer, b"cut")])
+        host.round(gossip=[(peer, pack(REPORT_FORMAT, SENT, lane.node_hash, 10, 0)), (peer, b"cut")])
         assert bool(host.dispatcher.load_gossip.aggregators) == (keeper == 1)
         assert host.dispatcher.load_gossip.malformed == 1 + (peer != keeper) + (keeper != 1)
 
 
 def test_of_words_that_lay_while_the_dispatcher_stood_still_the_last_stands():
-    place = next(iter(FakeHost().dispatcher.node_queues.values())).mark
+    place = next(iter(FakeHost().dispatcher.node_queues.values())).node_hash
     host = FakeHost(permits=PEERS, dispatchers=2, number=1 - place % 2)
     host.send_gossip = lambda peer, told: None
     host.now += 1300.0
@@ -163,7 +163,7 @@
     # Answers get lost on their way: the node lives, and others are answered by it.
     strikes = []
     for heard in (False, True):
-        place = next(iter(FakeHost().dispatcher.node_queues.values())).mark
+        place = next(iter(FakeHost().dispatcher.node_queues.values())).node_hash
         host = FakeHost(permits=PEERS, dispatchers=2, number=1 - place % 2)
         host.send_gossip = lambda peer, told: None
         lane = host.dispatcher.node_queues[host.nodes[0]]
@@ -327,7 +327,7 @@
     host = FakeHost(permits=PEERS, dispatchers=2)
     host.send_gossip = lambda peer, told: None
     host.round(endpoint_changes=[Node("10.0.9.9:1", shard=3)])
-    assert {lane.node.address for lane in host.dispatcher.load_gossip.queues_by_mark.values()} >= {
+    assert {lane.node.address for lane in host.dispatcher.load_gossip.queues_by_hash.values()} >= {
         "10.0.9.9:1",
         "10.0.0.0:1",
     }
--- a/tests/support/decision_storm.py
+++ b/tests/support/decision_storm.py
@@ -169,7 +169,7 @@
     def wake(self, after_ms: float) -> None:
         self.lines.append(f"wake {exact(after_ms)}")
 
-    def probe(self, node: Node) -> None:
+    def check_health(self, node: Node) -> None:
         self.lines.append(f"probe {node.address}")
 
     def release(self, node: Node) -> None:
@@ -326,7 +326,7 @@
         chance = self.random
         if not self.scenario.permits.allows_gossip or chance.random() >= 0.3:
             return []
-        lane_marks = [*self.dispatcher.load_gossip.queues_by_mark]
+        lane_marks = [*self.dispatcher.load_gossip.queues_by_hash]
         found = list[tuple[int, bytes]]()
         for _ in range(chance.choice([1, 1, 3])):
             mark = chance.choice(lane_marks) if chance.random() < 0.95 else 7
