--- a/cherrygrade/scheduling/__init__.py
+++ b/cherrygrade/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision on requests: placement, admission, limits, retries and giving up, free of I/O and clock."""
+"""Scheduling decisions: placement, admission, limits, retries and early rejection, without I/O or a clock."""
--- a/cherrygrade/scheduling/admission.py
+++ b/cherrygrade/scheduling/admission.py
@@ -1,10 +1,15 @@
-"""The one place that every attempt passes: the seven rules of the service.
-
-The numbers are the rules' names, not the order of the checks.
-
-1. One final answer, in time. 2. No effect twice. 3. Nothing to a node that is draining or gone. 4. All
-dispatchers together never push a warming node over. 5. Keyed order. 6. The retry budget. 7. Limits of plans
-over all dispatchers.
+"""Admission control: the seven rules of the service that every attempt has to satisfy.
+
+The rules are numbered so that other modules can refer to them; the numbers do not give the order in which
+they are checked.
+
+1. Each request gets exactly one final answer, before its deadline.
+2. No request takes effect twice.
+3. No attempt goes to a node that is draining or gone.
+4. All dispatchers together never overload a node that is warming up (slow start).
+5. Requests of an ordered workload on one key run one after another.
+6. Retries stay within the retry budget.
+7. A plan's limit holds over all dispatchers together.
 """
 
 from __future__ import annotations
@@ -29,14 +34,14 @@
 
 
 class Admission:
-    """Admits attempts.
+    """Decides when a request may be attempted at a node.
 
     Attributes:
         settings: the settings in force.
-        peers: the other dispatchers.
-        slow_start: rule 4.
-        order: rule 5.
-        retry_budget: rule 6.
+        peers: the dispatchers that quotas are divided among.
+        slow_start: enforces rule 4.
+        order: enforces rule 5.
+        retry_budget: enforces rule 6.
     """
 
     def __init__(
@@ -55,18 +60,21 @@
         self.retry_budget = RetryBudget(retry_budget)
 
     def start_round(self, now: float) -> None:
-        """Forget what is over."""
+        """Drop the counts and cool-downs that have expired by `now` (ms)."""
         self.slow_start.start_round(now)
         self.retry_budget.forget_old(now)
         self.order.forget_old(now)
 
     def record_arrival(self, queued: QueuedRequest, now: float) -> None:
-        """A request arrived."""
+        """Count the arrival for the retry budget, and queue the request behind those of its key."""
         self.retry_budget.record_arrival(now)
         self.order.add(queued)
 
     def record_attempt(self, queued: QueuedRequest, queue: NodeQueue, now: float) -> None:
-        """An attempt starts: charge it to every rule that counts. Called before the host adds it."""
+        """Charge an attempt to the retry budget, the volume's limit and the node's slow start.
+
+        It must be called before the host adds the attempt to the request.
+        """
         request = queued.request
         self.retry_budget.record_attempt(request, now)
         if not request.attempts:
@@ -74,51 +82,53 @@
         self.slow_start.record(queue, request.units, now)
 
     def may_reject(self, request: Request) -> bool:
-        """Whether the client may be told that trying again is harmless (rule 2)."""
+        """Whether the request may be rejected: its client can then retry without a second effect (rule 2)."""
         return may_reject(request)
 
     def may_run_again(self, request: Request, node: Node, now: float, this: Attempt | None = None) -> bool:
-        """Whether an attempt at the node has no second effect (rule 2); see `retries.may_run_again`."""
+        """Whether an attempt at the node cannot take effect a second time; see `retries.may_run_again`."""
         return may_run_again(request, node, now, this)
 
     def earliest_start_ms(self, queued: QueuedRequest, queue: NodeQueue, now: float) -> float:
         """When the request may be attempted at the node, as far as is known now.
 
         Returns:
-            `now` or less: at once; later: look again then; NEVER_MS: time alone won't do.
+            A time in ms. The attempt may start at once if it is not after `now`; otherwise the request has to
+            be checked again at that time. NEVER_MS: waiting alone does not make an attempt possible.
         """
-        if not (self._in_time(queued.request, now) and self._attempt_is_left(queued)):
+        if not (self._in_time(queued.request, now) and self._attempt_remains(queued)):
             return NEVER_MS
         if not may_run_again(queued.request, queue.node, now):  # rule 2
             return NEVER_MS
         if not self._node_serves(queued.request, queue.node):
             return NEVER_MS
-        if not self.order.is_its_turn(queued, now):  # rule 5
-            return self.order.next_turn_ms(queued)
+        if not self.order.may_start(queued, now):  # rule 5
+            return self.order.next_check_ms(queued)
         admitted = self.retry_budget.allows(queued.request)  # rule 6
         admitted = self._within_limit(queued, now) and admitted
         admitted = admitted and self.slow_start.units_left(queue, now) >= queued.request.units  # rule 4
         return now if admitted else now + GRID_MS
 
     def _in_time(self, request: Request, now: float) -> bool:
-        """Rule 1: no attempt for a request that has its answer or whose time is up."""
+        """Rule 1: a request that is finished or past its deadline is not attempted."""
         return not request.finished and now < request.deadline_ms
 
-    def _attempt_is_left(self, queued: QueuedRequest) -> bool:
-        """Whether the site allows one more attempt, beside one in flight only where it allows hedging."""
+    def _attempt_remains(self, queued: QueuedRequest) -> bool:
+        """Whether the site allows one more attempt; while one is in flight, only as a hedged request."""
         policy = self.settings.policy
         if len(queued.request.attempts) >= policy.max_attempts:
             return False
         return policy.allows_hedging or not queued.in_flight
 
     def _node_serves(self, request: Request, node: Node) -> bool:
-        """Rule 3, and whether the node holds the request's shard."""
+        """Rule 3: the node is live. It must also hold the request's shard."""
         return node.state is NodeState.LIVE and request.shard in (ANY_SHARD, node.shard)
 
     def _within_limit(self, queued: QueuedRequest, now: float) -> bool:
-        """Rule 7: first attempts are charged to the volume's limit.
+        """Rule 7: the volume's limit has capacity for a first attempt; retries are not limited.
 
-        The limit is refilled here, since it fills while nothing of the volume arrives or ends.
+        The limit is refilled here because arrivals and outcomes, which refill it otherwise, may not occur
+        while a request of the volume waits.
         """
         volume, request = queued.volume, queued.request
         if request.attempts or not volume.plan.limit_rate:
--- a/cherrygrade/scheduling/client_retries.py
+++ b/cherrygrade/scheduling/client_retries.py
@@ -1,8 +1,8 @@
-"""Retries that clients make: a repeat is late since its first try.
+"""Recognizes retries by clients: the latency objective of a retry counts from the client's first try.
 
-Where clients mark their retries, the mark tells. Elsewhere a retry can only follow a request that was given
-up
-here, so the volume and key of those are remembered for a while.
+Where clients mark their retries, the mark is used. Elsewhere a request counts as a retry if it follows one
+of the same volume and key that this dispatcher rejected early, so volume and key of those are remembered for
+a while.
 """
 
 from __future__ import annotations
@@ -13,64 +13,70 @@
 from cherrygrade.scheduling.timing import NEVER_MS
 
 DEFAULT_REMEMBER_MS = 1000.0
-"""How long given-up requests are remembered before any request told of its time."""
+"""How long early rejections are remembered while no request has shown how long its clients wait."""
 
 
 class ClientRetries:
-    """Finds when the latency objective of an arriving request ends.
+    """Computes when the latency objective of an arriving request ends.
 
     Attributes:
-        longest_ms: the longest time that clients gave a request, by workload.
-        recently_given_up, earlier_given_up: volume and key of requests that were given up, with when their
-            objective ended. Two generations; the older goes each time the longest time has passed.
-        next_generation_ms: when that is.
-        previous_round_ms, round_ms: times of the round before and of this one.
+        settings: the settings in force.
+        max_timeout_ms: the longest time until its deadline that a request arrived with, by workload name, ms.
+        recently_rejected: end of the latency objective (ms) by volume and key, of requests that were rejected
+            early in the present generation.
+        earlier_rejected: the same of the generation before, which is dropped when the next one begins.
+        next_generation_ms: when the next generation begins, ms. A generation lasts as long as the longest
+            `max_timeout_ms`.
+        previous_round_ms: time of the round before this one, ms.
+        round_ms: time of this round, ms.
     """
 
     def __init__(self, settings: EffectiveSettings) -> None:
         self.settings = settings
-        self.longest_ms: dict[str, float] = {}
-        self.recently_given_up: dict[tuple[str, str], float] = {}
-        self.earlier_given_up: dict[tuple[str, str], float] = {}
+        self.max_timeout_ms: dict[str, float] = {}
+        self.recently_rejected: dict[tuple[str, str], float] = {}
+        self.earlier_rejected: dict[tuple[str, str], float] = {}
         self.next_generation_ms = 0.0
         self.previous_round_ms = 0.0
         self.round_ms = 0.0
 
     def start_round(self, now: float) -> None:
-        """A round begins."""
+        """Note the time of the round, ms, and begin a new generation when one is scheduled."""
         self.previous_round_ms = self.round_ms
         self.round_ms = now
         if now >= self.next_generation_ms:
-            self.earlier_given_up = self.recently_given_up
-            self.recently_given_up = {}
-            remember_ms = max(self.longest_ms.values(), default=DEFAULT_REMEMBER_MS)
+            self.earlier_rejected = self.recently_rejected
+            self.recently_rejected = {}
+            remember_ms = max(self.max_timeout_ms.values(), default=DEFAULT_REMEMBER_MS)
             self.next_generation_ms = now + remember_ms
 
-    def record_given_up(self, queued: QueuedRequest) -> None:
-        """A request was given up: what arrives next for its volume and key may be its retry."""
+    def record_early_rejection(self, queued: QueuedRequest) -> None:
+        """Remember a request that is rejected early; the next of its volume and key may be its retry."""
         request = queued.request
-        self.recently_given_up[request.volume, request.key] = queued.objective_at_ms
+        self.recently_rejected[request.volume, request.key] = queued.objective_at_ms
 
     def objective_at_ms(self, request: Request, workload: Workload, now: float) -> float:
-        """When the latency objective of a request that arrives now ends.
+        """Return when the latency objective of a request that arrives now ends, ms.
 
-        A retry that is short of time is late since its first try. Else its client is in a hurry, and it lost
-        no more than this dispatcher stood still. An unmarked retry follows what was given up and keeps the
-        later of both objectives: a client in a hurry retries with little time left too.
+        A retry with less time left than other requests of its workload has spent the difference since its
+        first try, and its objective ends earlier by that. A first try with little time left comes from a
+        client with a short timeout; at most it has waited since the previous round, while this dispatcher
+        read nothing. An unmarked retry keeps the later objective of the two, its own and that of
+        the rejected request, since a client with a short timeout also retries with little time left.
         """
-        left_ms = request.deadline_ms - now
-        longest_ms = max(self.longest_ms.get(workload.name, 0.0), left_ms)
-        self.longest_ms[workload.name] = longest_ms
-        given_up_ms = self._given_up_ms(request)
+        remaining_ms = request.deadline_ms - now
+        max_timeout_ms = max(self.max_timeout_ms.get(workload.name, 0.0), remaining_ms)
+        self.max_timeout_ms[workload.name] = max_timeout_ms
+        rejected_objective_at_ms = self._rejected_objective_at_ms(request)
         if self.settings.policy.clients_mark_retries:
             is_first = not request.is_retry
         else:
-            is_first = given_up_ms <= -NEVER_MS
-        most_spent_ms = now - self.previous_round_ms if is_first else NEVER_MS
-        spent_ms = min(longest_ms - left_ms, most_spent_ms)
-        return max(given_up_ms, now + workload.latency_objective_ms - spent_ms)
+            is_first = rejected_objective_at_ms <= -NEVER_MS
+        max_spent_ms = now - self.previous_round_ms if is_first else NEVER_MS
+        spent_ms = min(max_timeout_ms - remaining_ms, max_spent_ms)
+        return max(rejected_objective_at_ms, now + workload.latency_objective_ms - spent_ms)
 
-    def _given_up_ms(self, request: Request) -> float:
+    def _rejected_objective_at_ms(self, request: Request) -> float:
         key = (request.volume, request.key)
-        recently = self.recently_given_up.get(key, -NEVER_MS)
-        return max(recently, self.earlier_given_up.get(key, -NEVER_MS))
+        recently = self.recently_rejected.get(key, -NEVER_MS)
+        return max(recently, self.earlier_rejected.get(key, -NEVER_MS))
--- a/cherrygrade/scheduling/coalescing.py
+++ b/cherrygrade/scheduling/coalescing.py
@@ -1,8 +1,8 @@
-"""Neighbouring ranges that share one attempt.
+"""Coalescing: requests on neighbouring byte ranges of one key share an attempt.
 
-What waits at the node anyway and adjoins shares the attempt and its slot, while nobody misses a latency
-objective by it. Reads may overlap, writes only touch. Each passes admission and is charged as if it went
-alone.
+Requests that wait at the node and adjoin the range of an attempt share the attempt and its slot, as long as
+none of them misses a latency objective because of it. Reads may overlap, writes may only touch. Each request
+passes admission and is charged as if it were sent alone.
 """
 
 from __future__ import annotations
@@ -17,18 +17,22 @@
 from cherrygrade.scheduling.timing import NEVER_MS
 
 StartAttempt = Callable[[QueuedRequest], Attempt]
+"""Starts an attempt of a request that joins, and returns the attempt."""
 
 
-def _order(queued: QueuedRequest) -> tuple[bool, float]:
+def _queue_order(queued: QueuedRequest) -> tuple[bool, float]:
     return not queued.pressed, queued.sort_key
 
 
 class SharedRange:
-    """The byte range of an attempt as it grows.
+    """The byte range of an attempt while requests join it.
 
     Attributes:
-        low, high: first byte, and the one behind the last.
-        objective_at_ms: the earliest latency objective of those in it that can still be met.
+        is_write: whether the attempt writes; a write joins only writes, a read only reads.
+        low: offset of the first byte.
+        high: offset behind the last byte.
+        objective_at_ms: when the earliest latency objective that can still be met ends, ms; NEVER_MS if none
+            can be met.
     """
 
     def __init__(self, first: QueuedRequest, objective_at_ms: float) -> None:
@@ -39,25 +43,30 @@
         self.objective_at_ms = objective_at_ms
 
     def length_with(self, request: Request) -> int:
-        """Bytes from end to end if the request joined."""
+        """Return the length in bytes that the range would have if the request joined."""
         return max(self.high, request.offset + request.length) - min(self.low, request.offset)
 
     def adjoins(self, request: Request) -> bool:
-        """Whether nothing lies between; writes may not overlap."""
+        """Whether the request's range touches this one. Reads may also overlap it, writes may not."""
         end = request.offset + request.length
         if self.is_write:
             return end == self.low or request.offset == self.high
         return request.offset <= self.high and self.low <= end
 
     def grow(self, request: Request, objective_at_ms: float) -> None:
-        """The request joined."""
+        """Extend the range by a request that joins, whose latency objective ends at `objective_at_ms`."""
         self.low = min(self.low, request.offset)
         self.high = max(self.high, request.offset + request.length)
         self.objective_at_ms = min(self.objective_at_ms, objective_at_ms)
 
 
 class Coalescing:
-    """Lets waiting requests join an attempt that starts."""
+    """Lets waiting requests join an attempt that starts.
+
+    Attributes:
+        settings: the settings in force.
+        admission: the rules that each request that joins must satisfy.
+    """
 
     def __init__(self, settings: EffectiveSettings, admission: Admission) -> None:
         self.settings = settings
@@ -71,33 +80,33 @@
         now: float,
         start: StartAttempt,
     ) -> None:
-        """Let every neighbour that fits join.
+        """Let every waiting neighbour that fits join the attempt.
 
         Args:
             first: the request whose attempt starts.
-            attempt: that attempt; it carries those that join.
-            queue: the node.
+            attempt: the attempt, which carries the attempts of the requests that join.
+            queue: the queue of the node that the attempt goes to.
             now: the time, ms.
-            start: starts the attempt of one that joins.
+            start: starts the attempt of a request that joins.
         """
         waiting = self._candidates(first, queue)
         shared = SharedRange(first, _objective_if_met(first, queue, now))
-        before = len(waiting) + 1
-        while waiting and len(waiting) < before:  # each that joined may bring others within reach
-            before = len(waiting)
+        count_before = len(waiting) + 1
+        while waiting and len(waiting) < count_before:  # a request that joined may close the gap to others
+            count_before = len(waiting)
             waiting = [
                 queued for queued in waiting if not self._join(queued, attempt, shared, queue, now, start)
             ]
 
     def _candidates(self, first: QueuedRequest, queue: NodeQueue) -> list[QueuedRequest]:
         request = first.request
-        found = [
+        candidates = [
             queued
-            for queued in queue.nearby[request.key]
+            for queued in queue.coalescable[request.key]
             if queued.request.volume == request.volume and queued.request.is_write == request.is_write
         ]
-        found.sort(key=_order)
-        return found
+        candidates.sort(key=_queue_order)
+        return candidates
 
     def _join(
         self,
@@ -124,7 +133,7 @@
             return False
         joined = start(queued)
         queue.attempts[joined] = queued
-        queued.slot_released = True  # it holds no slot of its own
+        queued.slot_released = True  # it shares the slot of the carrying attempt
         queued.overdue_at_ms = NEVER_MS
         joined.carried_by = attempt
         attempt.coalesced_units = units
@@ -134,6 +143,6 @@
 
 
 def _objective_if_met(queued: QueuedRequest, queue: NodeQueue, now: float) -> float:
-    """When its objective ends; NEVER_MS where it can't be met anyway."""
+    """When the request's latency objective ends; NEVER_MS if it cannot be met any more."""
     expected_at_ms = now + queue.latency.expected_ms(queued.request.units)
     return queued.objective_at_ms if expected_at_ms <= queued.objective_at_ms else NEVER_MS
--- a/cherrygrade/scheduling/concurrency_limit.py
+++ b/cherrygrade/scheduling/concurrency_limit.py
@@ -1,31 +1,41 @@
-"""Bound on the attempts in flight at one node, by additive increase and multiplicative decrease (Cake, 5.2).
+"""Limits the attempts in flight at one node by additive increase and multiplicative decrease (Cake, 5.2).
 
-It follows the waiting at the node as a part of the latency objective, and grows only when it was filled, so
-that it cannot drift up unused.
+The window follows the waiting time at the node relative to the latency objective. It grows only if all of its
+slots were used, since otherwise it would grow without any evidence that the node can take more.
 """
 
 from __future__ import annotations
 
 MIN_WINDOW = 1.0
-"""Slots; many dispatchers share a node, so the floor is one slot each."""
+"""Smallest window, slots. Many dispatchers share a node, so each of them keeps only one."""
 
 INITIAL_WINDOW = 2.0
+"""Window before the first adjustment, slots."""
+
 MAX_WINDOW = 72.0
-DECREASE = 0.75
-LOW_WAITING = 0.05
-HIGH_WAITING = 0.12
-"""Waiting at the node, as a part of the latency objective: grows below the one, shrinks above the other."""
+"""Largest window, slots."""
+
+DECREASE_FACTOR = 0.75
+"""Factor by which the window shrinks when attempts wait too long at the node."""
+
+LOW_RELATIVE_WAIT = 0.05
+"""Mean wait at the node, over the latency objective, below which the window grows."""
+
+HIGH_RELATIVE_WAIT = 0.12
+"""Mean wait at the node, over the latency objective, above which the window shrinks."""
 
 MAX_RELATIVE_WAIT = 1.0
+"""Longer waits count as this, so that a single one cannot dominate the mean."""
 
 
 class ConcurrencyLimit:
     """The window of one node.
 
     Attributes:
-        window: slots, between MIN_WINDOW and MAX_WINDOW; its whole part counts.
-        was_filled: whether all slots were used since the last adjustment.
-        relative_waits: waiting over latency objective of the answers since the last adjustment, 0 to 1.
+        window: size in slots, between MIN_WINDOW and MAX_WINDOW; it is rounded down to complete slots.
+        was_filled: whether all slots were in use at some time since the last adjustment.
+        relative_waits: wait at the node over the latency objective, 0 to 1, of each answer since the last
+            adjustment.
     """
 
     def __init__(self) -> None:
@@ -34,18 +44,18 @@
         self.relative_waits: list[float] = []
 
     def record_wait(self, relative_wait: float) -> None:
-        """An answer waited so long at the node, as a part of its latency objective."""
+        """Record how long an attempt waited at the node, as a fraction of its latency objective."""
         self.relative_waits.append(min(MAX_RELATIVE_WAIT, relative_wait))
 
     def adjust(self) -> None:
-        """One step, from the answers since the one before."""
+        """Grow or shrink the window by the waits recorded since the last adjustment."""
         waits = self.relative_waits
-        mean = sum(waits) / len(waits) if waits else LOW_WAITING
-        if mean > HIGH_WAITING:
-            wanted = self.window * DECREASE
-        elif mean < LOW_WAITING and self.was_filled:
-            wanted = self.window + 1.0
+        mean = sum(waits) / len(waits) if waits else LOW_RELATIVE_WAIT
+        if mean > HIGH_RELATIVE_WAIT:
+            window = self.window * DECREASE_FACTOR
+        elif mean < LOW_RELATIVE_WAIT and self.was_filled:
+            window = self.window + 1.0
         else:
-            wanted = self.window
-        self.window = max(MIN_WINDOW, min(MAX_WINDOW, wanted))
+            window = self.window
+        self.window = max(MIN_WINDOW, min(MAX_WINDOW, window))
         self.relative_waits = []
--- a/cherrygrade/scheduling/early_rejection.py
+++ b/cherrygrade/scheduling/early_rejection.py
@@ -1,9 +1,8 @@
-"""When a request is given up: what can earn no more than little is answered at once.
+"""Early rejection: a request that can earn little or nothing any more is answered before its deadline.
 
-A request that waits is given up when it comes too late for its client; and, once its latency objective cannot
-be met any more, where late units earn nothing worth waiting for. After a failed attempt it is given up
-unless a
-retry may still be in time.
+A waiting request is rejected early in two cases: an attempt could no longer be answered before the client's
+deadline, or the latency objective can no longer be met and a late answer earns too little to wait for. After
+a failed attempt a request is rejected early unless a retry can still be in time.
 """
 
 from __future__ import annotations
@@ -18,7 +17,12 @@
 
 
 class EarlyRejection:
-    """Decides on requests that wait, and on those whose attempt ended without an answer."""
+    """Decides on waiting requests, and on requests whose attempt ended without a final answer.
+
+    Attributes:
+        settings: the settings in force.
+        utility: tells what a request still earns.
+    """
 
     def __init__(self, settings: EffectiveSettings, utility: UtilityRules, unplaced: NodeQueue) -> None:
         self.settings = settings
@@ -26,29 +30,36 @@
         self._unplaced = unplaced
 
     def latest_objective_start_ms(self, queued: QueuedRequest, expected_ms: float) -> float:
-        """Until when an attempt that takes so long can meet the latency objective."""
+        """Return until when an attempt that takes `expected_ms` can start and meet the latency objective."""
         return queued.objective_at_ms - expected_ms
 
     def latest_start_ms(self, queued: QueuedRequest, expected_ms: float) -> float:
-        """Until when an attempt that takes so long can be in time for the client."""
+        """Return until when an attempt that takes `expected_ms` can start and meet the client's deadline."""
         return queued.request.deadline_ms - max(expected_ms, GRID_MS)
 
     def node_is_lost(self, queued: QueuedRequest, queue: NodeQueue) -> bool:
-        """Whether its node gets nothing any more; new objects without a node only wait for one."""
+        """Whether the node that the request waits at receives no more attempts.
+
+        New objects that wait for any node in the queue of unplaced requests have not lost one.
+        """
         if queue.node.state is NodeState.LIVE:
             return False
         return queue is not self._unplaced or queued.request.shard >= 0
 
     def is_worthless_late(self, queued: QueuedRequest, queue: NodeQueue, node_is_lost: bool) -> bool:
-        """Whether to give the request up once it misses its objective; batch inside its quota waits on."""
+        """Whether to reject the request once it misses its latency objective.
+
+        Only a batch request inside its volume's quota, at a node that works, goes on waiting.
+        """
         if node_is_lost or queue.health.is_ejected or queued.pressed:
             return True
         return self.utility.is_beyond_quota(queued)
 
     def may_retry(self, queued: QueuedRequest, attempt: Attempt, now: float) -> bool:
-        """Whether a request whose attempt failed is queued again, while it can still meet its objective.
+        """Whether a request whose attempt failed is queued for a retry.
 
-        The retry budget is checked when the attempt starts (`Admission.earliest_start_ms`).
+        It is while its latency objective has not passed and an attempt is left to it. The retry budget is
+        checked later, when the attempt starts (`Admission.earliest_start_ms`).
         """
         request = queued.request
         if len(request.attempts) >= self.settings.policy.max_attempts:
@@ -58,5 +69,5 @@
         return outcome_allows_retry(attempt.outcome) and may_run_again(request, attempt.node, now)
 
     def retry_after_ms(self) -> float:
-        """What a rejected client is told; 0 where no Retry-After is heeded."""
+        """Return the Retry-After of a rejection, ms; 0 where clients do not heed one."""
         return self.settings.policy.max_retry_after_ms
--- a/cherrygrade/scheduling/endpoint_polling.py
+++ b/cherrygrade/scheduling/endpoint_polling.py
@@ -1,4 +1,4 @@
-"""When to poll for the endpoint list, where it is not pushed: with backoff, at random times."""
+"""Decides when to poll for an endpoint list that is not pushed: at random times, with backoff."""
 
 from __future__ import annotations
 
@@ -7,24 +7,28 @@
 from cherrygrade.scheduling.timing import NEVER_MS
 
 MIN_SPREAD_MS = 1000.0
+"""Shortest time span that the first polls of all dispatchers are spread over."""
+
 SPREAD_PER_DISPATCHER_MS = 25.0
-"""Polls of all dispatchers at once would jam discovery."""
+"""Time span per dispatcher. Discovery would be overloaded if all dispatchers polled at the same time."""
 
 BACKOFF_FACTOR = 2.0
+"""Factor by which the wait before the next poll grows with each failed poll."""
 
 
 def poll_spread_ms(dispatchers: int) -> float:
-    """Span that the first polls of so many dispatchers are spread over."""
+    """Return the time span, ms, that the first polls of this many dispatchers are spread over."""
     return max(MIN_SPREAD_MS, SPREAD_PER_DISPATCHER_MS * dispatchers)
 
 
 class EndpointPolling:
-    """The next poll.
+    """Schedules the polls of one dispatcher.
 
     Attributes:
-        spread_ms: span of a first poll.
-        wait_ms: span of the next poll; grows with each poll that failed.
-        poll_at_ms: when to poll next; NEVER_MS while the list is pushed or a poll is under way.
+        settings: the settings in force.
+        spread_ms: time span within which the first poll is made.
+        wait_ms: time span within which the next poll is made; grows with each failed poll.
+        poll_at_ms: when to poll next; NEVER_MS while the list is pushed or a poll is in progress.
     """
 
     def __init__(self, settings: EffectiveSettings, seed: int, dispatchers: int) -> None:
@@ -35,11 +39,11 @@
         self.poll_at_ms = 0.0 if settings.policy.polls_endpoints else NEVER_MS
 
     def update(self, now: float, received: bool | None) -> None:
-        """Plan the next poll.
+        """Schedule the next poll.
 
         Args:
             now: the time, ms.
-            received: True: a list was received; False: a poll failed; None: neither.
+            received: True if a list was received, False if a poll failed, None if neither happened.
         """
         policy = self.settings.policy
         if not policy.polls_endpoints or (received is None and self.poll_at_ms):
@@ -52,7 +56,7 @@
             self.wait_ms = min(self.wait_ms * BACKOFF_FACTOR, policy.max_poll_interval_ms)
 
     def take_due(self, now: float) -> bool:
-        """Whether to poll now; no other poll is due until its outcome is known."""
+        """Whether to poll now. No further poll is scheduled until `update` learns the outcome."""
         if now < self.poll_at_ms:
             return False
         self.poll_at_ms = NEVER_MS
--- a/cherrygrade/scheduling/load_gossip.py
+++ b/cherrygrade/scheduling/load_gossip.py
@@ -1,8 +1,8 @@
 """Load reports between dispatchers, and their aggregation.
 
-Each node has one aggregator among the dispatchers. All report to it what they send to the node and what comes
-back; from that it knows how long an attempt waits at the node, and reports it to all of them. Nothing depends
-on a report: a dispatcher without one goes by its own observations.
+Each node has one aggregator among the dispatchers. Every dispatcher reports to it which attempts it sends to
+the node and how they end. From those reports the aggregator computes how long an attempt waits at the node,
+and publishes that to all dispatchers. A dispatcher that receives no reports uses its own observations.
 """
 
 from __future__ import annotations
@@ -13,66 +13,95 @@
 from cherrygrade.scheduling.effective_settings import EffectiveSettings
 from cherrygrade.scheduling.model import DecisionSink, PeerDirectory
 from cherrygrade.scheduling.node_queue import NodeQueue
-from cherrygrade.scheduling.timing import NEVER_MS, next_mark
+from cherrygrade.scheduling.timing import NEVER_MS, next_grid_ms
 
 REPORT_FORMAT = ">BHBH"
-"""Kind, mark of the node, units, milliseconds."""
+"""Kind of the report, hash of the node, units, milliseconds."""
 
 SENT, ANSWERED, ENDED, WAITING = range(4)
-"""Kinds of reports: an attempt started, succeeded, ended otherwise; waiting at a node, from its
-aggregator."""
+"""Kinds of reports: an attempt was sent, an attempt succeeded, an attempt ended in another way, and the wait
+at a node, which its aggregator publishes."""
 
 REPORT_BYTES = calcsize(REPORT_FORMAT)
+"""Length of one report."""
+
 MAX_REPORTS = 40
-"""Reports in one message."""
+"""Reports in one message; further ones of the same round are dropped."""
 
 UNITS_SCALE = 10.0
-"""Units are sent in tenths."""
+"""Units are sent in tenths of a unit."""
+
+UNIT_TIME_SCALE_MS = 2.0
+"""The time of a unit is sent in steps of this many ms."""
+
+MAX_UINT8 = 255
+"""Largest value of the units field of a report."""
 
-WORK_SCALE = 2.0
-"""The work of a unit is sent in steps of so many ms."""
+MAX_UINT16 = 65535
+"""Largest value of the milliseconds field of a report."""
 
-MAX_BYTE = 255
-MAX_SHORT = 65535
 PUBLISH_INTERVAL_MS = 100.0
+"""Interval at which an aggregator checks what to publish."""
+
 FORGET_MS = 10000.0
-"""An aggregate is dropped once no report was received for so long."""
+"""An aggregate is dropped once no report on its node was received for this long."""
 
 BUSY_REQUESTS = 4.0
-"""Mean requests that a node has in work; what is out beyond them waits."""
+"""Requests of mean size that a node works on at once; those in flight beyond them wait."""
 
 MAX_WAITING_MS = 4000.0
+"""Largest wait that is computed. Attempts in flight for longer than this are no longer counted."""
+
 SILENT_MS = 2000.0
-"""A node that answered nobody for so long counts as MAX_WAITING_MS of waiting."""
+"""The wait at a node that has not answered any dispatcher for this long counts as MAX_WAITING_MS."""
 
 REPUBLISH_MS = 2000.0
+"""An unchanged aggregate is published again after this time, while reports on the node come in."""
+
 OVERTAKEN_MS = 500.0
-"""An attempt that a later one overtook by so much has ended, or its report is lost."""
+"""An attempt sent this much before one that was answered has ended, or the report of its end is lost."""
 
 RATE_WEIGHT = 0.2
-WORK_WEIGHT = 0.15
+"""Weight of a new step in the moving average of the rate."""
+
+UNIT_TIME_WEIGHT = 0.15
+"""Weight of a new answer in the moving average of the time of a unit."""
+
 MIN_WORK_FRACTION = 0.2
+"""Smallest fraction of a latency that counts as work, however long the wait is estimated."""
+
 MIN_UNITS = 0.1
-MIN_RATE = 0.001
-MOVED_MS = 35.0
-MOVED_FRACTION = 0.3
-MOVED_WORK_FRACTION = 0.4
-"""What is worth reporting: waiting that moved by MOVED_MS and MOVED_FRACTION, work by the last."""
+"""Smallest divisor in units."""
+
+MIN_UNITS_PER_MS = 0.001
+"""Smallest divisor in units per ms."""
+
+CHANGED_WAITING_MS = 35.0
+"""A wait is published when it has changed by more than this plus CHANGED_WAITING_FRACTION of it."""
+
+CHANGED_WAITING_FRACTION = 0.3
+"""Fraction of the published wait that a change must exceed; see CHANGED_WAITING_MS."""
+
+CHANGED_UNIT_FRACTION = 0.4
+"""The time of a unit is published when it has changed by more than this fraction."""
 
 
 class LoadAggregator:
-    """What all dispatchers together have in flight at one node.
+    """Aggregates the reports of all dispatchers on one node.
 
     Attributes:
-        busy_units: units that the node has in work; what is out beyond them waits.
-        sends: time and units of attempts in flight, as reported; removed by reports on these or later ones.
-        answered_units: units that succeeded since the last step.
-        units_per_ms: rate of those while the node was busy; 0 before the first.
-        waiting_ms: waiting at the node, up to MAX_WAITING_MS.
-        unit_ms: work of one unit; 0 before the first answer.
-        published: waiting and work of a unit as they were last reported.
-        stepped_ms, reported_ms, published_ms, answered_ms: when the last step, report received, report
-            published and answer were.
+        busy_units: units that the node works on at once; units in flight beyond them wait.
+        sends: time (ms) and units of the attempts in flight, as reported. A report on the end of an attempt
+            removes it, and those that were sent OVERTAKEN_MS or more before it.
+        answered_units: units of the attempts that succeeded since the last step.
+        units_per_ms: rate at which a busy node answers, moving average; 0 before the first busy step.
+        waiting_ms: how long a new attempt waits at the node, up to MAX_WAITING_MS.
+        unit_ms: time of one unit of work, moving average; 0 before the first answer.
+        published: `waiting_ms` and `unit_ms` as they were last published.
+        stepped_ms: when the last step was, ms.
+        reported_ms: when the last report was received, ms.
+        published_ms: when the aggregate was last published, ms.
+        answered_ms: when the node last answered any dispatcher, ms.
     """
 
     def __init__(self, now: float, busy_units: float) -> None:
@@ -89,12 +118,12 @@
         self.published = (0.0, 0.0)
 
     def receive(self, kind: int, units: float, latency_ms: float, now: float) -> None:
-        """A report on one attempt.
+        """Take in a dispatcher's report on one attempt.
 
         Args:
             kind: SENT, ANSWERED or ENDED.
-            units: its work.
-            latency_ms: for the latter two, how long ago it was sent.
+            units: work of the attempt.
+            latency_ms: time since the attempt was sent; not used where `kind` is SENT.
             now: the time, ms.
         """
         self.reported_ms = now
@@ -105,63 +134,69 @@
         if self.sends:
             self.sends.remove(min(self.sends, key=lambda send: abs(send[0] - sent_ms)))
         if kind == ANSWERED:
-            # Nodes take requests in turn: what went well before an answered one has ended.
+            # A node works in the order of arrival, so attempts sent well before an answered one have ended.
             self.sends = [send for send in self.sends if send[0] > sent_ms - OVERTAKEN_MS]
             self.answered_units += units
             self.answered_ms = now
-            self._observe_work(units, latency_ms)
+            self._observe_unit_time(units, latency_ms)
 
-    def _observe_work(self, units: float, latency_ms: float) -> None:
+    def _observe_unit_time(self, units: float, latency_ms: float) -> None:
         work_ms = max(latency_ms - self.waiting_ms, MIN_WORK_FRACTION * latency_ms)
         unit_ms = work_ms / max(units, MIN_UNITS)
-        weight = WORK_WEIGHT if self.unit_ms else 1.0
+        weight = UNIT_TIME_WEIGHT if self.unit_ms else 1.0
         self.unit_ms += weight * (unit_ms - self.unit_ms)
 
     def step(self, now: float) -> bool:
-        """Bring the waiting up to date: units out over units answered a ms.
+        """Compute the wait anew: the units that wait over the rate at which the node answers.
 
         Returns:
-            Whether it is worth publishing; `published` is set then.
+            Whether the aggregate is to be published; `published` holds it then.
         """
-        gap_ms = max(1.0, now - self.stepped_ms)
+        elapsed_ms = max(1.0, now - self.stepped_ms)
         self.stepped_ms = now
         self.sends = [send for send in self.sends if send[0] > now - MAX_WAITING_MS]
-        out = sum(units for _, units in self.sends)
-        if out > self.busy_units:
+        in_flight_units = sum(units for _, units in self.sends)
+        if in_flight_units > self.busy_units:
             weight = RATE_WEIGHT if self.units_per_ms else 1.0
-            self.units_per_ms += weight * (self.answered_units / gap_ms - self.units_per_ms)
+            self.units_per_ms += weight * (self.answered_units / elapsed_ms - self.units_per_ms)
         self.answered_units = 0.0
-        self.waiting_ms = self._waiting_for(out, now)
+        self.waiting_ms = self._expected_waiting_ms(in_flight_units, now)
         recently_reported = self.reported_ms > now - REPUBLISH_MS
-        if self._moved() or (recently_reported and now > self.published_ms + REPUBLISH_MS):
+        if self._has_changed() or (recently_reported and now > self.published_ms + REPUBLISH_MS):
             self.published = (self.waiting_ms, self.unit_ms)
             self.published_ms = now
         return self.published_ms == now
 
-    def _waiting_for(self, out: float, now: float) -> float:
-        if out > 0.0 and now > self.answered_ms + SILENT_MS:
+    def _expected_waiting_ms(self, in_flight_units: float, now: float) -> float:
+        if in_flight_units > 0.0 and now > self.answered_ms + SILENT_MS:
             return MAX_WAITING_MS
         if not self.units_per_ms:
             return 0.0
-        waiting_units = max(0.0, out - self.busy_units)
-        return min(MAX_WAITING_MS, waiting_units / max(self.units_per_ms, MIN_RATE))
+        waiting_units = max(0.0, in_flight_units - self.busy_units)
+        return min(MAX_WAITING_MS, waiting_units / max(self.units_per_ms, MIN_UNITS_PER_MS))
 
-    def _moved(self) -> bool:
+    def _has_changed(self) -> bool:
         waiting_ms, unit_ms = self.published
-        if abs(self.waiting_ms - waiting_ms) > MOVED_MS + MOVED_FRACTION * waiting_ms:
+        if abs(self.waiting_ms - waiting_ms) > CHANGED_WAITING_MS + CHANGED_WAITING_FRACTION * waiting_ms:
             return True
-        return abs(self.unit_ms - unit_ms) > MOVED_WORK_FRACTION * unit_ms
+        return abs(self.unit_ms - unit_ms) > CHANGED_UNIT_FRACTION * unit_ms
 
 
 class LoadGossip:
-    """Reports of one dispatcher, and the aggregates that it keeps for all.
+    """Sends the load reports of one dispatcher, and aggregates reports on the nodes assigned to it.
 
     Attributes:
-        aggregators: aggregate by node queue, of the nodes that this dispatcher aggregates.
-        outgoing: reports of this round by receiver; None: all. Emptied by the round.
-        publish_at_ms: when aggregates are looked at next.
-        queues_by_hash: node queues by the mark that reports name them by; made anew with each list.
-        malformed: reports that were cut short, or not from or to the node's aggregator.
+        settings: the settings in force.
+        peers: names the aggregator of each node.
+        number: this dispatcher's seat: its number in the fleet, from 0.
+        aggregators: aggregates by node queue, of the nodes that this dispatcher is the aggregator of.
+        outgoing: reports of this round by the seat of their receiver, None for all dispatchers. Emptied at
+            the end of the round.
+        publish_at_ms: when to check next what to publish, ms; NEVER_MS while nothing is aggregated.
+        queues_by_hash: node queues by the hash that reports name the node by. Rebuilt with each endpoint
+            list.
+        malformed: count of messages of a wrong length, and of reports that did not come from, or go to, the
+            node's aggregator.
     """
 
     def __init__(self, settings: EffectiveSettings, peers: PeerDirectory, number: int) -> None:
@@ -175,25 +210,27 @@
         self.malformed = 0
 
     def index(self, queues: Iterable[NodeQueue]) -> None:
-        """Enter node queues under their marks."""
+        """Rebuild the index of node queues by hash."""
         self.queues_by_hash = {queue.node_hash: queue for queue in queues}
 
     def receive(self, peer: int, message: bytes, now: float) -> None:
-        """A message of a peer; what makes no sense is counted and changes nothing."""
+        """Take in a message of the dispatcher in seat `peer`; malformed reports are counted and ignored."""
         if len(message) % REPORT_BYTES:
             self.malformed += 1
             return
-        for kind, mark, units, value in iter_unpack(REPORT_FORMAT, message):
-            if not self._receive_one(peer, kind, mark, units, value, now):
+        for kind, node_hash, units, value in iter_unpack(REPORT_FORMAT, message):
+            if not self._receive_report(peer, kind, node_hash, units, value, now):
                 self.malformed += 1
 
-    def _receive_one(self, peer: int, kind: int, mark: int, units: int, value: int, now: float) -> bool:
-        """Whether it was from the node's aggregator, or to it."""
-        queue = self.queues_by_hash.get(mark)
-        aggregator = self.peers.aggregator(mark)
+    def _receive_report(
+        self, peer: int, kind: int, node_hash: int, units: int, value: int, now: float
+    ) -> bool:
+        """Apply one report; whether it came from the node's aggregator or was sent to it."""
+        queue = self.queues_by_hash.get(node_hash)
+        aggregator = self.peers.aggregator(node_hash)
         if kind == WAITING and aggregator == peer:
             if queue is not None:
-                queue.latency.receive_report(now, float(value), WORK_SCALE * units)
+                queue.latency.receive_report(now, float(value), UNIT_TIME_SCALE_MS * units)
             return True
         if kind < WAITING and aggregator == self.number:
             if queue is not None:
@@ -207,22 +244,30 @@
             busy_units = BUSY_REQUESTS * self.settings.utility.mean_units
             aggregator = self.aggregators[queue] = LoadAggregator(now, busy_units)
         aggregator.receive(kind, units, latency_ms, now)
-        self.publish_at_ms = min(self.publish_at_ms, next_mark(now, PUBLISH_INTERVAL_MS))
+        self.publish_at_ms = min(self.publish_at_ms, next_grid_ms(now, PUBLISH_INTERVAL_MS))
 
     def report(self, queue: NodeQueue, kind: int, units: float, latency_ms: float, now: float) -> None:
-        """Report what goes to a node or comes back to the node's aggregator, which may be this dispatcher."""
+        """Report an attempt to the node's aggregator, which may be this dispatcher.
+
+        Args:
+            queue: the queue of the node.
+            kind: SENT, ANSWERED or ENDED.
+            units: work of the attempt.
+            latency_ms: time since the attempt was sent.
+            now: the time, ms.
+        """
         if not self.settings.policy.allows_gossip:
             return
         receiver = self.peers.aggregator(queue.node_hash)
         if receiver == self.number:
             self._aggregate(queue, kind, units, latency_ms, now)
             return
-        tenths = min(MAX_BYTE, int(units * UNITS_SCALE))
-        report = pack(REPORT_FORMAT, kind, queue.node_hash, tenths, min(MAX_SHORT, int(latency_ms)))
+        tenths = min(MAX_UINT8, int(units * UNITS_SCALE))
+        report = pack(REPORT_FORMAT, kind, queue.node_hash, tenths, min(MAX_UINT16, int(latency_ms)))
         self.outgoing.setdefault(receiver, []).append(report)
 
     def send(self, now: float, sink: DecisionSink) -> None:
-        """Send the round's reports; aggregates go on a grid, where they moved."""
+        """Send the reports of the round, and publish aggregates that have changed when that is scheduled."""
         if now >= self.publish_at_ms:
             self._publish(now)
         for receiver, reports in self.outgoing.items():
@@ -234,7 +279,7 @@
             if self.peers.publishes(queue.node_hash, now) and aggregator.step(now):
                 waiting_ms, unit_ms = aggregator.published
                 queue.latency.receive_report(now, waiting_ms, unit_ms)
-                steps = min(MAX_BYTE, int(unit_ms / WORK_SCALE))
+                steps = min(MAX_UINT8, int(unit_ms / UNIT_TIME_SCALE_MS))
                 report = pack(REPORT_FORMAT, WAITING, queue.node_hash, steps, int(waiting_ms))
                 self.outgoing.setdefault(None, []).append(report)
         self.aggregators = {
@@ -242,4 +287,4 @@
             for queue, aggregator in self.aggregators.items()
             if aggregator.reported_ms > now - FORGET_MS
         }
-        self.publish_at_ms = next_mark(now, PUBLISH_INTERVAL_MS) if self.aggregators else NEVER_MS
+        self.publish_at_ms = next_grid_ms(now, PUBLISH_INTERVAL_MS) if self.aggregators else NEVER_MS
--- a/cherrygrade/scheduling/model.py
+++ b/cherrygrade/scheduling/model.py
@@ -1,7 +1,7 @@
-"""Types between the scheduler and its hosts: requests, attempts, nodes, settings. No decisions.
+"""Types shared by the scheduler and its hosts: requests, attempts, nodes and settings, without any decisions.
 
-A host owns these objects, fills in what it learns, and calls `Scheduler.decide` once a round. Times are
-milliseconds of one clock of the host's; units count work, as the site defines them.
+A host owns these objects, fills in outcomes and states as it learns them, and calls `Scheduler.decide` once a
+round. Times are milliseconds of one clock of the host. Units are the site's measure of work.
 """
 
 from __future__ import annotations
@@ -11,11 +11,15 @@
 from typing import Protocol
 
 ANY_SHARD = -1
-"""The shard of a request for a new object, and of a node that holds none."""
+"""Shard of a request for a new object, and of a node that holds no shard."""
 
 
 class Idempotency(Enum):
-    """What a second run of a request would do."""
+    """Whether a request may run twice.
+
+    IDEMPOTENT: a second run has no effect. IDEMPOTENT_WITH_KEY: nodes drop a repeat that carries the same
+    key, within a scope and a time window. NON_IDEMPOTENT: a second run takes effect again.
+    """
 
     IDEMPOTENT = "idempotent"
     IDEMPOTENT_WITH_KEY = "tokened"
@@ -23,7 +27,13 @@
 
 
 class Outcome(Enum):
-    """How one attempt ended."""
+    """How one attempt ended.
+
+    OK: answered with success. FAILED: answered with an error. REJECTED: the node refused it without running
+    it. TIMED_OUT: not answered by its deadline. CONNECT_FAILED: no connection to the node could be opened.
+    RESET: the connection broke before the answer. CANCELLED: the dispatcher cancelled it. NOT_SENT: it never
+    left the dispatcher.
+    """
 
     OK = "ok"
     FAILED = "errored"
@@ -36,17 +46,17 @@
 
     @property
     def never_ran(self) -> bool:
-        """Whether the attempt surely had no effect and never will."""
+        """Whether the attempt certainly had no effect and will have none."""
         return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
     @property
     def may_still_run(self) -> bool:
-        """Whether the node may run it after this."""
+        """Whether the node may still run the attempt after this outcome."""
         return self in (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)
 
 
 class NodeState(Enum):
-    """What the endpoint list says of a node."""
+    """State of a node in the endpoint list."""
 
     LIVE = "live"
     DRAINING = "draining"
@@ -55,20 +65,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """A kind of requests, as the site describes it.
+    """A class of requests with common objectives, as the site configures it.
 
     Attributes:
-        name: its name.
-        latency_objective_ms: time in which an answer earns its full value.
-        deadline_ms: time after which an answer earns nothing; the longest that a client waits.
-        priority_weight: value of a unit, against other workloads.
-        late_utility: part of the value that an answer behind the objective earns, 0 to 1.
-        idempotency: what a second run would do.
-        deduplication_scope: "all", "zone" or "cell": which nodes drop a repeat with an idempotency key.
-        deduplication_window_ms: for how long they do, from the first attempt.
-        ordered: requests on one key run one behind the other.
-        streamed: the client takes bytes as they come.
-        is_write: requests carry a body to write.
+        name: name of the workload.
+        latency_objective_ms: latency up to which an answer earns its full value.
+        deadline_ms: latency after which an answer earns nothing; the longest time that a client waits.
+        priority_weight: value of a unit relative to other workloads.
+        late_utility: fraction of the value that an answer after the objective earns, 0 to 1.
+        idempotency: whether requests may run twice.
+        deduplication_scope: which nodes drop a repeat with the same idempotency key: "all", "zone" (those of
+            the first attempt's zone) or "cell" (those of the first attempt's shard).
+        deduplication_window_ms: how long after the first attempt nodes drop a repeat.
+        ordered: whether requests on one key run one after another.
+        streamed: whether clients take the bytes of an answer in parts.
+        is_write: whether requests carry a body to write.
     """
 
     name: str
@@ -86,17 +97,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ServicePlan:
-    """A service plan; every figure holds for one volume, over all dispatchers and nodes.
+    """A service plan. Its rates hold for one volume, over all dispatchers and nodes.
 
     Attributes:
-        name: its name.
-        weight: proportion against other plans.
-        price: value of a unit, against other plans.
-        usual_rate: units a second that the plan is meant for.
-        reserve_rate: units a second that earn their full value whatever others do.
-        limit_rate: units a second of first attempts that may not be exceeded; 0: no limit.
-        limit_burst: units that the limit's bucket holds.
-        limit_tolerance: part by which the site tolerates more.
+        name: name of the plan.
+        weight: weight relative to other plans.
+        price: value of a unit relative to other plans.
+        usual_rate: units per second that the plan is meant for.
+        reserve_rate: units per second that earn their full value regardless of other volumes.
+        limit_rate: units per second of first attempts that must not be exceeded; 0: no limit.
+        limit_burst: capacity of the limit's token bucket, units.
+        limit_tolerance: fraction by which the site tolerates more than the limit.
     """
 
     name: str
@@ -111,13 +122,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartSettings:
-    """What a node that has just started bears, from all dispatchers together.
+    """Slow start: how much a node that has just started can take from all dispatchers together.
 
     Attributes:
-        base_units: units in a window that any node bears; 0: no such rule.
-        cold_capacity: part of its full capacity that a node has as it starts, above 0 up to 1.
-        overload_multiple: how many times its capacity a node bears for one window.
-        window_ms: the window.
+        base_units: units per window that any node can take; 0: no slow start.
+        cold_capacity: fraction of its full capacity that a node has when it starts, above 0 up to 1.
+        overload_multiple: multiple of its capacity that a node can take for one window.
+        window_ms: length of the window.
         warm_up_ms: time from its start until a node has its full capacity.
     """
 
@@ -130,12 +141,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetSettings:
-    """Attempts beyond the first that one dispatcher may make in any window.
+    """Retries, attempts beyond the first of a request, that one dispatcher may make in any window.
 
     Attributes:
-        min_retries: retries that are always allowed.
+        min_retries: retries per window that are always allowed.
         retry_ratio: further retries for each request that arrived in the window.
-        window_ms: the window.
+        window_ms: length of the window.
     """
 
     min_retries: float
@@ -145,15 +156,15 @@
 
 @dataclass(frozen=True, slots=True)
 class UtilityModel:
-    """What units earn outside their volume's reserve, and how use is reported.
+    """What units earn outside of their volume's reserve, and how use of quotas is reported.
 
     Attributes:
-        within_quota: part of the value that units inside the usual rate earn, 0 to 1.
-        beyond_quota: the same of units beyond it.
+        within_quota: fraction of its value that a unit within the usual rate earns, 0 to 1.
+        beyond_quota: fraction of its value that a unit beyond the usual rate earns, 0 to 1.
         mean_units: units of a mean request.
         largest_units: units of the largest request.
-        meter_period_ms: period of the use that nodes report.
-        reports_use_elsewhere: nodes report what others used of a volume's quota.
+        meter_period_ms: period over which nodes meter the use that they report.
+        reports_use_elsewhere: whether nodes report the use of a volume's quota through other dispatchers.
     """
 
     within_quota: float = 1.0
@@ -166,22 +177,23 @@
 
 @dataclass(frozen=True, slots=True)
 class SitePolicy:
-    """What the site lets a dispatcher do.
+    """What the site allows a dispatcher to do.
 
     Attributes:
         max_attempts: attempts of one request, at least 1.
-        allows_hedging: an attempt may start while another is in flight.
-        allows_cancel: an attempt may be cancelled.
-        allows_health_checks: nodes may be sent health checks of their own.
-        max_retry_after_ms: the longest Retry-After that clients heed; 0: none is given.
-        allows_gossip: dispatchers may send each other short messages.
-        clients_mark_retries: clients mark their retries; else a retry is found by what was given up.
-        polls_endpoints: the endpoint list has to be polled for.
+        allows_hedging: whether an attempt may start while another of its request is in flight.
+        allows_cancel: whether an attempt may be cancelled.
+        allows_health_checks: whether nodes may be sent health checks that carry no request.
+        max_retry_after_ms: the longest Retry-After that clients heed; 0: rejections carry none.
+        allows_gossip: whether dispatchers may send each other load reports.
+        clients_mark_retries: whether clients mark their retries. Otherwise a request counts as a retry if one
+            of its volume and key was rejected early before.
+        polls_endpoints: whether the endpoint list has to be polled for.
         max_poll_interval_ms: the longest time between two polls.
-        max_coalesced_bytes: bytes of an attempt that several requests share; 0: none is shared.
-        max_coalesced_requests: requests that an attempt carries beside its own.
+        max_coalesced_bytes: most bytes of an attempt that several requests share; 0: no coalescing.
+        max_coalesced_requests: most requests that an attempt carries besides its own.
         bytes_per_unit: bytes of one unit of a shared attempt.
-        min_units: the least units of an attempt.
+        min_units: the fewest units of a shared attempt.
     """
 
     max_attempts: int = 1
@@ -201,16 +213,16 @@
 
 @dataclass(slots=True, eq=False)
 class Node:
-    """A storage node, as the endpoint list last described it; one object a machine.
+    """A storage node, as the endpoint list last described it. There is one object per node.
 
     Attributes:
-        address: its name in the list.
-        zone: its zone.
-        kind: its kind of machine.
-        shard: the shard that it holds; ANY_SHARD: none.
-        state: its state in the list.
-        size: capacity against other nodes.
-        started_ms: when it started; 0: not known.
+        address: address of the node in the list.
+        zone: zone of the node.
+        kind: kind of machine.
+        shard: the shard that the node holds; ANY_SHARD: none.
+        state: state of the node in the list.
+        size: capacity relative to other nodes.
+        started_ms: when the node started, ms; 0: not known.
     """
 
     address: str
@@ -224,23 +236,25 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One client's request, from its arrival to its one final answer.
+    """A client's request, from its arrival to its final answer.
 
     Attributes:
-        workload, plan: None where the client named one that the site does not know.
-        volume: the volume that it is charged to.
-        dispatchers: among how many dispatchers the volume's limit is divided.
-        key: what it reads or writes; "": a new object.
-        shard: the shard that holds its data; ANY_SHARD: any node may take it.
-        units: its work.
-        deadline_ms: when its client stops waiting.
-        is_write: it carries a body to write.
-        is_retry: its client marked it as a retry.
-        id: for records.
+        workload: the request's workload; None if the client named one that the site does not have.
+        plan: the service plan of the volume; None if the client named a volume that the site does not have.
+        volume: name of the volume that the request is charged to.
+        dispatchers: number of dispatchers that the volume's limit is divided among.
+        key: key of the object that is read or written; "": a new object.
+        shard: the shard that holds the data; ANY_SHARD: any node may take the request.
+        units: work of the request.
+        deadline_ms: when the client stops waiting, ms.
+        is_write: whether the request carries a body to write.
+        is_retry: whether the client marked the request as a retry.
+        id: identifier for records and logs.
         attempts: all attempts, the oldest first.
-        finished: it has its final answer, or was cancelled.
-        offset, length: the byte range, where it may share an attempt.
-        coalescable: it may share an attempt with neighbours of its volume and key.
+        finished: whether the request has its final answer or was cancelled.
+        offset: first byte of the range, where the request may be coalesced.
+        length: bytes of the range, where the request may be coalesced.
+        coalescable: whether the request may share an attempt with neighbours of its volume and key.
     """
 
     workload: Workload | None
@@ -263,23 +277,24 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request at a node; the host fills in the outcome once it is known.
+    """One attempt of a request at a node. The host fills in the outcome once it is known.
 
     Attributes:
         request: the request.
-        node: where it was sent.
-        number: its place among the request's attempts, from 0.
-        sent_ms: when it was decided on.
-        outcome: how it ended; None while it is in flight.
-        latency_ms: time from `sent_ms` to its end.
-        plan_use: use of the volume everywhere in a finished period, as a part of its plan's usual rate; None
-            where the node reported none.
-        units_elsewhere: units that the node did for the volume through other dispatchers since its last
-            answer here.
-        load_report: what the node reported of its load.
-        coalesced_units: work of an attempt that carries others too; 0: its request's own.
-        coalesced: attempts that it carries.
-        carried_by: the attempt that carries it: one attempt on the wire, two in all else.
+        node: the node that the attempt goes to.
+        number: index among the request's attempts, from 0.
+        sent_ms: when the attempt was decided on, ms.
+        outcome: how the attempt ended; None while it is in flight.
+        latency_ms: time from `sent_ms` to the end of the attempt.
+        plan_use: use of the volume over all nodes in a completed metering period, as a fraction of its plan's
+            usual rate; None if the node reported none.
+        units_elsewhere: units that the node did for the volume through other dispatchers since its previous
+            answer to this one.
+        load_report: the node's own load figures by name.
+        coalesced_units: work of an attempt that carries other attempts too; 0: the units of its request.
+        coalesced: the attempts that this one carries.
+        carried_by: the attempt that carries this one. Both are sent as one message and counted as two
+            attempts.
     """
 
     request: Request
@@ -297,15 +312,18 @@
 
 
 class PeerDirectory:
-    """The other dispatchers, as the scheduler needs them.
+    """What the scheduler needs to know about the other dispatchers.
+
+    This class serves a fixed number of dispatchers. A host whose fleet changes passes a subclass.
 
-    This one counts them by their numbers; a host whose dispatchers know each other gives another.
+    A dispatcher's seat is its number in the fleet, from 0, by which quotas are divided.
 
     Attributes:
-        dispatchers: how many there are.
-        dispatcher_counts: numbers of dispatchers that quotas are divided among: two while they change, and
-            then each dispatcher uses the smaller of its two parts.
-        forfeits_quota: this dispatcher's parts of quotas are another's, or nobody's as yet.
+        dispatchers: number of dispatchers.
+        dispatcher_counts: the numbers of dispatchers that quotas are divided among. There are two of them
+            while the number changes; each dispatcher then uses the smaller of its two quotas.
+        forfeits_quota: whether this dispatcher must use no quota, because its seat belongs to another
+            dispatcher or to none yet.
     """
 
     forfeits_quota = False
@@ -314,47 +332,52 @@
         self.dispatchers = dispatchers
         self.dispatcher_counts: tuple[int, ...] = (dispatchers,)
 
-    def aggregator(self, node: int) -> int:
-        """Number of the dispatcher that aggregates reports on the node of this mark; -1: none."""
-        return node % self.dispatchers
+    def aggregator(self, node_hash: int) -> int:
+        """Return the seat of the dispatcher that aggregates load reports on a node; -1: there is none."""
+        return node_hash % self.dispatchers
 
-    def publishes(self, node: int, now: float) -> bool:
-        """Whether this dispatcher aggregates the node's reports, and has for long enough to publish."""
+    def publishes(self, node_hash: int, now: float) -> bool:
+        """Whether this dispatcher has aggregated the node's reports for long enough to publish the result."""
         return True
 
 
 class DecisionSink(Protocol):
-    """Takes the decisions of one round, in the order they are made. Times are milliseconds."""
+    """Carries out the decisions of a round, in the order in which they are made."""
 
     def send(self, request: Request, node: Node, limit_ms: float) -> Attempt:
-        """Start an attempt that may take so long, and add it to the request."""
+        """Start an attempt that may take up to `limit_ms`, and add it to the request."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """No answer of this attempt is waited for any more."""
+        """Cancel an attempt: its answer is not needed any more."""
 
     def reject(self, request: Request, retry_after_ms: float) -> None:
-        """Final answer: trying again is harmless; 0: no time for that is told."""
+        """Give the final answer that the request was rejected and may be retried.
+
+        Args:
+            request: the request.
+            retry_after_ms: earliest time for the retry; 0: none is given.
+        """
 
     def fail(self, request: Request) -> None:
-        """Final answer: the request may have run."""
+        """Give the final answer that the request failed, and may have taken effect."""
 
     def wake(self, after_ms: float) -> None:
-        """Call again after so long."""
+        """Request a round after `after_ms`."""
 
     def check_health(self, node: Node) -> None:
-        """Send a health check."""
+        """Send a health check to the node."""
 
     def release(self, node: Node) -> None:
         """Close idle connections to the node."""
 
     def subscribe(self) -> None:
-        """Poll for the endpoint list, with changes pushed from then on."""
+        """Poll for the endpoint list and subscribe to its changes."""
 
     def fetch(self) -> None:
         """Poll for the endpoint list once."""
 
     def send_gossip(self, peer: int | None, payload: bytes) -> None:
-        """Send a message to a dispatcher; None: to all."""
+        """Send a load report message to the dispatcher in seat `peer`; None: to all dispatchers."""
 
     def log(self, text: str) -> None:
-        """Write a line to the log."""
+        """Write a line to the host's log."""
--- a/cherrygrade/scheduling/ordering.py
+++ b/cherrygrade/scheduling/ordering.py
@@ -1,6 +1,7 @@
-"""Keyed order: requests of an ordered workload on one key run one behind the other (rule 5).
+"""Keyed order: requests of an ordered workload on one key run one after another (rule 5).
 
-After an attempt whose outcome is unknown the key rests, since that attempt may still run.
+After an attempt whose outcome is unknown no request on the key starts for a cool-down period, since the node
+may still run that attempt.
 """
 
 from __future__ import annotations
@@ -14,59 +15,63 @@
 
 
 class KeyOrder:
-    """Ordered requests by key.
+    """Queues the requests of ordered workloads by key.
 
     Attributes:
-        cool_down_ms: how long a key rests after an unknown outcome.
-        turns: ordered requests of a key, the one whose turn it is first; a key goes with its last request.
-        resting_until_ms: when a key's rest ends; dropped once it is over.
+        cool_down_ms: cool-down of a key after an attempt whose outcome is unknown.
+        queues: unfinished requests by key, in order of arrival; the first one may run. A key is removed with
+            its last request.
+        cool_down_until_ms: end of the cool-down by key, ms; removed once it has passed.
     """
 
     def __init__(self, cool_down_ms: float) -> None:
         self.cool_down_ms = cool_down_ms
-        self.turns: dict[str, deque[QueuedRequest]] = {}
-        self.resting_until_ms: dict[str, float] = {}
+        self.queues: dict[str, deque[QueuedRequest]] = {}
+        self.cool_down_until_ms: dict[str, float] = {}
 
     def forget_old(self, now: float) -> None:
-        """Drop rests that are over."""
-        if self.resting_until_ms:
-            resting = self.resting_until_ms
-            self.resting_until_ms = {key: until for key, until in resting.items() if until > now}
+        """Drop the cool-downs that have ended by `now` (ms)."""
+        if self.cool_down_until_ms:
+            cool_downs = self.cool_down_until_ms
+            self.cool_down_until_ms = {key: ends_ms for key, ends_ms in cool_downs.items() if ends_ms > now}
 
     def add(self, queued: QueuedRequest) -> None:
-        """A request arrived; it stands behind those of its key."""
+        """Queue a request that arrived behind the earlier ones of its key, if its workload is ordered."""
         if queued.workload.ordered and queued.request.key:
-            self.turns.setdefault(queued.request.key, deque()).append(queued)
+            self.queues.setdefault(queued.request.key, deque()).append(queued)
 
     def remove(self, queued: QueuedRequest) -> QueuedRequest | None:
-        """The request is finished and nothing of it is in flight.
+        """Remove a request that is finished and has no attempt in flight.
 
         Returns:
-            The request of its key that may go now, if there is one.
+            The request that is now first of the key; None if there is none.
         """
         key = queued.request.key
-        turn = self.turns.get(key)
-        if turn is None:
+        queue = self.queues.get(key)
+        if queue is None:
             return None
-        if queued in turn:
-            turn.remove(queued)
-            if not turn:
-                del self.turns[key]
-        return turn[0] if turn else None
+        if queued in queue:
+            queue.remove(queued)
+            if not queue:
+                del self.queues[key]
+        return queue[0] if queue else None
 
     def record_outcome(self, attempt: Attempt, now: float) -> None:
-        """An attempt that may still run makes its key rest."""
+        """Start the cool-down of the key if the node may still run the attempt after its outcome."""
         request, outcome = attempt.request, attempt.outcome
         if outcome is not None and outcome.may_still_run and request.key and workload_of(request).ordered:
-            self.resting_until_ms[request.key] = now + self.cool_down_ms
+            self.cool_down_until_ms[request.key] = now + self.cool_down_ms
 
-    def is_its_turn(self, queued: QueuedRequest, now: float) -> bool:
-        """Whether the request is the first of its key, and the key does not rest."""
+    def may_start(self, queued: QueuedRequest, now: float) -> bool:
+        """Whether the request is not ordered, or is the first of a key that is not in a cool-down."""
         key = queued.request.key
         if not (queued.workload.ordered and key):
             return True
-        return self.turns[key][0] is queued and now >= self.resting_until_ms.get(key, now)
+        return self.queues[key][0] is queued and now >= self.cool_down_until_ms.get(key, now)
 
-    def next_turn_ms(self, queued: QueuedRequest) -> float:
-        """When to look again at a request whose turn it is not; NEVER_MS if time alone won't do."""
-        return self.resting_until_ms.get(queued.request.key, NEVER_MS)
+    def next_check_ms(self, queued: QueuedRequest) -> float:
+        """Return when to check again a request that may not start: the end of the key's cool-down, ms.
+
+        It is NEVER_MS where the request waits for another to finish.
+        """
+        return self.cool_down_until_ms.get(queued.request.key, NEVER_MS)
--- a/cherrygrade/scheduling/placement.py
+++ b/cherrygrade/scheduling/placement.py
@@ -1,9 +1,9 @@
-"""Which node a request goes to.
+"""Chooses the node that a request goes to.
 
-A request on existing data goes to the node that holds its shard. A new object goes where an answer is
-expected
-sooner, of the first two nodes with credit from a random start: dispatchers that know the same would otherwise
-all run to the same node. Credit is a free slot that no pressed request waits for.
+A request on existing data goes to the node that holds its shard. For a new object, two nodes with credit are
+compared, beginning at a random node, and the one with the lower expected latency is chosen. The random start
+keeps dispatchers with the same information from all choosing the same node. A node has credit if it has a
+free slot that no pressed request waits for.
 """
 
 from __future__ import annotations
@@ -20,17 +20,18 @@
 from cherrygrade.scheduling.timing import NEVER_MS
 
 CANDIDATES = 2
-"""Nodes with credit that are compared; a large fleet is not ranked whole."""
+"""Nodes with credit that are compared; ranking all nodes would take too long in a large fleet."""
 
 
 class Placement:
-    """Node queues by node and by shard.
+    """Indexes the node queues, and chooses one for each request.
 
     Attributes:
-        queues: one queue a node; dropped once the node is gone and nothing of it is left.
-        by_shard: queues that may hold a shard; made anew with each list.
-        unplaced: holds requests that no listed node can take: new objects without credit anywhere, and
-            shards that no node in the list holds.
+        admission: tells whether a node is still warming up.
+        queues: one queue per node; removed once the node is gone and has no attempt or waiting request.
+        by_shard: queues of the nodes that hold a shard; rebuilt with each endpoint list.
+        unplaced: queue of the requests that no listed node can take: new objects while no node has credit,
+            and requests on shards that no listed node holds.
     """
 
     def __init__(self, admission: Admission, unplaced: NodeQueue, seed: int, counter: Counter) -> None:
@@ -42,21 +43,25 @@
         self._counter = counter
 
     def index(self, queues: Iterable[NodeQueue]) -> None:
-        """Enter queues under the shards of their nodes, in order."""
+        """Rebuild the index of queues by the shard of their node."""
         self.by_shard = {}
         for queue in queues:
             self.by_shard.setdefault(queue.node.shard, []).append(queue)
 
     def choose(self, queued: QueuedRequest, now: float) -> NodeQueue:
-        """The node queue for a request."""
+        """Return the queue of the node that a request goes to."""
         number = self._counter.next()
         shard = self._shard_of(queued)
         if shard >= 0:
-            return self._home_of(shard)
-        return self._soonest(queued, number, now)
+            return self._queue_of_shard(shard)
+        return self._fastest_queue(queued, number, now)
 
     def _shard_of(self, queued: QueuedRequest) -> int:
-        """A new object that may have run goes back to its first node: only there its repeat is dropped."""
+        """Return the shard that the request is bound to; ANY_SHARD if none.
+
+        A new object that may have been written goes back to the shard of that attempt, the only one where a
+        repeat is dropped.
+        """
         request = queued.request
         if request.shard >= 0:
             return request.shard
@@ -65,29 +70,29 @@
                 return attempt.node.shard
         return request.shard
 
-    def _home_of(self, shard: int) -> NodeQueue:
-        homes = self.by_shard.get(shard)
-        if not homes:
+    def _queue_of_shard(self, shard: int) -> NodeQueue:
+        queues = self.by_shard.get(shard)
+        if not queues:
             return self.unplaced
-        for queue in homes:
+        for queue in queues:
             if queue.node.state is NodeState.LIVE:
                 return queue
-        return homes[0]
+        return queues[0]
 
-    def _soonest(self, queued: QueuedRequest, number: int, now: float) -> NodeQueue:
-        chosen, soonest_ms = self.unplaced, NEVER_MS
+    def _fastest_queue(self, queued: QueuedRequest, number: int, now: float) -> NodeQueue:
+        chosen, lowest_ms = self.unplaced, NEVER_MS
         queues = [*self.queues.values()]
         start = random_uint32(self._seed, number) % len(queues) if queues else 0
-        left = CANDIDATES
+        remaining = CANDIDATES
         for queue in queues[start:] + queues[:start]:
             if not _has_credit(queue):
                 continue
-            left -= 1
-            if left < 0 and soonest_ms < NEVER_MS:
+            remaining -= 1
+            if remaining < 0 and lowest_ms < NEVER_MS:
                 break
             expected_ms = queue.latency.expected_ms(queued.request.units)
-            if expected_ms < soonest_ms and self._is_warm(queue, now):
-                chosen, soonest_ms = queue, expected_ms
+            if expected_ms < lowest_ms and self._is_warm(queue, now):
+                chosen, lowest_ms = queue, expected_ms
         return chosen
 
     def _is_warm(self, queue: NodeQueue, now: float) -> bool:
--- a/cherrygrade/scheduling/queued_request.py
+++ b/cherrygrade/scheduling/queued_request.py
@@ -1,4 +1,4 @@
-"""A request as the scheduler holds it, from its arrival until it is finished and no attempt is in flight."""
+"""The scheduler's state of a request, from its arrival until it is finished and no attempt is in flight."""
 
 from __future__ import annotations
 
@@ -13,23 +13,24 @@
 
 
 class QueuedRequest:
-    """One request with its place in a queue.
+    """A request with its place in a queue.
 
     Attributes:
-        request: the host's object.
-        workload: its workload.
-        volume: the quota that it is charged to.
-        arrived_ms: when it arrived.
-        objective_at_ms: when its latency objective ends.
-        utility_level: part of its value that its units earn, 0 to 1.
-        sort_key: its place in a queue, lowest first; equals keep the order of arrival.
-        overdue_at_ms: when its newest attempt is taken for lost and holds no slot any more.
-        queue: the queue that it waits in; None while it waits in none.
-        node: the node that it was placed on; None before the first placement.
-        nearby: requests that wait at that node and may share an attempt, by key; None before.
-        is_nearby: whether it is one of them now.
-        pressed: whether it belongs to the pressed side of Cake's two queues.
-        slot_released: whether its newest attempt holds no slot of the node.
+        request: the host's request.
+        workload: workload of the request.
+        volume: quota that the request is charged to.
+        arrived_ms: when the request arrived, ms.
+        objective_at_ms: when the latency objective ends, ms.
+        utility_level: fraction of their value that the request's units earn, 0 to 1.
+        sort_key: position in a queue, lowest first; requests with equal keys keep the order of arrival.
+        overdue_at_ms: when the newest attempt counts as lost and its slot is released, ms.
+        queue: the queue that the request waits in; None while it does not wait.
+        node: the node that the request was placed on; None before the first placement.
+        coalescable_at_node: the waiting requests of that node that may share an attempt, by key; None before
+            the first placement.
+        is_coalescable_now: whether `coalescable_at_node` contains this request.
+        pressed: whether the request belongs in Cake's pressed queue; otherwise it belongs in the batch queue.
+        slot_released: whether the newest attempt does not occupy a slot of the node.
     """
 
     def __init__(
@@ -50,42 +51,42 @@
         self.overdue_at_ms = 0.0
         self.queue: list[QueuedRequest] | None = None
         self.node: Node | None = None
-        self.nearby: dict[str, list[QueuedRequest]] | None = None
-        self.is_nearby = False
+        self.coalescable_at_node: dict[str, list[QueuedRequest]] | None = None
+        self.is_coalescable_now = False
         self.pressed = False
         self.slot_released = False
 
     @property
     def in_flight(self) -> bool:
-        """Whether an attempt has no outcome yet."""
+        """Whether an attempt of the request has no outcome yet."""
         return any(attempt.outcome is None for attempt in self.request.attempts)
 
-    def assign(self, node: Node, nearby: dict[str, list[QueuedRequest]]) -> None:
-        """Place it on a node; `nearby` is the table of that node's queue."""
-        self._leave_nearby()
+    def assign(self, node: Node, coalescable: dict[str, list[QueuedRequest]]) -> None:
+        """Place the request on a node, whose waiting coalescable requests are given by key."""
+        self._leave_coalescable()
         self.node = node
-        self.nearby = nearby
+        self.coalescable_at_node = coalescable
 
     def move_to(self, queue: list[QueuedRequest] | None) -> None:
-        """Leave the queue that it waits in for this one, or for none."""
+        """Move the request from the queue that it waits in to another one; None: to no queue."""
         if self.queue is not None:
             self.queue.remove(self)
-        self._leave_nearby()
-        if queue is not None and self.request.coalescable and self.nearby is not None:
-            self.nearby.setdefault(self.request.key, []).append(self)
-            self.is_nearby = True
+        self._leave_coalescable()
+        if queue is not None and self.request.coalescable and self.coalescable_at_node is not None:
+            self.coalescable_at_node.setdefault(self.request.key, []).append(self)
+            self.is_coalescable_now = True
         self.queue = queue
         if queue:
             insort(queue, self, key=_sort_key)
         elif queue is not None:
             queue.append(self)
 
-    def _leave_nearby(self) -> None:
-        nearby = self.nearby
-        if nearby is None or not self.is_nearby:
+    def _leave_coalescable(self) -> None:
+        coalescable = self.coalescable_at_node
+        if coalescable is None or not self.is_coalescable_now:
             return
-        self.is_nearby = False
+        self.is_coalescable_now = False
         key = self.request.key
-        nearby[key].remove(self)
-        if not nearby[key]:
-            del nearby[key]
+        coalescable[key].remove(self)
+        if not coalescable[key]:
+            del coalescable[key]
--- a/cherrygrade/scheduling/quota.py
+++ b/cherrygrade/scheduling/quota.py
@@ -1,7 +1,8 @@
-"""Token buckets of a volume: its reserve, its usual rate and its limit (rule 7).
+"""Token buckets of a volume: the reserve, the usual rate and the limit (rule 7) of its service plan.
 
-Units inside the reserve earn their full value, units inside the usual rate a part of it. The limit holds over
-all dispatchers: each keeps an even part, so the sum stays inside it without a message between them.
+Units within the reserve earn their full value, units within the usual rate a fraction of it. The limit holds
+over all dispatchers together: each uses an even part, so that their sum stays within the limit without
+messages between them.
 """
 
 from __future__ import annotations
@@ -9,28 +10,30 @@
 from cherrygrade.scheduling.model import ServicePlan, UtilityModel
 
 USUAL_RATE_FRACTION = 0.35
-"""Part of a volume's usual rate that comes through one dispatcher; its bucket holds this much of one
-second."""
+"""Fraction of a volume's usual rate that one dispatcher is expected to serve.
+
+The bucket of the usual rate is refilled at this fraction of the rate, and holds one second of it.
+"""
 
 RESERVE_HELD_BACK = 0.5
-"""Part of the reserve's capacity that a workload of the lowest weight leaves to the others."""
+"""Fraction of the reserve's capacity that a workload of weight 0 would leave to the others."""
 
 
 class VolumeQuota:
-    """Buckets of one volume at this dispatcher.
+    """The token buckets of one volume at this dispatcher.
 
     Attributes:
         plan: the volume's service plan.
-        dispatchers: among how many the plan's limit is divided; at least 1.
-        refilled_ms: when the buckets were last refilled.
-        reserve_fraction: part of the plan's reserve that is this dispatcher's: all of it where nodes report
-            what others used, else an even part.
-        reserve_tokens: units left in the reserve; below 0 after use elsewhere was charged.
-        reserve_capacity: the most that the reserve holds, units.
-        usual_tokens: units left inside the usual rate; never below 0.
-        usual_capacity: the most that the usual rate's bucket holds, units.
-        limit_tokens: units left of the limit; empty at the start, since an instance that ran here before
-            may just have spent them.
+        dispatchers: number of dispatchers that the plan's limit is divided among, at least 1.
+        refilled_ms: when the buckets were last refilled, ms.
+        reserve_fraction: fraction of the plan's reserve that this dispatcher may use: all of it where nodes
+            report the use through other dispatchers, otherwise an even part.
+        reserve_tokens: units available in the reserve; below 0 after use elsewhere was charged.
+        reserve_capacity: capacity of the reserve's bucket, units.
+        usual_tokens: units available within the usual rate; never below 0.
+        usual_capacity: capacity of the usual rate's bucket, units.
+        limit_tokens: units available within the limit. The bucket starts empty, since an earlier process on
+            this seat may have spent it just before.
     """
 
     def __init__(self, plan: ServicePlan, dispatchers: int, now: float, utility: UtilityModel) -> None:
@@ -45,7 +48,7 @@
         self.limit_tokens = 0.0
 
     def refill(self, now: float) -> None:
-        """Earn what the time since the last refill is worth."""
+        """Refill all buckets for the time since the last refill."""
         plan = self.plan
         seconds = (now - self.refilled_ms) / 1000.0
         self.refilled_ms = now
@@ -56,7 +59,12 @@
         self.limit_tokens = min(plan.limit_burst / self.dispatchers, self.limit_tokens + earned)
 
     def take_usual(self, units: float) -> bool:
-        """Take units from the usual rate; a request that does not fit whole is beyond it and empties it."""
+        """Take units from the usual rate.
+
+        Returns:
+            Whether the units were within the rate. Units that do not fit completely are beyond it, and empty
+            the bucket.
+        """
         self.usual_tokens = max(0.0, self.usual_tokens - units)
         return self.usual_tokens > 0.0
 
@@ -64,18 +72,21 @@
         """Take units from the reserve if they fit.
 
         Args:
-            units: the request's work.
-            relative_weight: the workload's priority weight over the highest of the site, up to 1; lower ones
-                leave a part of the reserve to others.
+            units: work of the request.
+            relative_weight: the workload's priority weight over the highest of the site, up to 1. The lower
+                it is, the more of the reserve has to stay available to other workloads.
+
+        Returns:
+            Whether the units fitted and were taken.
         """
         held_back = self.reserve_capacity * (1.0 - relative_weight) * RESERVE_HELD_BACK
-        inside = self.plan.reserve_rate > 0.0 and self.reserve_tokens >= units + held_back
-        if inside:
+        fits = self.plan.reserve_rate > 0.0 and self.reserve_tokens >= units + held_back
+        if fits:
             self.reserve_tokens -= units
-        return inside
+        return fits
 
     def charge_elsewhere(self, units: float) -> None:
-        """Charge what nodes did for the volume through other dispatchers."""
+        """Charge units that nodes did for the volume through other dispatchers."""
         self.reserve_tokens -= units
         self.usual_tokens = max(0.0, self.usual_tokens - units)
 
@@ -84,5 +95,5 @@
         self.limit_tokens -= units
 
     def within_limit(self, units: float) -> bool:
-        """Whether the limit has room for a first attempt now (rule 7)."""
+        """Whether the limit has enough units for a first attempt now (rule 7)."""
         return self.limit_tokens >= units
--- a/cherrygrade/scheduling/retries.py
+++ b/cherrygrade/scheduling/retries.py
@@ -1,7 +1,7 @@
-"""When a request may be attempted again: idempotency (rule 2) and the retry budget (rule 6).
+"""Decides when a request may be retried: idempotency (rule 2) and the retry budget (rule 6).
 
-Without rule 2 a request could take effect twice, or a rejection could be given for one that took effect.
-Without rule 6 retries would feed an overload.
+Without rule 2 a request could take effect twice, or be rejected although it took effect. Without rule 6
+retries would add to an overload.
 """
 
 from __future__ import annotations
@@ -18,28 +18,31 @@
     Workload,
 )
 
-# Which nodes drop a repeat that carries an idempotency key.
 SCOPE_EVERYWHERE = "all"
+"""Deduplication scope: every node drops a repeat with the same idempotency key."""
+
 SCOPE_ZONE = "zone"
+"""Deduplication scope: the nodes in the zone of the first attempt drop a repeat."""
+
 SCOPE_CELL = "cell"
-"""Nodes that hold one shard."""
+"""Deduplication scope: the nodes that hold the shard of the first attempt drop a repeat."""
 
 
 def workload_of(request: Request) -> Workload:
-    """The workload of a request that was admitted."""
+    """Return the workload of a request that was admitted, which always has one."""
     assert request.workload is not None
     return request.workload
 
 
 def may_have_run(attempt: Attempt) -> bool:
-    """Whether an attempt ran, or may still run."""
+    """Whether the node may have run the attempt, or may still run it."""
     return attempt.outcome is None or not attempt.outcome.never_ran
 
 
 def may_reject(request: Request) -> bool:
-    """Whether the client may be told that trying again is harmless.
+    """Whether the request may be rejected, which tells the client that it can retry without a second effect.
 
-    It may where nothing of the request ran, or where a repeat has no second effect wherever it goes.
+    It may if no node can have run an attempt, or if a repeat has no second effect on any node.
     """
     workload = workload_of(request)
     idempotency = workload.idempotency
@@ -51,21 +54,21 @@
 
 
 def may_run_again(request: Request, node: Node, now: float, this: Attempt | None = None) -> bool:
-    """Whether an attempt at the node has no second effect, whatever those before it did (rule 2).
+    """Whether an attempt at the node cannot take effect a second time (rule 2).
 
     Args:
         request: the request with all its attempts.
-        node: where the attempt goes.
+        node: the node that the attempt goes to.
         now: the time, ms.
-        this: the attempt that is about to leave, where it was decided on before; it does not count.
+        this: the attempt itself, if the request has it already; it is not counted among the earlier ones.
     """
-    ran = [attempt for attempt in request.attempts if attempt is not this and may_have_run(attempt)]
-    if not ran:
+    earlier = [attempt for attempt in request.attempts if attempt is not this and may_have_run(attempt)]
+    if not earlier:
         return True
     workload = workload_of(request)
     if workload.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
         return workload.idempotency is Idempotency.IDEMPOTENT
-    first = ran[0]
+    first = earlier[0]
     within_window = now < first.sent_ms + workload.deduplication_window_ms
     return within_window and _same_scope(workload.deduplication_scope, first.node, node)
 
@@ -81,17 +84,17 @@
 
 
 def outcome_allows_retry(outcome: Outcome | None) -> bool:
-    """Whether a retry can be in time; an attempt times out at its request's deadline."""
+    """Whether a retry can be in time: not after a time-out, which comes at the request's deadline."""
     return outcome is not Outcome.TIMED_OUT
 
 
 class RetryBudget:
-    """Attempts beyond the first of a request that this dispatcher may make in a window (rule 6).
+    """Limits the retries of this dispatcher, relative to the requests that arrive (rule 6).
 
     Attributes:
-        settings: the budget; None: no such rule.
-        arrivals_ms: arrivals of requests in the window, oldest first.
-        retries_ms: starts of retries in the window, oldest first.
+        settings: the budget; None: retries are not limited.
+        arrivals_ms: times at which requests arrived in the window, oldest first.
+        retries_ms: times at which retries started in the window, oldest first.
     """
 
     def __init__(self, settings: RetryBudgetSettings | None) -> None:
@@ -100,31 +103,31 @@
         self.retries_ms: deque[float] = deque()
 
     def forget_old(self, now: float) -> None:
-        """Drop what has left the window."""
+        """Drop the arrivals and retries that are no longer in the window at `now` (ms)."""
         if self.settings is None:
             return
-        ends_ms = now - self.settings.window_ms
+        window_start_ms = now - self.settings.window_ms
         for times in (self.arrivals_ms, self.retries_ms):
-            while times and times[0] <= ends_ms:
+            while times and times[0] <= window_start_ms:
                 times.popleft()
 
     def forget_all(self) -> None:
-        """Begin anew: nothing was counted, or nothing is any more."""
+        """Drop all arrivals and retries, when a budget comes into force or is removed."""
         self.arrivals_ms.clear()
         self.retries_ms.clear()
 
     def record_arrival(self, now: float) -> None:
-        """A request arrived: it earns its part of a retry."""
+        """Count a request that arrived, which raises the budget by `retry_ratio` retries."""
         if self.settings is not None:
             self.arrivals_ms.append(now)
 
     def record_attempt(self, request: Request, now: float) -> None:
-        """An attempt starts; only those beyond the first are charged."""
+        """Charge an attempt that starts, unless it is the first of its request."""
         if request.attempts and self.settings is not None:
             self.retries_ms.append(now)
 
     def allows(self, request: Request) -> bool:
-        """Whether the budget has room for the request's next attempt."""
+        """Whether the budget allows the next attempt of the request."""
         settings = self.settings
         if settings is None or not request.attempts:
             return True
--- a/cherrygrade/scheduling/round_inputs.py
+++ b/cherrygrade/scheduling/round_inputs.py
@@ -1,6 +1,7 @@
-"""What every host of the scheduler shares: the inputs of the next round, and nodes by address.
+"""Collects the inputs of a scheduler's next round, and keeps one node object per address.
 
-Standard library only: the bench's adapter uses it too. No decisions.
+All hosts of the scheduler use this module. It depends on the standard library only, since the bench's adapter
+uses it too, and takes no decisions.
 """
 
 from __future__ import annotations
@@ -12,16 +13,22 @@
 
 
 class RoundInputs:
-    """All that happened since the last round; emptied by the round.
+    """Collects everything that happened since the last round; a round empties it.
 
-    Attributes: those of `Scheduler.decide`, under the same names.
+    Attributes:
+        arrivals: requests that arrived.
+        outcomes: attempts that ended.
+        cancellations: requests that their client cancelled.
+        endpoint_changes: nodes that the endpoint list describes anew.
+        endpoint_list_received: True if a list was received, False if a poll failed, None if neither happened.
+        gossip: load report messages, with the seats of their senders.
     """
 
     def __init__(self) -> None:
         self.clear()
 
     def clear(self) -> None:
-        """Begin the next round."""
+        """Empty the inputs for the next round."""
         self.arrivals: list[Request] = []
         self.outcomes: list[Attempt] = []
         self.cancellations: list[Request] = []
@@ -30,7 +37,7 @@
         self.gossip: list[tuple[int, bytes]] = []
 
     def decide(self, scheduler: Scheduler, now: float, sink: DecisionSink) -> None:
-        """One round of the scheduler with all of it."""
+        """Run a round of the scheduler with the collected inputs at `now` (ms), and empty them."""
         scheduler.decide(
             now,
             sink,
@@ -45,7 +52,7 @@
 
 
 class NodeTable:
-    """Node objects, one a machine, as long as the host lives or until it forgets one that is gone.
+    """Keeps one object per node, from the first time that it is named until the host forgets it.
 
     Attributes:
         by_address: nodes by address.
@@ -56,24 +63,24 @@
         self._listed: set[str] = set()
 
     def node(self, address: str) -> Node:
-        """The node of this address, made where it is not known."""
+        """Return the node with this address; a new one if the address is not known."""
         return self.by_address.setdefault(address, Node(address))
 
     def forget(self, node: Node) -> None:
-        """The node is gone; should its address be listed again, it is another."""
+        """Forget a node that is gone. If its address is listed again, that is a new node."""
         if self.by_address.get(node.address) is node:
             del self.by_address[node.address]
         self._listed.discard(node.address)
 
     def apply_list(self, listed: Iterable[Node], is_complete: bool) -> list[Node]:
-        """A list was received.
+        """Apply an endpoint list that was received.
 
         Args:
-            listed: the nodes that it names, already up to date.
-            is_complete: it names all nodes, so that one it leaves out is gone.
+            listed: the nodes that the list names, already updated from it.
+            is_complete: whether the list names all nodes. A known node that is missing from it is then gone.
 
         Returns:
-            All nodes of which the list says something.
+            The nodes whose state the list gives: those it names, and those that are gone.
         """
         changed = list(listed)
         addresses = {node.address for node in changed}
--- a/cherrygrade/scheduling/scheduler.py
+++ b/cherrygrade/scheduling/scheduler.py
@@ -1,13 +1,12 @@
-"""The scheduler: one round takes in all that happened since the last, and decides.
+"""The scheduler of a dispatcher: a round takes in everything that happened since the last one, and decides.
 
-A host calls `Scheduler.decide` once a round with everything that came in, and a sink that takes the decisions
-in order. The design is Cake's: each node has a pressed and a batch queue (`node_queue.py`), a controller
-moves
-share and reserved slots by normalized tail latency (`share_controller.py`), and a window bounds the
-attempts in
-flight (`concurrency_limit.py`). Every attempt passes `admission.py`.
+A host calls `Scheduler.decide` once per round with all inputs, and with a sink that carries out the decisions
+in order. The design is Cake's: each node has a pressed and a batch queue (`node_queue.py`), a controller sets
+the share and the reserved slots of the pressed queue by normalized tail latency (`share_controller.py`), and
+a window limits the attempts in flight (`concurrency_limit.py`). Every attempt has to pass `admission.py`.
 
-Free of I/O, clock and chance. Times are milliseconds of the host's clock.
+The scheduler does no I/O and reads neither a clock nor a random source. Times are milliseconds of the host's
+clock.
 """
 
 from __future__ import annotations
@@ -45,7 +44,7 @@
 from cherrygrade.scheduling.wake_ups import WakeUps
 
 FORGET_VOLUME_MS = 60_000.0
-"""A volume's buckets are dropped once it was idle for so long."""
+"""A volume's token buckets are dropped once it has been idle for this long."""
 
 
 class Scheduler:
@@ -53,15 +52,21 @@
 
     Attributes:
         settings: the settings in force.
-        peers: the other dispatchers.
-        admission: the rules that every attempt passes.
-        volumes: buckets by volume; dropped once idle.
-        requests: requests from their arrival until they are finished and nothing of them is in flight.
-        placement: node queues, and which of them a request goes to.
-        load_gossip: load reports between dispatchers.
-        polling: when to poll for the endpoint list.
-        client_retries: what is known of clients' own retries.
-        touched: node queues that this round concerns, in order; emptied by the round.
+        peers: the dispatchers that quotas are divided among.
+        admission: the rules that every attempt has to satisfy.
+        utility: ranks requests by what they earn.
+        volumes: token buckets by volume; dropped once the volume is idle.
+        requests: requests from their arrival until they are finished and have no attempt in flight.
+        shared_latency: latency estimates over all nodes.
+        unplaced: queue of the requests that no listed node can take.
+        placement: the node queues; chooses one for each request.
+        wake_ups: schedules the checks of node queues.
+        load_gossip: sends and receives load reports.
+        polling: schedules polls for the endpoint list.
+        client_retries: recognizes retries by clients.
+        early_rejection: decides which requests are rejected early.
+        coalescing: lets requests share an attempt.
+        touched: node queues to check in this round, in order; empty between rounds.
     """
 
     def __init__(
@@ -78,19 +83,19 @@
         key_rest_ms: float,
         peers: PeerDirectory | None = None,
     ) -> None:
-        """Start with no endpoints known.
+        """Create a scheduler that knows no nodes.
 
         Args:
-            seed: told to no other dispatcher, so that all choose differently.
-            number: this dispatcher's number, from 0.
-            dispatchers: how many there are.
+            seed: seed of random decisions; it differs between dispatchers, so that they choose differently.
+            number: this dispatcher's seat: its number in the fleet, from 0.
+            dispatchers: number of dispatchers.
             workloads: the site's workloads.
-            utility: what units earn.
-            slow_start: what a node that warms up bears; see `SlowStartSettings`.
-            retry_budget: None: retries have no budget.
-            policy: what the site lets a dispatcher do.
-            key_rest_ms: how long a key rests after an unknown outcome.
-            peers: the other dispatchers; None: as many as there are, by number.
+            utility: what units of work earn.
+            slow_start: how much a node that is warming up can take.
+            retry_budget: limits retries; None: no limit.
+            policy: what the site allows a dispatcher to do.
+            key_rest_ms: cool-down of an ordered key after an attempt whose outcome is unknown.
+            peers: the fleet's dispatchers; None: a fixed number of them.
         """
         self.settings = EffectiveSettings(policy, utility, workloads)
         self.peers = peers or PeerDirectory(dispatchers)
@@ -99,8 +104,8 @@
         self.volumes: dict[str, VolumeQuota] = {}
         self.requests: dict[Request, QueuedRequest] = {}
         self.shared_latency = SharedLatency(self.settings.tightest_objective_ms)
-        nowhere = Node("", state=NodeState.DRAINING)
-        self.unplaced = self._new_queue(nowhere, 0.0, [])
+        no_node = Node("", state=NodeState.DRAINING)
+        self.unplaced = self._new_queue(no_node, 0.0, [])
         counter = Counter()
         self.placement = Placement(self.admission, self.unplaced, seed, counter)
         self.wake_ups = WakeUps(counter)
@@ -120,7 +125,7 @@
         objective_ms = self.settings.tightest_objective_ms
         return NodeQueue(node, now, objective_ms, self.shared_latency, sends)
 
-    # One round.
+    # Rounds.
 
     def decide(
         self,
@@ -134,17 +139,17 @@
         endpoint_list_received: bool | None = None,
         gossip: Sequence[tuple[int, bytes]] = (),
     ) -> None:
-        """One round.
+        """Run a round.
 
         Args:
-            now: the time, ms; never less than in the round before.
-            sink: takes the decisions.
+            now: the time, ms; not before that of the previous round.
+            sink: carries out the decisions.
             arrivals: requests that arrived.
-            outcomes: attempts that ended, their outcome filled in.
-            cancellations: requests whose client does not wait any more; marked as finished.
-            endpoint_changes: nodes of which the endpoint list says something new.
-            endpoint_list_received: True: a list was received; False: a poll for it failed; None: neither.
-            gossip: messages of other dispatchers, with their numbers.
+            outcomes: attempts that ended, with their outcome.
+            cancellations: requests that their client cancelled, already marked as finished.
+            endpoint_changes: nodes that the endpoint list describes anew.
+            endpoint_list_received: True if a list was received, False if a poll failed, None if neither.
+            gossip: load report messages, with the seats of their senders.
         """
         self.admission.start_round(now)
         self.update_endpoints(now, endpoint_changes, endpoint_list_received)
@@ -155,32 +160,32 @@
             self._settle(attempt, now, sink)
         for request in arrivals:
             self._arrive(request, now, sink)
-        for request in cancellations:  # behind arrivals: a request may arrive and be cancelled in one round
+        for request in cancellations:  # after arrivals: a request may arrive and be cancelled in one round
             queued = self.requests.get(request)
             if queued is not None:
                 self._finish(queued, now)
-        while (due := self.wake_ups.pop_due(now)) is not None:
-            self._touch(due, now)
+        while (queue := self.wake_ups.pop_due(now)) is not None:
+            self._touch(queue, now)
         while self.touched:
-            self._attend(next(iter(self.touched)), now, sink)
-        self._ask_to_be_called(now, sink)
+            self._check(next(iter(self.touched)), now, sink)
+        self._finish_round(now, sink)
 
     def _touch(self, queue: NodeQueue, now: float) -> None:
-        """This round concerns a node queue: its steps are caught up before anything else."""
+        """Have a node queue checked in this round, after its periodic steps, which are made at once."""
         self.touched[queue] = None
         queue.catch_up(now)
 
-    def _attend(self, queue: NodeQueue, now: float, sink: DecisionSink) -> None:
-        """All that may be due at a node queue; each part lowers `due_ms` to its next look."""
-        previous_due_ms = queue.due_ms
+    def _check(self, queue: NodeQueue, now: float, sink: DecisionSink) -> None:
+        """Check a node queue for all that may be due; each part lowers `next_check_ms` to its own time."""
+        previous_check_ms = queue.next_check_ms
         queue.release_overdue(now, OVERDUE_OBJECTIVES * self.settings.tightest_objective_ms)
-        self._sweep(queue, now, sink)
+        self._review_waiting(queue, now, sink)
         self._fill(queue, now, sink)
         del self.touched[queue]
-        self.wake_ups.schedule(queue, previous_due_ms, now)
+        self.wake_ups.schedule(queue, previous_check_ms, now)
 
-    def _ask_to_be_called(self, now: float, sink: DecisionSink) -> None:
-        """Send gossip, poll for the list when due, and ask for the next wake-up."""
+    def _finish_round(self, now: float, sink: DecisionSink) -> None:
+        """Send load reports, poll for the endpoint list if that is due, and request the next wake-up."""
         self.load_gossip.send(now, sink)
         if self.polling.take_due(now):
             sink.subscribe()
@@ -190,7 +195,7 @@
     # Endpoints.
 
     def update_endpoints(self, now: float, changes: Sequence[Node], received: bool | None) -> None:
-        """Take in what the endpoint list says; `received` as for `decide`."""
+        """Apply changes of the endpoint list; for `received` see `endpoint_list_received` of `decide`."""
         queues = self.placement.queues
         for node in changes:
             if node not in queues:
@@ -198,13 +203,13 @@
                 queues[node] = self._new_queue(node, now, sends)
         if changes:
             self._forget_idle(now)
-            for queue in [*queues.values(), self.unplaced]:  # what waits may have a place now
+            for queue in [*queues.values(), self.unplaced]:  # waiting requests may find a node now
                 if queue.has_waiting:
                     self._touch(queue, now)
         self.polling.update(now, received)
 
     def _forget_idle(self, now: float) -> None:
-        """Drop idle volumes and nodes that are gone, and index the others."""
+        """Drop idle volumes and unused queues of nodes that are gone, and index the remaining ones."""
         volumes = self.volumes
         self.volumes = {
             name: volume for name, volume in volumes.items() if now - volume.refilled_ms < FORGET_VOLUME_MS
@@ -216,7 +221,7 @@
         self.placement.index([*queues.values(), self.unplaced])
         self.load_gossip.index(queues.values())
 
-    # A request, from its arrival to its end.
+    # Requests, from arrival to final answer.
 
     def _arrive(self, request: Request, now: float, sink: DecisionSink) -> None:
         workload, plan = request.workload, request.plan
@@ -235,16 +240,16 @@
         self._place(queued, now)
 
     def _place(self, queued: QueuedRequest, now: float) -> None:
-        """Choose a node, and queue the request there."""
+        """Choose a node for the request and queue it there; rank it if it is new."""
         queue = self.placement.choose(queued, now)
-        queued.assign(queue.node, queue.nearby)
+        queued.assign(queue.node, queue.coalescable)
         self._touch(queue, now)
         if queued.queue is None and not queued.request.attempts:
             self.utility.rank(queued, queue, now)
         queued.move_to(queue.pressed if queued.pressed else queue.batch)
 
     def _settle(self, attempt: Attempt, now: float, sink: DecisionSink) -> None:
-        """An attempt ended: its request is finished, retried or given up."""
+        """Take in the outcome of an attempt: its request is finished, retried or rejected early."""
         queue, request = self.placement.queues[attempt.node], attempt.request
         self._touch(queue, now)
         queued = queue.attempts[attempt]
@@ -261,11 +266,11 @@
             if self.early_rejection.may_retry(queued, attempt, now):
                 self._place(queued, now)
             else:
-                self._give_up(queued, now, sink)
+                self._reject_early(queued, now, sink)
 
-    def _give_up(self, queued: QueuedRequest, now: float, sink: DecisionSink) -> None:
-        """Answer at once: a rejection where trying again is harmless, else an error."""
-        self.client_retries.record_given_up(queued)
+    def _reject_early(self, queued: QueuedRequest, now: float, sink: DecisionSink) -> None:
+        """Give the final answer now: a rejection if a retry has no second effect, otherwise a failure."""
+        self.client_retries.record_early_rejection(queued)
         if self.admission.may_reject(queued.request):
             sink.reject(queued.request, self.early_rejection.retry_after_ms())
         else:
@@ -273,7 +278,7 @@
         self._finish(queued, now)
 
     def _finish(self, queued: QueuedRequest, now: float) -> None:
-        """The request has its answer; it is forgotten once nothing of it is in flight."""
+        """Stop scheduling a request that is finished, and forget it once no attempt is in flight."""
         queued.move_to(None)
         if queued.in_flight:
             return
@@ -282,46 +287,46 @@
             self._touch(self.placement.queues.get(following.node, self.unplaced), now)
         self.requests.pop(queued.request, None)
 
-    def _sweep(self, queue: NodeQueue, now: float, sink: DecisionSink) -> None:
-        """Give up what is not worth waiting any more, and move what waits at a lost node."""
-        early_rejection = self.early_rejection
+    def _review_waiting(self, queue: NodeQueue, now: float, sink: DecisionSink) -> None:
+        """Reject waiting requests that can earn too little, and move those that wait at a lost node."""
+        rules = self.early_rejection
         for queued in [*queue.pressed, *queue.batch]:
             expected_ms = queue.latency.expected_ms(queued.request.units)
-            objective_start_ms = early_rejection.latest_objective_start_ms(queued, expected_ms)
-            latest_start_ms = early_rejection.latest_start_ms(queued, expected_ms)
+            objective_start_ms = rules.latest_objective_start_ms(queued, expected_ms)
+            latest_start_ms = rules.latest_start_ms(queued, expected_ms)
             misses_objective = now > objective_start_ms
-            if misses_objective and queued.pressed:  # else the controller saw only what was answered
+            if misses_objective and queued.pressed:  # else only answered requests would count
                 client_ms = queued.request.deadline_ms - queued.arrived_ms
                 queue.controller.record(now, client_ms / queued.workload.latency_objective_ms)
-            is_lost = early_rejection.node_is_lost(queued, queue)
-            worthless = misses_objective and early_rejection.is_worthless_late(queued, queue, is_lost)
+            node_is_lost = rules.node_is_lost(queued, queue)
+            worthless = misses_objective and rules.is_worthless_late(queued, queue, node_is_lost)
             if now > latest_start_ms or worthless:
-                self._give_up(queued, now, sink)
+                self._reject_early(queued, now, sink)
                 continue
-            queue.due_ms = min(queue.due_ms, latest_start_ms)
+            queue.next_check_ms = min(queue.next_check_ms, latest_start_ms)
             if not misses_objective:
-                queue.due_ms = min(queue.due_ms, objective_start_ms)
-            if is_lost:
+                queue.next_check_ms = min(queue.next_check_ms, objective_start_ms)
+            if node_is_lost:
                 self._place(queued, now)
 
     # Filling slots.
 
     def _fill(self, queue: NodeQueue, now: float, sink: DecisionSink) -> None:
-        """Start attempts until nothing more may start."""
+        """Start attempts until no further one may start."""
         health = queue.health
-        closed_until_ms = health.next_health_check_ms if health.is_ejected else 0.0
-        if now >= closed_until_ms:
+        ejected_until_ms = health.next_health_check_ms if health.is_ejected else 0.0
+        if now >= ejected_until_ms:
             while queue.node.state is NodeState.LIVE and self._start_one(queue, now, sink):
                 pass
-        if queue.has_waiting:  # the controller and the window go on while something waits
-            queue.due_ms = min(queue.due_ms, queue.next_step_ms)
-            if closed_until_ms > now:
-                queue.due_ms = min(queue.due_ms, closed_until_ms)
+        if queue.has_waiting:  # the controller and the window step while requests wait
+            queue.next_check_ms = min(queue.next_check_ms, queue.next_step_ms)
+            if ejected_until_ms > now:
+                queue.next_check_ms = min(queue.next_check_ms, ejected_until_ms)
 
     def _start_one(self, queue: NodeQueue, now: float, sink: DecisionSink) -> bool:
-        """Start one attempt; whether one could start."""
+        """Start an attempt at the node; whether one was started."""
         if not (queue.has_waiting or self.unplaced.has_waiting):
-            queue.note_filled()
+            queue.record_filled()
             return False
         if queue.health.takes_new_objects and queue.busy < queue.slots:
             self._take_unplaced(self.unplaced.pressed, queue, queue.pressed, now)
@@ -338,35 +343,35 @@
         own: list[QueuedRequest],
         now: float,
     ) -> None:
-        """Take over the first new object that waits for a node, if it arrived before the own first."""
+        """Take over the first unplaced new object, if it arrived before the first of the node's own queue."""
         if not waiting:
             return
         first = waiting[0]
         if first.request.shard >= 0 or (own and first.arrived_ms >= own[0].arrived_ms):
             return
         if self.admission.slow_start.units_left(queue, now) >= first.request.units:
-            first.assign(queue.node, queue.nearby)
-            queue.due_ms = now  # looked at again at once
+            first.assign(queue.node, queue.coalescable)
+            queue.next_check_ms = now  # check the queue again at once
             first.move_to(own)
 
     def _start_from(
         self, waiting: list[QueuedRequest], queue: NodeQueue, now: float, sink: DecisionSink
     ) -> bool:
-        """Start an attempt of the first that admission lets go; whether there was one."""
+        """Start an attempt of the first request that admission allows; whether there was one."""
         for queued in waiting:
             earliest_ms = self.admission.earliest_start_ms(queued, queue, now)
             if earliest_ms > now:
-                queue.due_ms = min(queue.due_ms, earliest_ms)
+                queue.next_check_ms = min(queue.next_check_ms, earliest_ms)
                 continue
             attempt = self._start(queued, queue, now, sink)
             self._coalesce(queued, attempt, queue, now, sink)
             queue.record_attempt(queued, attempt)
-            queue.due_ms = min(queue.due_ms, queued.overdue_at_ms)
+            queue.next_check_ms = min(queue.next_check_ms, queued.overdue_at_ms)
             return True
         return False
 
     def _start(self, queued: QueuedRequest, queue: NodeQueue, now: float, sink: DecisionSink) -> Attempt:
-        """Start an attempt, and charge it to whatever counts attempts."""
+        """Start an attempt, and charge it to the share, the quotas and the load reports."""
         request = queued.request
         queue.charge_share(queued)
         queued.move_to(None)
@@ -377,9 +382,9 @@
     def _coalesce(
         self, queued: QueuedRequest, attempt: Attempt, queue: NodeQueue, now: float, sink: DecisionSink
     ) -> None:
-        """Let neighbours share the attempt, unless it checks the node's health."""
+        """Let neighbouring requests share the attempt, unless it is a health check."""
         request = queued.request
-        if not request.coalescable or request.key not in queue.nearby or queue.health.is_ejected:
+        if not request.coalescable or request.key not in queue.coalescable or queue.health.is_ejected:
             return
 
         def start(other: QueuedRequest) -> Attempt:
--- a/cherrygrade/scheduling/seeded_random.py
+++ b/cherrygrade/scheduling/seeded_random.py
@@ -8,22 +8,22 @@
 
 
 def random_uint32(seed: int, number: int) -> int:
-    """A 32-bit number for the draw of this number."""
+    """Return a 32-bit random number for a seed and the number of the draw."""
     return crc32(f"{seed}:{number}".encode())
 
 
 def random_fraction(seed: int, value: float) -> float:
-    """A number from 0 up to 1 for a draw that is told from others by this value."""
+    """Return a random number in [0, 1) for a seed and a value that identifies the draw."""
     return crc32(f"{seed}:{value}".encode()) / CRC_VALUES
 
 
 class Counter:
-    """Numbers in order; draws and heap entries share them."""
+    """Counts up from 1. One counter numbers the random draws and the heap entries of a scheduler."""
 
     def __init__(self) -> None:
         self.value = 0
 
     def next(self) -> int:
-        """The next number."""
+        """Return the next number."""
         self.value += 1
         return self.value
--- a/cherrygrade/scheduling/start_settings.py
+++ b/cherrygrade/scheduling/start_settings.py
@@ -1,7 +1,8 @@
-"""Reads the start message of an instance: the one place that maps its names to the program's.
+"""Reads the settings of a start message, and maps the message's names to those of the scheduler.
 
-The users' bench sends it as flat pairs of path and value, the platform as nested JSON with the same names and
-units (seconds, units of work). Standard library only: the bench's adapter uses it too.
+The users' bench sends the settings as flat pairs of path and value, the platform as nested JSON with the same
+names and units (seconds, units of work). This module depends on the standard library only, since the bench's
+adapter uses it too.
 """
 
 from __future__ import annotations
@@ -21,29 +22,30 @@
 )
 from cherrygrade.scheduling.scheduler import Scheduler
 
-EFFECTS = {
+IDEMPOTENCY_BY_NAME = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.IDEMPOTENT_WITH_KEY,
     "fragile": Idempotency.NON_IDEMPOTENT,
 }
+"""Idempotency by the message's name of it."""
 
 
 def flag(text: str) -> bool:
-    """Whether a value of the message says yes."""
+    """Whether a value of the message means yes."""
     return text in ("1", "true")
 
 
-def _flat(value: Any, at: str = "") -> Iterator[str]:
-    """Nested JSON as the pairs that the simulator would have sent."""
+def _flatten(value: Any, path: str = "") -> Iterator[str]:
+    """Yield nested JSON as the pairs of path and value that the bench would have sent."""
     if isinstance(value, dict):
-        for name, one in value.items():
-            yield from _flat(one, f"{at}.{name}" if at else str(name))
-    elif isinstance(value, list) and value and all(isinstance(one, dict) for one in value):
-        yield f"{at}.count={len(value)}"
-        for i, one in enumerate(value):
-            yield from _flat(one, f"{at}.{i}")
+        for name, member in value.items():
+            yield from _flatten(member, f"{path}.{name}" if path else str(name))
+    elif isinstance(value, list) and value and all(isinstance(member, dict) for member in value):
+        yield f"{path}.count={len(value)}"
+        for i, member in enumerate(value):
+            yield from _flatten(member, f"{path}.{i}")
     else:
-        yield f"{at}={','.join(map(_text, value)) if isinstance(value, list) else _text(value)}"
+        yield f"{path}={','.join(map(_text, value)) if isinstance(value, list) else _text(value)}"
 
 
 def _text(value: Any) -> str:
@@ -53,30 +55,30 @@
 
 
 class StartSettings:
-    """The pairs of a start message; what is absent takes its default, the unknown is passed over."""
+    """The settings of a start message. Absent ones have their default, and unknown ones are ignored."""
 
     def __init__(self, parts: list[str]) -> None:
         self._pairs = dict(part.split("=", 1) for part in parts if "=" in part)
 
     @classmethod
     def from_nested(cls, settings: dict[str, Any]) -> StartSettings:
-        """From nested JSON."""
-        return cls([*_flat(settings)])
+        """Read settings from nested JSON."""
+        return cls([*_flatten(settings)])
 
     def as_pairs(self) -> dict[str, str]:
-        """All pairs, to be compared with another message's."""
+        """Return all settings by path, to compare them with those of another message."""
         return dict(self._pairs)
 
     def text(self, path: str, default: str = "") -> str:
-        """A text; "-" stands for none."""
+        """Return the text at a path; an absent value and "-" give the default."""
         value = self._pairs.get(path, default)
         return default if value == "-" else value
 
     def number(self, path: str, default: float = 0.0) -> float:
-        """A number.
+        """Return the number at a path.
 
         Raises:
-            ValueError: the value is none; the message names the path.
+            ValueError: The value is not a number; the message names the path.
         """
         value = self.text(path)
         try:
@@ -88,54 +90,54 @@
         return number
 
     def ms(self, path: str, default_s: float = 0.0) -> float:
-        """A time in seconds, as milliseconds. Raises ValueError as `number` does."""
+        """Return a time in ms, which the message gives in seconds. Raises ValueError like `number`."""
         return self.number(path, default_s) * 1000.0
 
     def flag(self, path: str, default: bool = False) -> bool:
-        """A yes or no."""
+        """Return the yes or no at a path."""
         value = self.text(path)
         return flag(value) if value else default
 
     def workloads(self) -> dict[str, Workload]:
-        """Workloads by name. Raises ValueError as `number` does."""
+        """Return the workloads by name. Raises ValueError like `number`."""
         writes = self.text("extra.writes").split(",")
-        found = {}
+        by_name = {}
         for i in range(int(self.number("classes.count"))):
-            at = f"classes.{i}."
-            found[self.text(at + "name")] = Workload(
-                name=self.text(at + "name"),
-                latency_objective_ms=self.ms(at + "objectiveS"),
-                deadline_ms=self.ms(at + "hardLimitS"),
-                priority_weight=self.number(at + "importance", 1.0),
-                late_utility=self.number(at + "lateWorth"),
-                idempotency=EFFECTS.get(self.text(at + "effect"), Idempotency.NON_IDEMPOTENT),
-                deduplication_scope=self.text(at + "group", "all"),
-                deduplication_window_ms=self.ms(at + "windowS"),
-                ordered=self.flag(at + "oneAtATime"),
-                streamed=self.flag(at + "stream"),
+            path = f"classes.{i}."
+            by_name[self.text(path + "name")] = Workload(
+                name=self.text(path + "name"),
+                latency_objective_ms=self.ms(path + "objectiveS"),
+                deadline_ms=self.ms(path + "hardLimitS"),
+                priority_weight=self.number(path + "importance", 1.0),
+                late_utility=self.number(path + "lateWorth"),
+                idempotency=IDEMPOTENCY_BY_NAME.get(self.text(path + "effect"), Idempotency.NON_IDEMPOTENT),
+                deduplication_scope=self.text(path + "group", "all"),
+                deduplication_window_ms=self.ms(path + "windowS"),
+                ordered=self.flag(path + "oneAtATime"),
+                streamed=self.flag(path + "stream"),
                 is_write=i < len(writes) and flag(writes[i]),
             )
-        return found
+        return by_name
 
     def plans(self) -> dict[str, ServicePlan]:
-        """Service plans by name. Raises ValueError as `number` does."""
-        found = {}
+        """Return the service plans by name. Raises ValueError like `number`."""
+        by_name = {}
         for i in range(int(self.number("grades.count"))):
-            at = f"grades.{i}."
-            found[self.text(at + "name")] = ServicePlan(
-                name=self.text(at + "name"),
-                weight=self.number(at + "proportion", 1.0),
-                price=self.number(at + "price", 1.0),
-                usual_rate=self.number(at + "usualRate"),
-                reserve_rate=self.number(at + "floorRate"),
-                limit_rate=self.number(at + "cap"),
-                limit_burst=self.number(at + "capDepth"),
-                limit_tolerance=self.number(at + "tolerance"),
+            path = f"grades.{i}."
+            by_name[self.text(path + "name")] = ServicePlan(
+                name=self.text(path + "name"),
+                weight=self.number(path + "proportion", 1.0),
+                price=self.number(path + "price", 1.0),
+                usual_rate=self.number(path + "usualRate"),
+                reserve_rate=self.number(path + "floorRate"),
+                limit_rate=self.number(path + "cap"),
+                limit_burst=self.number(path + "capDepth"),
+                limit_tolerance=self.number(path + "tolerance"),
             )
-        return found
+        return by_name
 
     def slow_start(self) -> SlowStartSettings:
-        """What a node that warms up bears. Raises ValueError as `number` does."""
+        """Return how much a node that is warming up can take. Raises ValueError like `number`."""
         return SlowStartSettings(
             base_units=self.number("extra.youngLimit"),
             cold_capacity=self.number("guarantees.coldShare", 1.0),
@@ -145,7 +147,7 @@
         )
 
     def retry_budget(self) -> RetryBudgetSettings | None:
-        """The retry budget; None where there is none. Raises ValueError as `number` does."""
+        """Return the retry budget; None if there is none. Raises ValueError like `number`."""
         window_ms = self.ms("guarantees.resendSpanS")
         if not window_ms:
             return None
@@ -156,7 +158,7 @@
         )
 
     def utility(self) -> UtilityModel:
-        """What units earn. Raises ValueError as `number` does."""
+        """Return what units of work earn. Raises ValueError like `number`."""
         return UtilityModel(
             within_quota=self.number("extra.shareWorth", 1.0),
             beyond_quota=self.number("extra.beyondShare", 1.0),
@@ -167,7 +169,7 @@
         )
 
     def policy(self) -> SitePolicy:
-        """What the site lets a dispatcher do. Raises ValueError as `number` does."""
+        """Return what the site allows a dispatcher to do. Raises ValueError like `number`."""
         return SitePolicy(
             max_attempts=int(self.number("limits.maxAttempts", 1)),
             allows_hedging=self.flag("limits.secondCopies"),
@@ -181,7 +183,7 @@
         )
 
     def create_scheduler(self, make: Callable[..., Scheduler], seed: int) -> Scheduler:
-        """A scheduler set up as the message says. Raises ValueError as `number` does."""
+        """Return a scheduler with these settings, made by calling `make`. Raises ValueError like `number`."""
         return make(
             seed=seed,
             number=int(self.number("ordinal")),
--- a/cherrygrade/scheduling/utility.py
+++ b/cherrygrade/scheduling/utility.py
@@ -1,7 +1,8 @@
-"""What a request still earns, and so which queue it waits in and where it stands there.
+"""Ranks requests by what they earn, which decides the queue and the position that they wait in.
 
-A request's units earn their workload's priority weight times its plan's price: in full inside the volume's
-reserve, in part inside its usual rate and beyond it, and less once the latency objective cannot be met.
+A unit earns the priority weight of its workload times the price of its plan: all of that within the volume's
+reserve, a fraction of it within the usual rate, a smaller one beyond it, and less once the latency objective
+cannot be met any more.
 """
 
 from __future__ import annotations
@@ -11,35 +12,39 @@
 from cherrygrade.scheduling.node_queue import NodeQueue
 from cherrygrade.scheduling.queued_request import QueuedRequest
 
-PRESSED_WEIGHTS = 2.0
-"""A workload is pressed if so many times its weight exceed the highest weight of the site."""
+PRESSED_WEIGHT_FACTOR = 2.0
+"""A workload can be pressed if its weight times this exceeds the highest weight of the site."""
 
-PRESSED_OBJECTIVES = 2.0
-"""And if its latency objective is at most so many of the tightest of the site."""
+PRESSED_OBJECTIVE_FACTOR = 2.0
+"""A workload can be pressed if its latency objective is at most this multiple of the site's tightest."""
 
 
 def is_pressed_workload(workload: Workload, highest_weight: float, tightest_objective_ms: float) -> bool:
-    """Whether a workload belongs to Cake's pressed side: of high weight and with a near objective."""
-    heavy = workload.priority_weight * PRESSED_WEIGHTS > highest_weight
-    return heavy and workload.latency_objective_ms <= PRESSED_OBJECTIVES * tightest_objective_ms
+    """Whether a workload belongs in Cake's pressed queue, by a high weight and a short latency objective."""
+    has_weight = workload.priority_weight * PRESSED_WEIGHT_FACTOR > highest_weight
+    return has_weight and workload.latency_objective_ms <= PRESSED_OBJECTIVE_FACTOR * tightest_objective_ms
 
 
 class UtilityRules:
-    """Ranks requests as they are queued for the first time."""
+    """Ranks requests when they are queued for the first time.
+
+    Attributes:
+        settings: the settings in force.
+    """
 
     def __init__(self, settings: EffectiveSettings) -> None:
         self.settings = settings
 
     def is_beyond_quota(self, queued: QueuedRequest) -> bool:
-        """Whether its units earn no more than what is beyond its volume's quota."""
+        """Whether the request's units earn no more than units beyond the volume's usual rate do."""
         return queued.utility_level <= self.settings.utility.beyond_quota
 
     def rank(self, queued: QueuedRequest, queue: NodeQueue, now: float) -> None:
-        """Charge the request to its volume, and find its side and its place in the queue.
+        """Charge the request to its volume, and set its `utility_level`, `pressed` and `sort_key`.
 
         Args:
-            queued: the request; `utility_level`, `pressed` and `sort_key` are set.
-            queue: the node that it was placed on.
+            queued: the request.
+            queue: the queue of the node that the request was placed on.
             now: the time, ms.
         """
         settings, workload = self.settings, queued.workload
@@ -59,5 +64,5 @@
         relative_weight = queued.workload.priority_weight / self.settings.highest_weight
         if volume.take_reserve(units, relative_weight):
             return
-        inside = volume.take_usual(units)
-        queued.utility_level = utility.within_quota if inside else utility.beyond_quota
+        within_rate = volume.take_usual(units)
+        queued.utility_level = utility.within_quota if within_rate else utility.beyond_quota
--- a/tests/scheduling/test_failures.py
+++ b/tests/scheduling/test_failures.py
@@ -234,7 +234,7 @@
         host.take(host.rpc(key=f"k{n}", shard=9))
         host.pass_time(300.0)
     retries = host.dispatcher.client_retries
-    assert len(retries.recently_given_up) + len(retries.earlier_given_up) < 20
+    assert len(retries.recently_rejected) + len(retries.earlier_rejected) < 20
 
 
 def test_reserved_slots_are_lent_while_nothing_pressed_waits_or_is_out():
