--- a/cherrygrade/fleet/errors.py
+++ b/cherrygrade/fleet/errors.py
@@ -16,7 +16,7 @@
     do = "Make room in fleet.council.folder or mend the disk, then restart this dispatcher."
 
 
-class AlreadyFoundedError(OperatorError):
+class VoterStoreExistsError(OperatorError):
     """A voter's store was to be created where one exists already."""
 
     means = "The store is as it was."
--- a/cherrygrade/fleet/membership/config_reporting.py
+++ b/cherrygrade/fleet/membership/config_reporting.py
@@ -32,7 +32,7 @@
         return self.advert if self.advert is not None and self.advert.stage else None
 
     def report(
-        self, message: Probe | ProbeAck | GossipPush | ConfigReply, sender: Member | None, first_hand: bool
+        self, message: Probe | ProbeAck | GossipPush | ConfigReply, sender: Member | None, direct: bool
     ) -> MemberConfigReport | None:
         """What a message reports of its sender's configuration.
 
@@ -42,10 +42,8 @@
             return None
         if sender.incarnation != message.incarnation:
             return None
-        report = MemberConfigReport(
-            message.name, message.incarnation, sender.seat, message.config, first_hand
-        )
+        report = MemberConfigReport(message.name, message.incarnation, sender.seat, message.config, direct)
         if isinstance(message, ConfigReply):
             report.nonce = message.nonce
-            report.why = message.why
+            report.refusal = message.refusal
         return report
--- a/cherrygrade/fleet/membership/effects.py
+++ b/cherrygrade/fleet/membership/effects.py
@@ -18,18 +18,18 @@
         incarnation: Its incarnation.
         seat: Its seat; -1 where it has none.
         config: What it holds.
-        first_hand: It answers a probe or a query that this dispatcher sent to the member's address.
+        direct: It answers a probe or a query that this dispatcher sent to the member's address.
         nonce: Nonce of the `ConfigQuery` that it answers; else 0.
-        why: Why it refuses what is newer; empty where it does not.
+        refusal: Why it refuses what is newer; empty where it does not.
     """
 
     name: str
     incarnation: int
     seat: int
     config: ConfigAdvert
-    first_hand: bool
+    direct: bool
     nonce: int = 0
-    why: str = ""
+    refusal: str = ""
 
 
 class OutgoingMessage(NamedTuple):
--- a/cherrygrade/fleet/membership/failure_detector.py
+++ b/cherrygrade/fleet/membership/failure_detector.py
@@ -76,14 +76,14 @@
 MAX_SELF_DOUBT = 8
 """At which timeouts are doubled."""
 
-STALLED_BEAT_MS = 300.0
-"""A beat that is late by more shows that this process stood still."""
+STALLED_TICK_MS = 300.0
+"""A tick that is late by more shows that this process stood still."""
 
 MAX_DEFERRAL_MS = 2000.0
 """How long unread messages put off judgement at most."""
 
 UNREAD_RECHECK_MS = 20.0
-"""Until the next beat while messages are unread."""
+"""Until the next tick while messages are unread."""
 
 MAX_SUSPECTS_FOR_HELP = 8
 """With more suspects than this, final probes go without helpers."""
@@ -147,7 +147,7 @@
 
 @dataclass(slots=True)
 class ProbeEffects:
-    """What a beat of the detector asks for; the caller carries out `probes` before `indirect`.
+    """What a tick of the detector asks for; the caller carries out `probes` before `indirect`.
 
     Attributes:
         probes: Members to probe.
@@ -177,7 +177,7 @@
         outstanding: Probes of this period without an ack.
         late_probes: Probes of past periods by number; at most `MAX_LATE_PROBES`, the oldest go.
         lost_probes: Members whose last probe was lost once, to be probed again first.
-        suspicion_ends: When each suspect's suspicion runs out, ms; entries go with the suspicion.
+        suspicion_end_ms: When each suspect's suspicion runs out, ms; entries go with the suspicion.
         final_probes: Final probes sent to each suspect; entries go with the suspicion.
         accused_here: Members that this detector suspected first; entries go with the suspicion.
         accusations: Suspicions that began here.
@@ -186,7 +186,7 @@
         period_ends_at: When the period ends, ms.
         next_dead_probe_at: When a failed member is probed next, ms.
         last_received_ms: When a message of any member last came, ms.
-        expected_beat_at: When the last beat asked for the next, ms.
+        expected_tick_ms: When the last tick asked for the next, ms.
     """
 
     def __init__(self, table: MembershipTable, seed: int, now: float, period_ms: float = PERIOD_MS) -> None:
@@ -197,12 +197,12 @@
         self.may_accuse = True
         self.has_unread = False
         self.over_budget = False
-        self.begun = now
+        self.started_ms = now
         self.round_order: list[str] = []
         self.outstanding: list[OutstandingProbe] = []
         self.late_probes: dict[int, LateProbe] = {}
         self.lost_probes: list[str] = []
-        self.suspicion_ends: dict[str, float] = {}
+        self.suspicion_end_ms: dict[str, float] = {}
         self.final_probes: dict[str, int] = {}
         self.accused_here: set[str] = set()
         self.accusations = 0
@@ -214,7 +214,7 @@
         self.period_ends_at = now + self._random() * period_ms
         self.next_dead_probe_at = now + DEAD_PROBE_MS
         self.last_received_ms = now
-        self.expected_beat_at = now
+        self.expected_tick_ms = now
 
     def shuffle(self, names: list[str]) -> list[str]:
         """The names in an order of this member's own, another one on each call."""
@@ -230,11 +230,11 @@
             found[names[int(self._random() * len(names))]] = None
         return [*found]
 
-    def due(self) -> float:
-        """When the next beat is due, ms."""
+    def next_tick_ms(self) -> float:
+        """When the next tick is due, ms."""
         if self.has_unread:
-            return self.expected_beat_at
-        at = min([self.period_ends_at, self.next_dead_probe_at, *self.suspicion_ends.values()])
+            return self.expected_tick_ms
+        at = min([self.period_ends_at, self.next_dead_probe_at, *self.suspicion_end_ms.values()])
         timeouts = [probe.at + probe.timeout_ms for probe in self.outstanding if not probe.help_requested]
         return min(at, timeouts[0]) if timeouts else at
 
@@ -307,28 +307,28 @@
             return False
         new_witness = _is_new_witness(record, member)
         if new_witness:
-            member.witnesses += (record.by,)
+            member.witnesses += (record.accuser,)
         # Not all members at once: the first one to end it probes, and tells the others what came of it.
         part = crc32(f"{self.seed}:{record.name}:{record.refutations}".encode()) / 2.0**32
         ends = (
-            member.since
+            member.state_since_ms
             + self.suspicion_timeout_ms(len(member.witnesses))
             + SUSPICION_SPREAD_MS * part
             + self._latency_allowance_ms(now)
         )
-        self.suspicion_ends[member.name] = min(self.suspicion_ends.get(member.name, NEVER_MS), ends)
+        self.suspicion_end_ms[member.name] = min(self.suspicion_end_ms.get(member.name, NEVER_MS), ends)
         return new_witness
 
-    def beat(self, now: float) -> ProbeEffects:
+    def tick(self, now: float) -> ProbeEffects:
         """Do all that is due."""
         effects = ProbeEffects()
-        if now - self.expected_beat_at > STALLED_BEAT_MS:
-            self._recover_from_stall(now - self.expected_beat_at, now)
+        if now - self.expected_tick_ms > STALLED_TICK_MS:
+            self._recover_from_stall(now - self.expected_tick_ms, now)
         for probe in self.outstanding:
             if not probe.help_requested and now >= probe.at + probe.timeout_ms:
                 self._request_help(probe, effects)
         if self.has_unread and now < self.period_ends_at + MAX_DEFERRAL_MS:
-            self.expected_beat_at = now + UNREAD_RECHECK_MS
+            self.expected_tick_ms = now + UNREAD_RECHECK_MS
             return effects
         if now >= self.period_ends_at:
             self._end_period(now, effects)
@@ -336,7 +336,7 @@
         if now >= self.next_dead_probe_at:
             self._probe_dead(now, effects)
         self._declare_failures(now, effects)
-        self.expected_beat_at = max(now, self.due())
+        self.expected_tick_ms = max(now, self.next_tick_ms())
         return effects
 
     def _random(self) -> float:
@@ -364,7 +364,7 @@
         return 8.0 * latency_ms if latency_ms > DIRECT_TIMEOUT_MS else 0.0
 
     def _end_suspicion(self, member: Member) -> None:
-        self.suspicion_ends.pop(member.name, None)
+        self.suspicion_end_ms.pop(member.name, None)
         # The next suspicion has final probes of its own.
         self.final_probes.pop(member.name, None)
         if member.name in self.accused_here:
@@ -384,7 +384,7 @@
         self.outstanding.clear()
         self.lost_probes.clear()
         earliest = now + min(late_ms, STALL_MS)
-        self.suspicion_ends = {name: max(at, earliest) for name, at in self.suspicion_ends.items()}
+        self.suspicion_end_ms = {name: max(at, earliest) for name, at in self.suspicion_end_ms.items()}
 
     def _request_help(self, probe: OutstandingProbe, effects: ProbeEffects) -> None:
         probe.help_requested = True
@@ -395,7 +395,7 @@
         if target is None:
             return
         # Of many that may have died, most have: one helper for each is enough.
-        max_helpers = HELPERS if len(self.suspicion_ends) < MANY_SUSPECTS else 1
+        max_helpers = HELPERS if len(self.suspicion_end_ms) < MANY_SUSPECTS else 1
         for name in self.sample([name for name in alive if name != probe.name], max_helpers):
             effects.indirect.append(IndirectProbe(self.table.members[name], target, probe.number))
 
@@ -424,7 +424,7 @@
             return
         if member.last_received_ms >= probe.at or not self.may_accuse:
             return
-        if now < self.begun + GRACE_AFTER_START_MS:
+        if now < self.started_ms + GRACE_AFTER_START_MS:
             return
         if member.state is MemberState.ALIVE and not probe.repeated:
             self.lost_probes.append(member.name)
@@ -437,7 +437,9 @@
         if member.state is MemberState.ALIVE:
             self.accusations += 1
             self.accused_here.add(member.name)
-        record = MemberRecord(member.name, member.incarnation, member.refutations, MemberState.SUSPECT, by=me)
+        record = MemberRecord(
+            member.name, member.incarnation, member.refutations, MemberState.SUSPECT, accuser=me
+        )
         self.table.merge(record, now, me)
         self.record_merged(record, now)
         effects.changed.append(member.name)
@@ -446,7 +448,7 @@
         # A slow ack has its time, and one through a helper after it.
         period_ms = max(self.stretched_by_doubt(self.period_ms), 2.5 * self.direct_timeout_ms(now))
         self.period_ends_at = max(self.period_ends_at + period_ms, now + self.period_ms / 4.0)
-        many = len(self.suspicion_ends) >= MANY_SUSPECTS
+        many = len(self.suspicion_end_ms) >= MANY_SUSPECTS
         hurry = many and not (self.self_doubt or self.over_budget)
         left = PROBES_OF_MANY if hurry else 1
         members = self.table.members
@@ -485,18 +487,18 @@
 
     def _declare_failures(self, now: float, effects: ProbeEffects) -> None:
         """Declare failed the suspects whose time ran out and whose final probes were not answered."""
-        for name in [name for name, at in self.suspicion_ends.items() if at <= now]:
+        for name in [name for name, at in self.suspicion_end_ms.items() if at <= now]:
             self._end_of_suspicion(name, now, effects)
 
     def _end_of_suspicion(self, name: str, now: float, effects: ProbeEffects) -> None:
         member = self.table.members.get(name)
         if member is not None:
             # Acks may have become slow since the suspicion began: then it lasts longer.
-            earliest = member.since + MIN_SUSPICION_MS + self._latency_allowance_ms(now)
+            earliest = member.state_since_ms + MIN_SUSPICION_MS + self._latency_allowance_ms(now)
             if now < earliest:
-                self.suspicion_ends[name] = earliest
+                self.suspicion_end_ms[name] = earliest
                 return
-        del self.suspicion_ends[name]
+        del self.suspicion_end_ms[name]
         if self._send_final_probe(name, now, effects):
             return
         self.accused_here.discard(name)
@@ -504,8 +506,8 @@
             return
         # It sent a message since, and its refutation is on its way; or this dispatcher is late itself, and
         # leaves the decision to others.
-        if member.last_received_ms > member.since or not self.may_accuse or self.over_budget:
-            self.suspicion_ends[name] = now + MIN_SUSPICION_MS
+        if member.last_received_ms > member.state_since_ms or not self.may_accuse or self.over_budget:
+            self.suspicion_end_ms[name] = now + MIN_SUSPICION_MS
             return
         self.deaths += 1
         record = MemberRecord(name, member.incarnation, member.refutations, MemberState.FAILED)
@@ -526,19 +528,19 @@
             self.final_probes.pop(name, None)
             return False
         self.final_probes[name] = sent + 1
-        many = len(self.suspicion_ends) >= MANY_SUSPECTS
+        many = len(self.suspicion_end_ms) >= MANY_SUSPECTS
         timeout_ms = FINAL_PROBE_TIMEOUT_OF_MANY_MS if many else FINAL_PROBE_TIMEOUT_MS
-        self.suspicion_ends[name] = now + max(timeout_ms, 2.0 * self.recent_latency_ms(now))
+        self.suspicion_end_ms[name] = now + max(timeout_ms, 2.0 * self.recent_latency_ms(now))
         probe = self._new_probe(member, now)
         effects.probes.append(ProbeRequest(member, probe.number))
-        if len(self.suspicion_ends) <= MAX_SUSPECTS_FOR_HELP:
+        if len(self.suspicion_end_ms) <= MAX_SUSPECTS_FOR_HELP:
             self._request_help(probe, effects)
         return True
 
 
 def _is_new_witness(record: MemberRecord, member: Member) -> bool:
     """Whether a record names one more member that came to a suspicion by its own probes."""
-    if not record.by or record.by in member.witnesses or len(member.witnesses) > CONFIRMATIONS:
+    if not record.accuser or record.accuser in member.witnesses or len(member.witnesses) > CONFIRMATIONS:
         return False
     current = (member.incarnation, member.refutations, MemberState.SUSPECT)
     return (record.incarnation, record.refutations, record.state) == current
--- a/cherrygrade/fleet/membership/inbound_budget.py
+++ b/cherrygrade/fleet/membership/inbound_budget.py
@@ -129,7 +129,7 @@
                 return first.message
         return None
 
-    def due(self, now: float) -> float | None:
+    def next_ready_ms(self, now: float) -> float | None:
         """When the next message may be processed, ms; None where none waits."""
         priority = next((priority for priority, queue in enumerate(self._queues) if queue), None)
         if priority is None:
--- a/cherrygrade/fleet/membership/membership.py
+++ b/cherrygrade/fleet/membership/membership.py
@@ -57,16 +57,16 @@
 
     # What others ask of it.
 
-    def due(self) -> float:
+    def next_tick_ms(self) -> float:
         """When the next beat is due, ms."""
         if self.silent:
             return NEVER_MS
         return min(
-            self.failure_detector.due(),
+            self.failure_detector.next_tick_ms(),
             self.gossip.push_at,
             self.contacts.next_at,
             self._forget_at,
-            self.relayed_probes.due(),
+            self.relayed_probes.next_timeout_ms(),
         )
 
     def all_records(self) -> list[MemberRecord]:
@@ -92,7 +92,7 @@
         self._update_derived_state(now)
         return effects
 
-    def exchanged(self, records: list[MemberRecord], by: str, now: float) -> None:
+    def merge_table(self, records: list[MemberRecord], by: str, now: float) -> None:
         """The whole table of a member came over a stream."""
         newcomer = len(self.table.others()) <= 1
         changed = self.record_merger.merge(records, by, now)
@@ -150,17 +150,17 @@
         message = GossipPush(self.name, self.incarnation, [record])
         for member in self._sample_of_others(LEAVE_FANOUT):
             effects.send_to(member, message)
-        self.left = True
+        self.has_left = True
         return effects
 
-    def beat(self, now: float) -> Effects:
+    def tick(self, now: float) -> Effects:
         """Do all that is due."""
         effects = Effects()
         if self.silent:
             return effects
         self.failure_detector.over_budget = self.over_budget
         self.failure_detector.has_unread = self.has_unread
-        probe_effects = self.failure_detector.beat(now)
+        probe_effects = self.failure_detector.tick(now)
         for name in probe_effects.changed:
             self.gossip.add(name, now)
         self._send_probes(probe_effects, effects, now)
@@ -233,10 +233,10 @@
         """Derive the side of a partition, the seat and the aggregators from the table."""
         others = self.table.others()
         silence_ms = now - self.failure_detector.last_received_ms if others else ISOLATED_AFTER_MS
-        self.side = partition_state(
+        self.partition_state = partition_state(
             self.fleet_size, len(others) + 1, silence_ms, self.failure_detector.self_doubt
         )
-        self.failure_detector.may_accuse = self.side is not PartitionState.OVERLOADED
+        self.failure_detector.may_accuse = self.partition_state is not PartitionState.OVERLOADED
         if self._table_version == self.table.version or self.silent:
             return
         self._table_version = self.table.version
--- a/cherrygrade/fleet/membership/membership_state.py
+++ b/cherrygrade/fleet/membership/membership_state.py
@@ -36,7 +36,7 @@
 )
 from cherrygrade.fleet.membership.table_exchange import ExchangeTrigger
 
-KEEP_DEAD_MS = 600_000.0
+RETAIN_DEAD_MS = 600_000.0
 """How long a dead member is remembered."""
 
 
@@ -52,7 +52,7 @@
         contacts: host:port of the contact points; its own may be among them.
         seed: Of all that varies by chance.
         period_ms: Probe period at rest.
-        keep_dead_ms: How long a dead member is remembered.
+        retain_dead_ms: How long a dead member is remembered.
     """
 
     name: str
@@ -62,7 +62,7 @@
     contacts: Iterable[str]
     seed: int
     period_ms: float = PERIOD_MS
-    keep_dead_ms: float = KEEP_DEAD_MS
+    retain_dead_ms: float = RETAIN_DEAD_MS
 
 
 class MembershipState:
@@ -102,10 +102,10 @@
         self.incarnation = settings.incarnation
         self.address = info.address
         self.fleet_size = settings.fleet_size
-        self.begun = now
+        self.started_ms = now
         me = MemberRecord(self.name, self.incarnation, 0, MemberState.ALIVE, info)
         max_members = max(64, 4 * self.fleet_size)
-        self.table = MembershipTable(me, now, max_members, settings.keep_dead_ms)
+        self.table = MembershipTable(me, now, max_members, settings.retain_dead_ms)
         self.failure_detector = FailureDetector(self.table, settings.seed, now, settings.period_ms)
         self.gossip = GossipQueue(settings.seed)
         self.exchange_trigger = ExchangeTrigger()
@@ -114,10 +114,10 @@
         self.contacts = Contacts(settings.contacts, info.address, settings.seed, now)
         self.relayed_probes = RelayedProbes()
         self.config = ConfigReporting()
-        self.side = PartitionState.MOST if self.fleet_size <= 1 else PartitionState.ALONE
+        self.partition_state = PartitionState.MAJORITY if self.fleet_size <= 1 else PartitionState.ISOLATED
         self.superseded_by = ""
         self.seat_yielded_to = ""
-        self.left = False
+        self.has_left = False
         self.refuted_accusations = 0
         self.ignored_messages = 0
         self.has_unread = False
@@ -134,12 +134,12 @@
     @property
     def partition_rules(self) -> PartitionRules:
         """What it may do on its side of a partition."""
-        return RULES_BY_STATE[self.side]
+        return RULES_BY_STATE[self.partition_state]
 
     @property
     def silent(self) -> bool:
         """It takes no part any more: it left, or a later process has its name."""
-        return self.left or bool(self.superseded_by)
+        return self.has_left or bool(self.superseded_by)
 
     def records_for(self, receiver: str, incarnation: int = -1) -> list[MemberRecord]:
         """Records to send along to a member: first the accusation of itself, so that it can refute it."""
--- a/cherrygrade/fleet/membership/message_handler.py
+++ b/cherrygrade/fleet/membership/message_handler.py
@@ -134,9 +134,9 @@
             self._state.ignored_messages += 1
 
     def _report_config(
-        self, message: Probe | ProbeAck | GossipPush | ConfigReply, first_hand: bool, effects: Effects
+        self, message: Probe | ProbeAck | GossipPush | ConfigReply, direct: bool, effects: Effects
     ) -> None:
-        report = self._state.config.report(message, self._state.table.members.get(message.name), first_hand)
+        report = self._state.config.report(message, self._state.table.members.get(message.name), direct)
         if report is not None:
             effects.config_reports.append(report)
 
--- a/cherrygrade/fleet/membership/messages.py
+++ b/cherrygrade/fleet/membership/messages.py
@@ -172,13 +172,13 @@
         nonce: Of the query.
         seat: The sender's; -1 where it has none.
         config: What it holds.
-        why: Why it refuses what is newer; else empty.
+        refusal: Why it refuses what is newer; else empty.
     """
 
     nonce: Annotated[int, Meta(ge=0)]
     seat: int
     config: ConfigAdvert
-    why: Annotated[str, Meta(max_length=120)] = ""
+    refusal: Annotated[str, Meta(max_length=120)] = ""
 
 
 AnyMessage = (
@@ -214,7 +214,7 @@
 
     def __init__(self, fleet: str) -> None:
         self.fleet_hash = xxhash.xxh32_intdigest(fleet.encode())
-        self.wrong: Counter[str] = Counter()
+        self.rejected: Counter[str] = Counter()
 
     def write(self, message: AnyMessage, max_bytes: int = MAX_DATAGRAM_BYTES) -> bytes:
         """Encode a message as a datagram.
@@ -248,7 +248,7 @@
                 why = "form"
             else:
                 return message
-        self.wrong[why] += 1
+        self.rejected[why] += 1
         return None
 
     def _rejection(self, data: bytes) -> str:
--- a/cherrygrade/fleet/membership/partition.py
+++ b/cherrygrade/fleet/membership/partition.py
@@ -20,9 +20,9 @@
 class PartitionState(Enum):
     """The side of a partition; the values are shown to operators and stay as they are."""
 
-    MOST = "among the most"
-    FEW = "among the few"
-    ALONE = "alone"
+    MAJORITY = "among the most"
+    MINORITY = "among the few"
+    ISOLATED = "alone"
     OVERLOADED = "overloaded"
 
 
@@ -48,10 +48,10 @@
 
 
 RULES_BY_STATE: dict[PartitionState, PartitionRules] = {
-    PartitionState.MOST: PartitionRules(keeps=True, believes=True, accuses=True, asks_out=True),
+    PartitionState.MAJORITY: PartitionRules(keeps=True, believes=True, accuses=True, asks_out=True),
     # Reports of a minority cover a part of the load only; docs/fleet.md gives the bound of the harm.
-    PartitionState.FEW: PartitionRules(keeps=True, believes=True, accuses=True, asks_out=False),
-    PartitionState.ALONE: PartitionRules(keeps=False, believes=False, accuses=False, asks_out=False),
+    PartitionState.MINORITY: PartitionRules(keeps=True, believes=True, accuses=True, asks_out=False),
+    PartitionState.ISOLATED: PartitionRules(keeps=False, believes=False, accuses=False, asks_out=False),
     PartitionState.OVERLOADED: PartitionRules(keeps=False, believes=True, accuses=False, asks_out=False),
 }
 
@@ -66,7 +66,7 @@
         self_doubt: Self-doubt of its failure detector, 0 to 8.
     """
     if fleet_size > 1 and (living <= 1 or silence_ms >= ISOLATED_AFTER_MS):
-        return PartitionState.ALONE
+        return PartitionState.ISOLATED
     if self_doubt >= OVERLOADED_SELF_DOUBT:
         return PartitionState.OVERLOADED
-    return PartitionState.MOST if 2 * living > fleet_size else PartitionState.FEW
+    return PartitionState.MAJORITY if 2 * living > fleet_size else PartitionState.MINORITY
--- a/cherrygrade/fleet/membership/reachability.py
+++ b/cherrygrade/fleet/membership/reachability.py
@@ -90,14 +90,14 @@
         errored: Attempts that ended in an error.
         silent: Attempts without an answer.
         at: When the counts were last faded, ms.
-        bad_from: Since when there is trouble, ms; -1 where there is none.
+        failing_since_ms: Since when there is trouble, ms; -1 where there is none.
     """
 
     answered: float = 0.0
     errored: float = 0.0
     silent: float = 0.0
     at: float = 0.0
-    bad_from: float = -1.0
+    failing_since_ms: float = -1.0
 
     @property
     def tried(self) -> float:
@@ -120,7 +120,7 @@
             min(MAX_REPORTED_COUNT, round(self.answered)),
             min(MAX_REPORTED_COUNT, round(self.errored)),
             min(MAX_REPORTED_COUNT, round(self.silent)),
-            min(MAX_REPORTED_MS, int(now - self.bad_from)) if self.bad_from >= 0.0 else 0,
+            min(MAX_REPORTED_MS, int(now - self.failing_since_ms)) if self.failing_since_ms >= 0.0 else 0,
         )
 
 
@@ -158,14 +158,16 @@
         setattr(counters, outcome, getattr(counters, outcome) + 1.0)
         bad = counters.errored + counters.silent > counters.answered
         if not bad:
-            counters.bad_from = -1.0
-        elif counters.bad_from < 0.0:
-            counters.bad_from = now
+            counters.failing_since_ms = -1.0
+        elif counters.failing_since_ms < 0.0:
+            counters.failing_since_ms = now
 
     def digest(self, now: float) -> list[NodeContact]:
         """The report for others: nodes in trouble first, then those tried most."""
         self.own = {node: one for node, one in self.own.items() if one.fade(now) > MIN_ATTEMPTS}
-        ranked = sorted(self.own.items(), key=lambda pair: (pair[1].bad_from < 0.0, -pair[1].tried, pair[0]))
+        ranked = sorted(
+            self.own.items(), key=lambda pair: (pair[1].failing_since_ms < 0.0, -pair[1].tried, pair[0])
+        )
         return [counters.contact(node, now) for node, counters in ranked[:MAX_REPORTED_NODES]]
 
     def report_received(self, name: str, zone: str, contacts: list[NodeContact], now: float) -> None:
@@ -181,9 +183,9 @@
             if is_living(name) and now - report.at < FRESH_MS
         }
 
-    def troubled(self, now: float) -> list[int]:
+    def failing_nodes(self, now: float) -> list[int]:
         """Nodes that this dispatcher or others have trouble with, for operators; its own first."""
-        ours = [node for node, counters in self.own.items() if counters.bad_from >= 0.0]
+        ours = [node for node, counters in self.own.items() if counters.failing_since_ms >= 0.0]
         theirs = {
             node
             for report in self._fresh(now)
@@ -208,4 +210,4 @@
             return Reachability.BAD
         own = self.own.get(node)
         # Others are answered: trouble of our own is then on our link.
-        return Reachability.LINK if own is not None and own.bad_from >= 0.0 else Reachability.WELL
+        return Reachability.LINK if own is not None and own.failing_since_ms >= 0.0 else Reachability.WELL
--- a/cherrygrade/fleet/membership/record_merger.py
+++ b/cherrygrade/fleet/membership/record_merger.py
@@ -34,7 +34,7 @@
             The names that are gossiped for it.
         """
         changed = []
-        latest = self._state.incarnation + (now - self._state.begun) + MAX_CLOCK_AHEAD_MS
+        latest = self._state.incarnation + (now - self._state.started_ms) + MAX_CLOCK_AHEAD_MS
         for record in records:
             if not is_valid(record) or record.incarnation > latest:
                 self._state.ignored_messages += 1
@@ -50,7 +50,7 @@
         changed = self._state.table.merge(record, now, by)
         if not changed and self._state.table.may_have_returned(record) and record.info:
             self._state.contacts.member_returned(record.name, record.info.address, now)
-        if not changed and not record.by:
+        if not changed and not record.accuser:
             return False
         new_witness = self._state.failure_detector.record_merged(record, now)
         return new_witness or changed
--- a/cherrygrade/fleet/membership/relayed_probes.py
+++ b/cherrygrade/fleet/membership/relayed_probes.py
@@ -62,7 +62,7 @@
             return None
         return self._by_number.pop(number)
 
-    def due(self) -> float:
+    def next_timeout_ms(self) -> float:
         """When the next requester is to be told that no ack came, ms."""
         pending = (probe.at for probe in self._by_number.values() if not probe.denied)
         return min((at + DIRECT_TIMEOUT_MS for at in pending), default=NEVER_MS)
--- a/cherrygrade/fleet/membership/table.py
+++ b/cherrygrade/fleet/membership/table.py
@@ -47,14 +47,14 @@
         address: host:port at which it receives datagrams and streams.
         zone: Its failure domain.
         version: Version of its program.
-        settings: Digest of its settings.
+        settings_digest: Digest of its settings.
         seat: Its number in the fleet; -1 once it has given up its seat.
     """
 
     address: str
     zone: str = ""
     version: str = ""
-    settings: str = ""
+    settings_digest: str = ""
     seat: int = -1
 
 
@@ -67,7 +67,7 @@
         refutations: Refutation counter of that incarnation.
         state: A `MemberState`.
         info: Left out where the receiver is likely to have it.
-        by: Of a suspicion, the member that came to it by its own probes; else empty.
+        accuser: Of a suspicion, the member that came to it by its own probes; else empty.
     """
 
     name: str
@@ -75,7 +75,7 @@
     refutations: int
     state: int
     info: MemberInfo | None = None
-    by: str = ""
+    accuser: str = ""
 
     @property
     def key(self) -> tuple[int, bool, int, int]:
@@ -93,22 +93,22 @@
         state: Its state at that counter.
         info: What it announces of itself; None until a record brought it.
         info_refutations: The refutation counter that `info` was announced with.
-        since: When it entered its state here, ms.
-        by: The member whose record put it there; shown to operators.
+        state_since_ms: When it entered its state here, ms.
+        reported_by: The member whose record put it there; shown to operators.
         last_received_ms: When a message last came from the member itself, ms.
         witnesses: Members that suspect it by their own probes; emptied by the next refutation.
     """
 
     __slots__ = (
-        "by",
         "incarnation",
         "info",
         "info_refutations",
         "last_received_ms",
         "name",
         "refutations",
-        "since",
+        "reported_by",
         "state",
+        "state_since_ms",
         "witnesses",
     )
 
@@ -119,8 +119,8 @@
         self.state = MemberState(record.state)
         self.info = record.info
         self.info_refutations = record.refutations
-        self.since = now
-        self.by = by
+        self.state_since_ms = now
+        self.reported_by = by
         self.last_received_ms = NEVER_MS
         self.witnesses: tuple[str, ...] = ()
 
@@ -163,7 +163,7 @@
         me: Name of this dispatcher; its own entry is never dropped.
         max_members: Bound of `members`. One more takes the place of the member that has been dead longest,
             or is dropped where none is dead.
-        keep_ms: How long a dead member stays after it failed or left, ms.
+        retain_dead_ms: How long a dead member stays after it failed or left, ms.
         members: Known members by name.
         forgotten: Incarnation and refutation counter of dead members that were dropped, by name, oldest
             first; at most `MAX_FORGOTTEN`. A name is in `members` or here, never in both.
@@ -171,10 +171,10 @@
         dropped: Records that were malformed or found no room.
     """
 
-    def __init__(self, me: MemberRecord, now: float, max_members: int, keep_ms: float) -> None:
+    def __init__(self, me: MemberRecord, now: float, max_members: int, retain_dead_ms: float) -> None:
         self.me = me.name
         self.max_members = max_members
-        self.keep_ms = keep_ms
+        self.retain_dead_ms = retain_dead_ms
         self.members: dict[str, Member] = {}
         self.forgotten: OrderedDict[str, tuple[int, int]] = OrderedDict()
         self.version = 0
@@ -267,7 +267,7 @@
             record = MemberRecord(
                 member.name, member.incarnation, member.refutations, int(member.state), member.info
             )
-            self.members[member.name] = Member(record, member.since, member.by)
+            self.members[member.name] = Member(record, member.state_since_ms, member.reported_by)
         self.members[self.me] = own
         self._digest = source._digest
         self.version += 1
@@ -294,8 +294,12 @@
         return record
 
     def forget(self, now: float) -> list[str]:
-        """Drop the members that have been dead for `keep_ms`; returns their names."""
-        expired = [member.name for member in self._dead.values() if now - member.since >= self.keep_ms]
+        """Drop the members that have been dead for `retain_dead_ms`; returns their names."""
+        expired = [
+            member.name
+            for member in self._dead.values()
+            if now - member.state_since_ms >= self.retain_dead_ms
+        ]
         for name in expired:
             self._drop(name)
         return expired
@@ -338,7 +342,7 @@
             if not self._dead:
                 self.dropped += 1
                 return False
-            self._drop(min(self._dead.values(), key=lambda member: (member.since, member.name)).name)
+            self._drop(min(self._dead.values(), key=lambda member: (member.state_since_ms, member.name)).name)
         self.forgotten.pop(record.name, None)
         member = self.members[record.name] = Member(record, now, by)
         self._index(member)
@@ -395,7 +399,7 @@
     if record.refutations > member.refutations:
         member.witnesses = ()
     if record.state != member.state:
-        member.since = now
-        member.by = by
+        member.state_since_ms = now
+        member.reported_by = by
     member.refutations = record.refutations
     member.state = MemberState(record.state)
--- a/cherrygrade/fleet/runtime/agent_status.py
+++ b/cherrygrade/fleet/runtime/agent_status.py
@@ -59,8 +59,8 @@
     return {
         "name": membership.name,
         "fleet": agent.fleet.name,
-        "side": membership.side.value,
-        "does": asdict(RULES_BY_STATE[membership.side]),
+        "side": membership.partition_state.value,
+        "does": asdict(RULES_BY_STATE[membership.partition_state]),
         "record": membership.fleet_size,
         "living": len(membership.table.living()),
         "digest": f"{membership.table.digest:016x}",
@@ -80,15 +80,15 @@
     return {
         "name": member.name,
         "standing": member.state.name.lower(),
-        "for_ms": round(now - member.since),
-        "by": member.by,
+        "for_ms": round(now - member.state_since_ms),
+        "by": member.reported_by,
         "heard_ms_ago": round(now - member.last_received_ms) if member.last_received_ms > 0.0 else None,
         "birth": member.incarnation,
         "turn": member.refutations,
         "place": facts.address,
         "zone": facts.zone,
         "version": facts.version,
-        "settings": facts.settings,
+        "settings": facts.settings_digest,
         "seat": facts.seat,
     }
 
@@ -96,7 +96,7 @@
 def _node_faults(agent: StatusSource, now: float) -> list[dict[str, Any]]:
     """Return the storage nodes that any member can't use, as the fleet sees them."""
     reachability, found = agent.membership.reachability, []
-    for mark in reachability.troubled(now):
+    for mark in reachability.failing_nodes(now):
         view, bad, tried, zones = reachability.view(mark, now)
         own = reachability.own.get(mark)
         found.append(
@@ -106,7 +106,7 @@
                 "trouble_at": bad,
                 "tried_by": tried,
                 "zones": zones,
-                "ours_ms": round(now - own.bad_from) if own and own.bad_from >= 0.0 else None,
+                "ours_ms": round(now - own.failing_since_ms) if own and own.failing_since_ms >= 0.0 else None,
             }
         )
     return found
@@ -115,7 +115,7 @@
 def agent_counts(agent: StatusSource) -> dict[str, int]:
     """Return the counters of one dispatcher's part in the fleet, for its status and its log."""
     membership = agent.membership
-    dropped = sorted(agent.codec.wrong.items())
+    dropped = sorted(agent.codec.rejected.items())
     return {
         "sent": agent.sent,
         "sent_bytes": agent.sent_bytes,
@@ -128,6 +128,6 @@
         "deaths": membership.failure_detector.deaths,
         "refuted": membership.refuted_accusations,
         "stalls": membership.failure_detector.stalls,
-        "nodes_troubled": len(membership.reachability.troubled(agent.clock())),
+        "nodes_troubled": len(membership.reachability.failing_nodes(agent.clock())),
         **{f"dropped_{why.replace(' ', '_')}": count for why, count in dropped},
     }
--- a/cherrygrade/fleet/runtime/config_coverage.py
+++ b/cherrygrade/fleet/runtime/config_coverage.py
@@ -67,7 +67,9 @@
     def report_received(self, report: MemberConfigReport, now: float) -> None:
         """Remember a member's own report."""
         self.reports.pop(report.name, None)
-        self.reports[report.name] = FirsthandReport(report.incarnation, report.config.stage, report.why, now)
+        self.reports[report.name] = FirsthandReport(
+            report.incarnation, report.config.stage, report.refusal, now
+        )
         while len(self.reports) > MAX_REPORTS:
             del self.reports[next(iter(self.reports))]
 
@@ -130,7 +132,7 @@
             if 0 <= member.seat < self._membership.fleet_size and member.seat not in living:
                 left = member.state is MemberState.LEFT
                 why = "left" if left else "dead, or cut off from here"
-                since_s = round((now_ms - member.since) / 1000.0)
+                since_s = round((now_ms - member.state_since_ms) / 1000.0)
                 found.append(MissingMember(member.name, member.seat, f"{why}, for {since_s} s", False))
         return found
 
--- a/cherrygrade/fleet/runtime/config_exchange.py
+++ b/cherrygrade/fleet/runtime/config_exchange.py
@@ -184,7 +184,7 @@
             return
         for report in reports:
             advert, own = report.config, self.membership.config.advert
-            if report.first_hand:
+            if report.direct:
                 self.coverage.report_received(report, now)
                 effects = replica.receive_statement(
                     report.name, advert.stage, advert.digest_prefix, now, report.nonce, advert.seat_bitmap
--- a/cherrygrade/fleet/runtime/fleet_agent.py
+++ b/cherrygrade/fleet/runtime/fleet_agent.py
@@ -220,7 +220,7 @@
 
     def _members_for_tasks(self) -> list[str]:
         """Return living members by name; nobody while this dispatcher is cut off or overloaded."""
-        if self.membership.side is not PartitionState.MOST:
+        if self.membership.partition_state is not PartitionState.MAJORITY:
             return []
         return [member.name for member in self.membership.table.living()]
 
@@ -324,7 +324,7 @@
             if message is not None:
                 effects = self.membership.receive(message, f"{source[0]}:{source[1]}", now)
                 self.apply_effects(effects, source, len(data))
-        due = self.inbound_budget.due(now)
+        due = self.inbound_budget.next_ready_ms(now)
         if due is not None and self._read_timer is None:
             self._read_timer = asyncio.get_running_loop().call_at(due / 1000.0, self._read_next)
 
@@ -332,7 +332,7 @@
         self._timer = None
         self.membership.over_budget = self.inbound_budget.over_budget
         self.membership.has_unread = self._has_unread_datagrams()
-        self.apply_effects(self.membership.beat(self.clock() + TIMER_GRAIN_MS))
+        self.apply_effects(self.membership.tick(self.clock() + TIMER_GRAIN_MS))
 
     # Effects.
 
@@ -363,7 +363,7 @@
         self._set_timer()
 
     def _set_timer(self) -> None:
-        due = self.membership.due()
+        due = self.membership.next_tick_ms()
         if due < NEVER_MS and (self._timer is None or due < self._timer_at_ms - MIN_TIMER_CHANGE_MS):
             if self._timer is not None:
                 self._timer.cancel()
@@ -393,11 +393,11 @@
     def _log_state(self) -> None:
         """Log a line where this dispatcher's side of a partition, or the owner of its seat, changed."""
         membership = self.membership
-        state = (membership.side, membership.superseded_by, membership.seat_yielded_to)
+        state = (membership.partition_state, membership.superseded_by, membership.seat_yielded_to)
         if state == self._logged_state:
             return
         self._logged_state = state
         facts: dict[str, Any] = {"living": len(membership.table.living()), "record": membership.fleet_size}
         if membership.superseded_by or membership.seat_yielded_to:
             facts["seat_is_of"] = membership.superseded_by or membership.seat_yielded_to
-        self._log("fleet side", side=membership.side.value, **facts)
+        self._log("fleet side", side=membership.partition_state.value, **facts)
--- a/cherrygrade/fleet/runtime/peer_stream.py
+++ b/cherrygrade/fleet/runtime/peer_stream.py
@@ -190,7 +190,7 @@
         elif message.last:
             if not self.target:
                 self._send_table()
-            self.agent.membership.exchanged(self._records, self.peer, self.agent.clock())
+            self.agent.membership.merge_table(self._records, self.peer, self.agent.clock())
             self.agent.apply_effects(Effects())
             self._records = []
             if self.target:
--- a/cherrygrade/fleet/runtime/voter_store.py
+++ b/cherrygrade/fleet/runtime/voter_store.py
@@ -27,7 +27,7 @@
 
 from cherrygrade.fleet.consensus.raft_messages import LogEntry, PersistentState, RaftEffects, Snapshot
 from cherrygrade.fleet.consensus.voter import founding_snapshot
-from cherrygrade.fleet.errors import AlreadyFoundedError, NotAVoterError
+from cherrygrade.fleet.errors import NotAVoterError, VoterStoreExistsError
 
 STORE_FILE = "council.mdb"
 LOCK_FILE = "council.mdb-lock"
@@ -285,12 +285,12 @@
 
     Raises:
         NotAVoterError: `name` is not among `voters`.
-        AlreadyFoundedError: There is a store in `folder`.
+        VoterStoreExistsError: There is a store in `folder`.
     """
     if name not in voters:
         raise NotAVoterError(f"{name} is not among the council's voters")
     if (folder / STORE_FILE).exists():
-        raise AlreadyFoundedError(f"{folder} holds a voter's store")
+        raise VoterStoreExistsError(f"{folder} holds a voter's store")
     store = VoterStore(folder, fleet, name, FOUNDING_STORE_ID)
     store.write(RaftEffects(snapshot=founding_snapshot(voters)), 0)
     store.close()
--- a/cherrygrade/gateway/process.py
+++ b/cherrygrade/gateway/process.py
@@ -206,7 +206,7 @@
         self.ranges.tell()
         self.rooms.tell()
         if self.agent is not None:
-            self.log("fleet", side=self.agent.membership.side.value, **self.agent.counts())
+            self.log("fleet", side=self.agent.membership.partition_state.value, **self.agent.counts())
         if self.words is not None:
             words, module = self.words, self.rounds.module
             counts = {"said": words.said, "lost": words.lost, "dropped": words.dropped}
--- a/cherrygrade/lab/audits/broken.py
+++ b/cherrygrade/lab/audits/broken.py
@@ -128,7 +128,7 @@
     """Who is suspect stays so."""
 
     def clear(self: failure_detector.FailureDetector, now: float, effects: object) -> None:
-        self.suspicion_ends.clear()
+        self.suspicion_end_ms.clear()
 
     failure_detector.FailureDetector._declare_failures = clear  # type: ignore[method-assign]
     return site
@@ -157,9 +157,9 @@
 
 def _accuses(site: SiteSettings) -> SiteSettings:
     """Now and then somebody is called suspect who was not probed."""
-    usual = failure_detector.FailureDetector.beat
+    usual = failure_detector.FailureDetector.tick
 
-    def beat(self: failure_detector.FailureDetector, now: float) -> failure_detector.ProbeEffects:
+    def tick(self: failure_detector.FailureDetector, now: float) -> failure_detector.ProbeEffects:
         does = usual(self, now)
         others = [
             one for one in self.table.others() if one.name not in {out.name for out in self.outstanding}
@@ -167,14 +167,14 @@
         if others and self._counter % 5 == 0:
             one = min(others, key=lambda one: one.last_received_ms)
             claim = table.MemberRecord(
-                one.name, one.incarnation, one.refutations, table.MemberState.SUSPECT, by=self.table.me
+                one.name, one.incarnation, one.refutations, table.MemberState.SUSPECT, accuser=self.table.me
             )
             self.table.merge(claim, now, self.table.me)
             self.record_merged(claim, now)
             does.changed.append(one.name)
         return does
 
-    failure_detector.FailureDetector.beat = beat  # type: ignore[method-assign]
+    failure_detector.FailureDetector.tick = tick  # type: ignore[method-assign]
     return site
 
 
--- a/cherrygrade/lab/audits/fleetaudit.py
+++ b/cherrygrade/lab/audits/fleetaudit.py
@@ -140,7 +140,7 @@
         if isinstance(said, IndirectProbeRequest):
             page.target = said.target.name
         for claim in getattr(said, "records", []):
-            page.told.append((claim.name, claim.incarnation, claim.refutations, claim.state, claim.by))
+            page.told.append((claim.name, claim.incarnation, claim.refutations, claim.state, claim.accuser))
             _facts(story, claim)
         story.pages.append(page)
         story.by_source[source].append(page)
--- a/cherrygrade/lab/exploration/members.py
+++ b/cherrygrade/lab/exploration/members.py
@@ -89,7 +89,7 @@
 def thaw(name: str, mind: Mind) -> Membership:
     """A member as the product has it, that knows this."""
     core = Membership(MembershipSettings(name, mind.incarnation, FACTS[name], 3, [], 1), 0.0)
-    core.left = mind.left
+    core.has_left = mind.left
     members = core.table.members
     members.clear()
     core.table._digest = 0
@@ -121,13 +121,13 @@
         )
     )
     gone = tuple(sorted((name, birth, turn) for name, (birth, turn) in core.table.forgotten.items()))
-    return Mind(core.incarnation, entries, gone, core.left)
+    return Mind(core.incarnation, entries, gone, core.has_left)
 
 
 def accuse(core: Membership, name: str) -> None:
     """A probe of it came back neither straight nor through others."""
     probing = core.failure_detector
-    probing.begun = -LATE  # it is no newcomer
+    probing.started_ms = -LATE  # it is no newcomer
     probing._probe(core.table.members[name], 1.0, ProbeEffects(), repeated=True)
     probing.last_received_ms = 2.0  # others spoke: it is not deaf
     probing._end_period(3.0, ProbeEffects())
@@ -135,7 +135,7 @@
 
 def bury(core: Membership, name: str) -> None:
     """A suspicion ran out."""
-    core.failure_detector.suspicion_ends[name] = 0.0
+    core.failure_detector.suspicion_end_ms[name] = 0.0
     for call in range(1, FINAL_PROBES + 2):  # the last calls, and what comes of them
         core.failure_detector._declare_failures(call * LATE, ProbeEffects())
 
@@ -296,7 +296,7 @@
                         page = Probe(name, core.incarnation, 1, core.table.digest, [core.table.own.record()])
                         for answer in other.receive(page, FACTS[name].address, 0.0).replies:
                             core.receive(answer, FACTS[other.name].address, 0.0)
-                        other.exchanged(core.all_records(), name, 0.0)
+                        other.merge_table(core.all_records(), name, 0.0)
             digests = {core.table.digest for core in cores.values()}
             alive = all(
                 {one.name for one in core.table if one.state is MemberState.ALIVE} == cores.keys()
--- a/cherrygrade/lab/scale/host.py
+++ b/cherrygrade/lab/scale/host.py
@@ -135,7 +135,7 @@
         known = self._first_claims()
         for number in self.told.numbers:
             agent = self.members[number] = self._make(number, self.told.born + number)
-            agent.membership.exchanged(_claims.decode(known), "", self.now())  # each its own copy of it
+            agent.membership.merge_table(_claims.decode(known), "", self.now())  # each its own copy of it
             await agent.start()
         self.follow.broken(self.members[self.told.numbers[0]])
         gc.collect()
@@ -165,7 +165,7 @@
             found[str(number)] = {
                 "digest": f"{core.table.digest:016x}",
                 "living": len(core.table.living()),
-                "side": core.side.value,
+                "side": core.partition_state.value,
                 "entries": len(core.table.members),
                 "held": len(agent.lease_tasks.holder.held) if agent.lease_tasks is not None else 0,
                 **followed(agent),
--- a/cherrygrade/lab/scale/judge.py
+++ b/cherrygrade/lab/scale/judge.py
@@ -108,7 +108,7 @@
         for number, side in told.items():
             seat = placed[int(number)]
             wrong += side != expected(scale, placed, seat, when in CUTS).value
-            if side == PartitionState.MOST.value:
+            if side == PartitionState.MAJORITY.value:
                 most.add(seat.region if when in CUTS else 0)
         found.append(Promise("members on another side than theirs at its end", when, 0, wrong, "members"))
         if when in CUTS:
@@ -118,6 +118,6 @@
 
 def expected(scale: Scale, placed: list[Seat], seat: Seat, cut: bool) -> PartitionState:
     if not cut:
-        return PartitionState.MOST
+        return PartitionState.MAJORITY
     here = sum((one.region == scale.regions - 1) == (seat.region == scale.regions - 1) for one in placed)
-    return PartitionState.MOST if 2 * here > scale.dispatchers else PartitionState.FEW
+    return PartitionState.MAJORITY if 2 * here > scale.dispatchers else PartitionState.MINORITY
--- a/cherrygrade/lab/virtual/many.py
+++ b/cherrygrade/lab/virtual/many.py
@@ -74,7 +74,7 @@
         self._due = [float("inf")] * count
         for at, core in enumerate(self.cores):
             core.gossip.drop(core.name)
-            core.exchanged([], "", 0.0)
+            core.merge_table([], "", 0.0)
             self._look(at)
 
     # Time.
@@ -100,7 +100,7 @@
     # What members do.
 
     def _look(self, at: int) -> None:
-        due = self.cores[at].due()
+        due = self.cores[at].next_tick_ms()
         if due < self._due[at] - 1.0:
             self._due[at] = due
             self.later(max(0.0, due - self.now), self._beat, at, due)
@@ -109,7 +109,7 @@
         if at in self.killed or self._due[at] != due:
             return
         self._due[at] = float("inf")
-        self._post(at, self.cores[at].beat(self.now + 5.0), "")
+        self._post(at, self.cores[at].tick(self.now + 5.0), "")
 
     def _post(self, at: int, mail: Effects, source: str, length: int = MAX_DATAGRAM_BYTES) -> None:
         for place, page in mail.messages:
@@ -144,8 +144,8 @@
         if one in self.killed or other in self.killed:
             return
         theirs: list[MemberRecord] = self.cores[other].all_records()
-        self.cores[other].exchanged(self.cores[one].all_records(), self.cores[one].name, self.now)
-        self.cores[one].exchanged(theirs, self.cores[other].name, self.now)
+        self.cores[other].merge_table(self.cores[one].all_records(), self.cores[one].name, self.now)
+        self.cores[one].merge_table(theirs, self.cores[other].name, self.now)
         self._look(one)
         self._look(other)
 
--- a/tests/fleet/membership/test_inbound_budget.py
+++ b/tests/fleet/membership/test_inbound_budget.py
@@ -57,10 +57,10 @@
     for at in range(90):
         ration.arrived(b"n", 1400, f"n{at}", 0.0)
     drain(ration, 0.0)
-    due = ration.due(0.0)
+    due = ration.next_ready_ms(0.0)
     assert due is not None and 0.0 < due < 1000.0
     ration.arrived(b"n", 1400, "late", STALE_MS + 1.0)
-    assert drain(ration, STALE_MS + 1.0) == ["late"] and ration.due(STALE_MS + 1.0) is None
+    assert drain(ration, STALE_MS + 1.0) == ["late"] and ration.next_ready_ms(STALE_MS + 1.0) is None
 
 
 def test_a_keeper_that_tells_all_still_answers():
@@ -81,7 +81,7 @@
     for at in range(1, count):
         roll.merge(member(f"m{at}", at), 0.0, "me")
     found = FailureDetector(roll, 1, 0.0)
-    found.begun = -1e9
+    found.started_ms = -1e9
     return found
 
 
@@ -89,12 +89,12 @@
     """Beats as they are due; each probe is answered after so many ms, straight from its member."""
     out: list[tuple[float, str, int]] = []
     while now < until:
-        now = max(now + 1.0, min([one.due(), *(at for at, _, _ in out)]))
+        now = max(now + 1.0, min([one.next_tick_ms(), *(at for at, _, _ in out)]))
         for at, name, number in [held for held in out if held[0] <= now]:
             out.remove((at, name, number))
             one.message_received(one.table.members[name], now)
             one.ack_received(name, number, now)
-        does = one.beat(now)
+        does = one.tick(now)
         if answers_after is not None:
             out += [(now + answers_after, m.name, number) for m, number in does.probes]
     return now
@@ -119,17 +119,17 @@
 def test_a_suspect_is_not_buried_sooner_than_its_word_can_come_through_a_slow_fleet():
     one = probing()
     one._record_latency(MAX_LATENCY_MS, 0.0)
-    claim = MemberRecord("m1", 1000, 0, MemberState.SUSPECT, by="m2")
+    claim = MemberRecord("m1", 1000, 0, MemberState.SUSPECT, accuser="m2")
     one.table.merge(claim, 0.0, "m2")
     one.record_merged(claim, 0.0)
     one._record_latency(MAX_LATENCY_MS, 3000.0)
-    one.beat(MIN_SUSPICION_MS + 2000.0)
+    one.tick(MIN_SUSPICION_MS + 2000.0)
     assert one.table.members["m1"].state is MemberState.SUSPECT
 
 
 def test_one_that_has_just_begun_accuses_nobody():
     one = probing()
-    one.begun = 0.0
+    one.started_ms = 0.0
     run(one, 2900.0, None)
     assert not one.accusations
 
@@ -139,23 +139,23 @@
     one.over_budget = True
     now, asked = 0.0, 0
     while now < 20_000.0:
-        now = max(now + 1.0, one.due())
+        now = max(now + 1.0, one.next_tick_ms())
         one.last_received_ms = now  # others speak
-        asked += len(one.beat(now).indirect)
+        asked += len(one.tick(now).indirect)
     assert asked == 0 and one.deaths == 0
 
 
 def test_nobody_is_accused_or_buried_while_pages_lie_unread():
     # On three cores one of two hundred was buried while its own word lay in the socket of who buried it.
     one = probing()
-    claim = MemberRecord("m1", 1000, 0, MemberState.SUSPECT, by="m2")
+    claim = MemberRecord("m1", 1000, 0, MemberState.SUSPECT, accuser="m2")
     one.table.merge(claim, 0.0, "m2")
     one.record_merged(claim, 0.0)
     run(one, 1000.0, None)
     one.has_unread, before = True, one.accusations
     for now in range(1000, 2400, 20):
         one.period_ends_at = min(one.period_ends_at, now)
-        one.beat(float(now))
+        one.tick(float(now))
     assert one.accusations == before and one.deaths == 0
     one.has_unread = False
     run(one, 12_000.0, None, 2400.0)
--- a/tests/fleet/membership/test_membership_messages.py
+++ b/tests/fleet/membership/test_membership_messages.py
@@ -36,7 +36,7 @@
 
 def core() -> Membership:
     made = Membership(MembershipSettings("d0", 1, MemberInfo("10.0.0.0:1", seat=0), 40, [], 1), 0.0)
-    made.exchanged(ALIVE, "d1", 1.0)
+    made.merge_table(ALIVE, "d1", 1.0)
     return made
 
 
@@ -73,7 +73,7 @@
     assert book.read(b"cgF9" + data[4:]) is None
     assert book.read(data[:-1] + b"\x00\x01") is None and book.read(b"") is None
     assert book.read(data + bytes(MAX_DATAGRAM_BYTES)) is None
-    assert book.wrong == {"another fleet": 1, "version": 1, "checksum": 1, "length": 2}
+    assert book.rejected == {"another fleet": 1, "version": 1, "checksum": 1, "length": 2}
 
 
 @given(st.binary(max_size=200))
@@ -96,7 +96,7 @@
     page = book.read(data)
     if page is not None:
         here.receive(page, "10.0.0.9:1", 3.0)
-        here.beat(500.0)
+        here.tick(500.0)
     assert len(here.table.members) <= 160
 
 
@@ -192,7 +192,7 @@
         back = book.read(HEADER.pack(b"cgF1", book.fleet_hash, xxhash.xxh3_64_intdigest(body)) + body)
         assert back is not None and back.config is None and back.records == ALIVE[:2]
         assert book.read(data).config.stage == page.config.stage
-    assert not book.wrong
+    assert not book.rejected
 
 
 def test_at_rest_the_configuration_costs_under_a_twentieth_of_the_bytes():
@@ -240,13 +240,13 @@
 def test_words_on_the_configuration_are_handed_on_of_the_living_alone_and_first_hand_by_their_number():
     here, hint = core(), ConfigAdvert(7, 8)
     here.config.advert = ConfigAdvert(3, 4)
-    [asked] = [page for _, page in here.beat(500.0).messages if isinstance(page, Probe)][:1]
+    [asked] = [page for _, page in here.tick(500.0).messages if isinstance(page, Probe)][:1]
     assert asked.config == ConfigAdvert(3, 4)
     target = here.failure_detector.outstanding[0].name
 
     def heard(page):
         return [
-            (one.name, one.first_hand, one.nonce)
+            (one.name, one.direct, one.nonce)
             for one in here.receive(page, "10.0.0.9:1", 501.0).config_reports
         ]
 
--- a/tests/fleet/membership/test_membership_table.py
+++ b/tests/fleet/membership/test_membership_table.py
@@ -109,7 +109,7 @@
 
 
 def test_the_long_dead_are_forgotten_and_no_slow_word_brings_them_back():
-    roll = MembershipTable(ME, 0.0, 64, keep_ms=1000.0)
+    roll = MembershipTable(ME, 0.0, 64, retain_dead_ms=1000.0)
     alive = MemberRecord("a", 5, 3, MemberState.ALIVE, facts_of("a", 5, 0))
     roll.merge(alive, 0.0, "a")
     roll.merge(MemberRecord("a", 5, 3, MemberState.FAILED), 10.0, "b")
@@ -156,20 +156,20 @@
 
 def test_sides_by_who_is_heard_and_since_when():
     assert (
-        partition_state(5, 5, 0.0, 0) is PartitionState.MOST
-        and partition_state(5, 3, 0.0, 0) is PartitionState.MOST
+        partition_state(5, 5, 0.0, 0) is PartitionState.MAJORITY
+        and partition_state(5, 3, 0.0, 0) is PartitionState.MAJORITY
     )
     assert (
-        partition_state(5, 2, 0.0, 0) is PartitionState.FEW
-        and partition_state(4, 2, 0.0, 0) is PartitionState.FEW
+        partition_state(5, 2, 0.0, 0) is PartitionState.MINORITY
+        and partition_state(4, 2, 0.0, 0) is PartitionState.MINORITY
     )
     assert (
-        partition_state(5, 1, 0.0, 0) is PartitionState.ALONE
-        and partition_state(5, 5, 5000.0, 0) is PartitionState.ALONE
+        partition_state(5, 1, 0.0, 0) is PartitionState.ISOLATED
+        and partition_state(5, 5, 5000.0, 0) is PartitionState.ISOLATED
     )
     assert (
         partition_state(5, 5, 0.0, 8) is PartitionState.OVERLOADED
-        and partition_state(1, 1, 1e9, 0) is PartitionState.MOST
+        and partition_state(1, 1, 1e9, 0) is PartitionState.MAJORITY
     )
 
 
@@ -191,8 +191,8 @@
     older = Membership(MembershipSettings("old", 10, MemberInfo("10.0.0.1:1", seat=3), 5, [], 1), 0.0)
     newer = Membership(MembershipSettings("new", 20, MemberInfo("10.0.0.2:1", seat=3), 5, [], 2), 0.0)
     assert not older.forfeits_seat and not newer.forfeits_seat  # until they hear, both use it
-    older.exchanged(newer.all_records(), "new", 100.0)
-    newer.exchanged(older.all_records(), "old", 100.0)
+    older.merge_table(newer.all_records(), "new", 100.0)
+    newer.merge_table(older.all_records(), "old", 100.0)
     assert older.forfeits_seat and older.seat_yielded_to == "new" and not newer.forfeits_seat
     assert older.table.own.seat == -1 and seat_claims.holder(newer.table, 3).name == "new"
     assert seat_claims.contested(newer.table) == {}
@@ -200,10 +200,12 @@
 
 def test_a_name_taken_by_one_born_later_elsewhere_silences_this_one_and_its_own_past_does_not():
     one = Membership(MembershipSettings("d0", 10, MemberInfo("10.0.0.1:1", seat=0), 5, [], 1), 0.0)
-    one.exchanged([MemberRecord("d0", 20, 0, MemberState.ALIVE, MemberInfo("10.0.0.9:1", seat=0))], "d3", 5.0)
-    assert one.silent and one.forfeits_seat and one.due() > 1e14
+    one.merge_table(
+        [MemberRecord("d0", 20, 0, MemberState.ALIVE, MemberInfo("10.0.0.9:1", seat=0))], "d3", 5.0
+    )
+    assert one.silent and one.forfeits_seat and one.next_tick_ms() > 1e14
     again = Membership(MembershipSettings("d0", 10, MemberInfo("10.0.0.1:1", seat=0), 5, [], 1), 0.0)
-    again.exchanged(
+    again.merge_table(
         [MemberRecord("d0", 20, 4, MemberState.FAILED, MemberInfo("10.0.0.1:1", seat=0))], "d3", 5.0
     )
     assert not again.silent and again.table.own.key == (21, False, 0, MemberState.ALIVE)
@@ -215,7 +217,7 @@
     roll.merge(MemberRecord("b", 1, 0, MemberState.ALIVE, MemberInfo("10.0.0.2:1")), 0.0, "b")
     probing = FailureDetector(roll, 1, 0.0)
     for turn, now in ((0, 0.0), (1, 100_000.0)):
-        suspect = MemberRecord("b", 1, turn, MemberState.SUSPECT, by="c")
+        suspect = MemberRecord("b", 1, turn, MemberState.SUSPECT, accuser="c")
         assert roll.merge(suspect, now, "c")
         probing.record_merged(suspect, now)
         does = ProbeEffects()
@@ -233,7 +235,7 @@
     facts = [MemberInfo(f"10.0.0.{at}:1", seat=at) for at in (0, 1)]
     other = Membership(MembershipSettings("b", 1001, facts[1], 5, [], 1), 0.0)
     alone, began = Membership(MembershipSettings("a", 2000, facts[0], 5, ["10.0.0.9:1"], 1), 0.0), False
-    other.exchanged([alone.table.own.record()], "a", 0.0)
+    other.merge_table([alone.table.own.record()], "a", 0.0)
     for turn in range(8):
         now = 100.0 + 400.0 * turn
         probe = Probe(other.name, other.incarnation, turn, other.table.digest, [])
--- a/tests/fleet/membership/test_reachability.py
+++ b/tests/fleet/membership/test_reachability.py
@@ -18,7 +18,7 @@
         seen.attempt_ended(7, "silent", 0.0)
     told(seen, 0.0, False, False, True)
     assert seen.view(7, 0.0) == (Reachability.LINK, 1, 3, ["z0"])
-    assert seen.troubled(0.0) == [7]
+    assert seen.failing_nodes(0.0) == [7]
 
 
 def test_where_most_meet_trouble_it_is_the_node():
@@ -33,7 +33,7 @@
     told(seen, 0.0, True)
     assert seen.view(7, 0.0)[0] is Reachability.UNKNOWN
     told(seen, 0.0, True, True, True)
-    assert seen.view(7, FRESH_MS + 1.0)[0] is Reachability.UNKNOWN and not seen.troubled(FRESH_MS + 1.0)
+    assert seen.view(7, FRESH_MS + 1.0)[0] is Reachability.UNKNOWN and not seen.failing_nodes(FRESH_MS + 1.0)
     seen.forget(lambda name: name == "d0", 1.0)
     assert [*seen.reported] == ["d0"]
 
--- a/tests/fleet/membership/test_virtual_fleet.py
+++ b/tests/fleet/membership/test_virtual_fleet.py
@@ -69,12 +69,14 @@
         virtual_fleet.cut(few)
         await asyncio.sleep(12.0)
         for number, core in virtual_fleet.cores().items():
-            assert core.side is (PartitionState.FEW if number in few else PartitionState.MOST)
+            assert core.partition_state is (
+                PartitionState.MINORITY if number in few else PartitionState.MAJORITY
+            )
             assert len(core.table.living()) == (6 if number in few else 14)
         virtual_fleet.heal()
         await virtual_fleet.until(virtual_fleet.equal, BACK_MS)
         assert all(
-            core.side is PartitionState.MOST and not core.forfeits_seat
+            core.partition_state is PartitionState.MAJORITY and not core.forfeits_seat
             for core in virtual_fleet.cores().values()
         )
 
@@ -182,7 +184,7 @@
         from cherrygrade.fleet.membership.messages import Probe
 
         agent.datagram_received(stranger.write(Probe("x0", 1, 1, 1)), ("10.0.0.99", 7500))
-        assert agent.codec.wrong == {"another fleet": 1} and len(agent.membership.table.living()) == 4
+        assert agent.codec.rejected == {"another fleet": 1} and len(agent.membership.table.living()) == 4
 
     play(story, 4)
 
--- a/tests/fleet/runtime/test_config_in_force.py
+++ b/tests/fleet/runtime/test_config_in_force.py
@@ -397,10 +397,10 @@
         one = One(house, tmp_path)
         gateway = await one.open()
         await one.sure(gateway)
-        mark = gateway.agent.membership.table.own.info.settings
+        mark = gateway.agent.membership.table.own.info.settings_digest
         assert await gateway.in_force(version(1, ALL), 3) == ""
         assert (
-            gateway.agent.membership.table.own.info.settings
+            gateway.agent.membership.table.own.info.settings_digest
             == mark
             == origin_of(gateway.overlay.own).settings
         )
--- a/tests/golden/test_framing.py
+++ b/tests/golden/test_framing.py
@@ -57,13 +57,13 @@
     written = book.write(value_of(one))
     assert written.hex() == one["datagram"]
     read = book.read(bytes.fromhex(one["datagram"]))
-    assert golden.plain(read) == one["read"] and not book.wrong
+    assert golden.plain(read) == one["read"] and not book.rejected
 
 
 def test_datagram_of_another_fleet_is_dropped():
     book = MessageCodec("another")
     assert book.read(bytes.fromhex(DATAGRAMS[0]["datagram"])) is None
-    assert book.wrong == {"another fleet": 1}
+    assert book.rejected == {"another fleet": 1}
 
 
 def write_entry(one: dict[str, Any]) -> bytes:
--- a/tests/lab/test_lab_fleet.py
+++ b/tests/lab/test_lab_fleet.py
@@ -103,7 +103,7 @@
     day.note(8000.0, "killed", 3, 1)
     day.rest(8000.0, 30000.0, WHOLE ^ mark(3), (0, 1, 2))
     day.probe(12000.0, 1, 2, 0, MemberRecord("d3", 103, 1, MemberState.ALIVE, FACTS[3]))
-    day.probe(13000.0, 0, 1, 0, MemberRecord("d2", 102, 0, MemberState.SUSPECT, by="d0"))
+    day.probe(13000.0, 0, 1, 0, MemberRecord("d2", 102, 0, MemberState.SUSPECT, accuser="d0"))
     day.say(20000.0, 0, 3, SchedulerMessage("d0", 100, 0, b"word"))
     assert day.convicted() >= {14, 15, 16}
 
