--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -38,7 +38,7 @@
 from cherrygrade.fleet.consensus.raft_messages import AnyRaftMessage
 from cherrygrade.fleet.consensus.voter import Voter
 from cherrygrade.fleet.consensus.voter_effects import VoterEffects
-from cherrygrade.fleet.leases.lease_table import digest
+from cherrygrade.fleet.leases.lease_table import lease_digest
 from cherrygrade.fleet.runtime.status_query import query_status
 from cherrygrade.fleet.runtime.voter_store import VoterStore, create_founding_store
 from cherrygrade.scheduling.model import (
@@ -927,7 +927,7 @@
     began, turn = hall.now, 0
     for _ in range(rounds):
         for number, (holder, some) in enumerate(numbers.items()):
-            hall.ask(lead, RenewLeases(f"{holder}/{BIRTH}/{turn}", holder, BIRTH, digest(some)))
+            hall.ask(lead, RenewLeases(f"{holder}/{BIRTH}/{turn}", holder, BIRTH, lease_digest(some)))
             turn += 1
             hall.pass_time(3333.0 / many if number < many - 1 else 3333.0 / many + 25.0)
     same = sum(isinstance(one, LeasesRenewed) and one.unchanged for one in hall.answers)
@@ -954,7 +954,7 @@
     code = msgpack.Encoder().encode
     for held in (1, 10, 100, 1000):
         numbers = [(f"task/{at}", at) for at in range(held)]
-        asked = RenewLeases(f"d579/{BIRTH}/12345", "d579", BIRTH, digest(numbers))
+        asked = RenewLeases(f"d579/{BIRTH}/12345", "d579", BIRTH, lease_digest(numbers))
         answer = LeasesRenewed(asked.id, {}, True)
         book.add("lease holder", "bytes sent", "a renewal", len(code(asked)) + 1, leases=held)
         book.add("lease holder", "bytes received", "a renewal", len(code(answer)) + 1, leases=held)
--- a/benchmarks/fleet_leases.py
+++ b/benchmarks/fleet_leases.py
@@ -19,7 +19,7 @@
 import psutil
 from bench import ROOT
 
-from cherrygrade.fleet.leases.lease_client import LATELY_MS
+from cherrygrade.fleet.leases.lease_client import RECENT_CHANGE_MS
 from cherrygrade.fleet.runtime.status_query import query_status
 from cherrygrade.fleet.runtime.voter_store import create_founding_store
 from cherrygrade.standin.receiver import judge
@@ -129,7 +129,7 @@
         for number in range(count):
             fleet.start(number)
         await fleet.all_held(30.0 + tasks / 50.0 + count / 4.0)
-        await asyncio.sleep((LATELY_MS + 2000.0) / 1000.0)  # till the start is no news any more
+        await asyncio.sleep((RECENT_CHANGE_MS + 2000.0) / 1000.0)  # till the start is no news any more
         numbers = [*range(count)]
         before, cpu, at = await fleet.told(numbers), fleet.cpu_s(), time.monotonic()
         await asyncio.sleep(seconds)
--- a/cherrygrade/fleet/consensus/council_messages.py
+++ b/cherrygrade/fleet/consensus/council_messages.py
@@ -29,13 +29,13 @@
     Attributes:
         task: The task.
         holder: The name of the dispatcher that asks.
-        birth: Identifies the life of the holder's process.
+        incarnation: Identifies the life of the holder's process.
         duration_ms: How long the lease runs without renewal.
     """
 
     task: str
     holder: str
-    birth: int
+    incarnation: int
     duration_ms: float
 
 
@@ -58,12 +58,12 @@
 
     Attributes:
         holder: The name of the holder.
-        birth: Identifies the life of the holder's process.
+        incarnation: Identifies the life of the holder's process.
         held_digest: The digest of the leases that it holds, so that the reply need not list them.
     """
 
     holder: str
-    birth: int
+    incarnation: int
     held_digest: int = 0
 
 
@@ -148,12 +148,12 @@
 
 
 class LeaseSummary(NamedTuple):
-    """A lease in a `CouncilStatus`; `left_ms` by the leader's count."""
+    """A lease in a `CouncilStatus`; `remaining_ms` by the leader's count."""
 
     task: str
     holder: str
     number: int
-    left_ms: float
+    remaining_ms: float
 
 
 class FailureSummary(NamedTuple):
@@ -161,15 +161,15 @@
 
     Attributes:
         task: The task.
-        times: How often it has failed in a row.
+        failure_count: How often it has failed in a row.
         reason: The last failure.
-        rest_ms: For how long it is not granted yet.
+        retry_after_ms: For how long it is not granted yet.
     """
 
     task: str
-    times: int
+    failure_count: int
     reason: str
-    rest_ms: float
+    retry_after_ms: float
 
 
 class CouncilStatus(CouncilReply, frozen=True, tag="shown"):
--- a/cherrygrade/fleet/consensus/council_reads.py
+++ b/cherrygrade/fleet/consensus/council_reads.py
@@ -22,7 +22,7 @@
 )
 from cherrygrade.fleet.consensus.raft import Raft
 from cherrygrade.fleet.consensus.state_machine import StateMachine
-from cherrygrade.fleet.leases.lease_table import digest
+from cherrygrade.fleet.leases.lease_table import lease_digest
 from cherrygrade.fleet.leases.renewal_tracker import RenewalTracker
 
 
@@ -48,7 +48,7 @@
         return _renew(request, state_machine, renewals, now)
     if isinstance(request, ListFreeTasks):
         leases = state_machine.leases
-        return FreeTasks(request.id, [task for task in request.tasks if leases.free(task, leader_time)])
+        return FreeTasks(request.id, [task for task in request.tasks if leases.is_free(task, leader_time)])
     leader = raft.leader.partition("/")[0]
     if isinstance(request, ShowConfig):
         return _config_status(request, state_machine, leader)
@@ -60,12 +60,14 @@
         raft.commit_index,
         raft.voters,
         [
-            LeaseSummary(lease.task, lease.holder, lease.number, renewals.ends(lease) - now)
+            LeaseSummary(lease.task, lease.holder, lease.number, renewals.expiry_of(lease) - now)
             for lease in leases.leases.values()
         ],
         [
-            FailureSummary(task, failure.times, failure.why, max(0.0, failure.until - leases.now))
-            for task, failure in leases.failed.items()
+            FailureSummary(
+                task, failure.failure_count, failure.reason, max(0.0, failure.retry_at - leases.now)
+            )
+            for task, failure in leases.failed_tasks.items()
         ],
     )
 
@@ -73,8 +75,8 @@
 def _renew(
     request: RenewLeases, state_machine: StateMachine, renewals: RenewalTracker, now: float
 ) -> LeasesRenewed:
-    numbers = renewals.renews(state_machine.leases, request.holder, request.birth, now)
-    unchanged = bool(numbers) and digest(numbers.items()) == request.held_digest
+    numbers = renewals.renew(state_machine.leases, request.holder, request.incarnation, now)
+    unchanged = bool(numbers) and lease_digest(numbers.items()) == request.held_digest
     return LeasesRenewed(request.id, {} if unchanged else numbers, unchanged)
 
 
--- a/cherrygrade/fleet/consensus/state_machine.py
+++ b/cherrygrade/fleet/consensus/state_machine.py
@@ -88,7 +88,7 @@
         try:
             command = _lease_decoder.decode(body)
         except (msgspec.MsgspecError, UnicodeDecodeError):
-            return lease_table.LeaseOutcome(waits="an entry that can't be read")
+            return lease_table.LeaseOutcome(refusal="an entry that can't be read")
         return self.leases.apply(index, command)
 
     def snapshot(self) -> bytes:
--- a/cherrygrade/fleet/consensus/voter.py
+++ b/cherrygrade/fleet/consensus/voter.py
@@ -132,7 +132,7 @@
         """The time in ms at which `tick` is to be called."""
         deadline = min(self.raft.next_deadline(), self._confirm_at)
         if self.is_ready_leader:
-            deadline = min(deadline, self.renewals.due(self.state_machine.leases))
+            deadline = min(deadline, self.renewals.next_expiry(self.state_machine.leases))
         return deadline
 
     # Events.
@@ -149,7 +149,7 @@
         if now >= self.raft.next_deadline():
             self._take(self.raft.tick(now), effects, now)
         if self.is_ready_leader:
-            for lease in self.renewals.over(self.state_machine.leases, now, MAX_EXPIRIES_PER_TICK):
+            for lease in self.renewals.take_expired(self.state_machine.leases, now, MAX_EXPIRIES_PER_TICK):
                 command = Expire(self._leader_time(now), lease.task, lease.number)
                 self._propose(encode_lease_command(command), effects, now)
         if now >= self._confirm_at:
@@ -170,7 +170,7 @@
                 request.id,
                 request.task,
                 request.holder,
-                request.birth,
+                request.incarnation,
                 request.duration_ms,
             )
             self._propose(encode_lease_command(acquire), effects, now, client, request.id)
@@ -290,8 +290,8 @@
         leases = self.state_machine.leases.leases.values()
         granted = next((lease for lease in leases if lease.number == number), None)
         if granted is not None:
-            life = (granted.holder, granted.birth)
-            answered = self.renewals.answered
+            life = (granted.holder, granted.incarnation)
+            answered = self.renewals.answered_at
             answered[life] = max(now, answered.get(life, -NEVER))
 
     def _reply_to_proposal(
@@ -309,7 +309,7 @@
         changed = led_term != self._tracked_term
         if changed:
             self._tracked_term = led_term
-            self.renewals.lead(now if led_term else NEVER)
+            self.renewals.reset(now if led_term else NEVER)
         if changed or not led_term:
             self._refuse_pending(led_term, effects)
         if led_term:
--- a/cherrygrade/fleet/leases/lease_client.py
+++ b/cherrygrade/fleet/leases/lease_client.py
@@ -11,10 +11,10 @@
 
 from zlib import crc32
 
-from cherrygrade.fleet.leases.lease_holder import turn
+from cherrygrade.fleet.leases.lease_holder import rendezvous_rank
 
 POLL_MS = 400.0  # while somebody came or went of late, or something is free
-REST_MS, LATELY_MS = 4000.0, 15_000.0  # else: what ends otherwise is found by that; how long "of late" is
+REST_MS, RECENT_CHANGE_MS = 4000.0, 15_000.0  # else: finds what ends otherwise; how long "of late" is
 SOON_MS = 150.0  # after something was free: whoever is next looks again
 MOST_NAMES = 64  # in one ask
 FIRST = 3  # of the living by rendezvous that ask for a task at all
@@ -22,44 +22,46 @@
 
 
 class LeaseClient:
-    """`seen_free` holds what was free at the last look, how often in a row; emptied by what is not."""
+    """`times_seen_free` holds what was free at the last look, how often in a row; emptied by what is not."""
 
-    def __init__(self, me: str, seed: int, now: float) -> None:
-        self.me, self.seed = me, seed
+    def __init__(self, name: str, seed: int, now: float) -> None:
+        self.name, self.seed = name, seed
         self.tasks: dict[str, None] = {}
-        self.seen_free: dict[str, int] = {}
-        self.ask_at = now
+        self.times_seen_free: dict[str, int] = {}
+        self.poll_at = now
         self._count = 0
         self._next: list[str] = []
         self._ranks: dict[str, int] = {}  # of these living
         self._living: list[str] = []
         self._changed_at = now
 
-    def want(self, task: str) -> None:
+    def add_task(self, task: str) -> None:
         self.tasks[task] = None
 
-    def rest(self, task: str) -> None:
+    def remove_task(self, task: str) -> None:
         self.tasks.pop(task, None)
-        self.seen_free.pop(task, None)
+        self.times_seen_free.pop(task, None)
 
     def rank(self, task: str, living: list[str]) -> int:
         if task not in self._ranks:
-            self._ranks[task] = turn(task, living, self.me)
+            self._ranks[task] = rendezvous_rank(task, living, self.name)
         return self._ranks[task]
 
     def poll(self, now: float, living: list[str], held: set[str]) -> list[str]:
         """Tasks to ask about now, each in its turn; empty where it is not time."""
         if living != self._living:
             self._living, self._ranks, self._changed_at = [*living], {}, now
-            self.ask_at = min(self.ask_at, now + POLL_MS)
-        if now < self.ask_at:
+            self.poll_at = min(self.poll_at, now + POLL_MS)
+        if now < self.poll_at:
             return []
         # What is held here is not asked about any more: it would count as free for good.
-        self.seen_free = {task: times for task, times in self.seen_free.items() if task not in held}
+        self.times_seen_free = {
+            task: times for task, times in self.times_seen_free.items() if task not in held
+        }
         self._count += 1
         chance = crc32(f"{self.seed}:{self._count}".encode()) / 2.0**32
-        pause = POLL_MS if self.seen_free or now < self._changed_at + LATELY_MS else REST_MS
-        self.ask_at = now + pause * (0.75 + 0.5 * chance)
+        pause = POLL_MS if self.times_seen_free or now < self._changed_at + RECENT_CHANGE_MS else REST_MS
+        self.poll_at = now + pause * (0.75 + 0.5 * chance)
         if not self._next:
             self._next = [task for task in self.tasks if task not in held]
         some: list[str] = []
@@ -69,17 +71,17 @@
                 some.append(task)
         return some
 
-    def told(self, asked: list[str], free: list[str], living: list[str], now: float) -> list[str]:
+    def tasks_to_acquire(self, asked: list[str], free: list[str], living: list[str], now: float) -> list[str]:
         """Of those asked about these are free; gives the ones to take now."""
         take, found = [], {*free}
         for task in asked:
             if task not in found:
-                self.seen_free.pop(task, None)
+                self.times_seen_free.pop(task, None)
                 continue
-            times = self.seen_free[task] = self.seen_free.get(task, 0) + 1
+            times = self.times_seen_free[task] = self.times_seen_free.get(task, 0) + 1
             if times > self.rank(task, living):
                 take.append(task)
         if len(take) < len(found):
-            self.ask_at = min(self.ask_at, now + SOON_MS)
+            self.poll_at = min(self.poll_at, now + SOON_MS)
             self._next += [task for task in asked if task in found and task not in take]
         return take
--- a/cherrygrade/fleet/leases/lease_holder.py
+++ b/cherrygrade/fleet/leases/lease_holder.py
@@ -3,7 +3,7 @@
 It reckons each end from when it *asked*, by its own monotonic clock less the drift, and stops before. A pause
 between its last look at the clock and an order on the socket is covered by the order's number alone
 (`consensus/fencing.py`); who carries orders out and knows no numbers is covered by time alone, less
-`MARGIN_MS`.
+`SEND_MARGIN_MS`.
 
 Free of I/O and clock.
 """
@@ -14,9 +14,9 @@
 
 import xxhash
 
-from cherrygrade.fleet.leases.lease_table import digest
+from cherrygrade.fleet.leases.lease_table import lease_digest
 
-MARGIN_MS = 50.0  # that an order may take from the look at the clock to the socket
+SEND_MARGIN_MS = 50.0  # that an order may take from the look at the clock to the socket
 PART = 3.0  # a lease is renewed after a third of its time, and again after each quarter of that
 MOST_OPEN = 64  # asks whose answers may still come; the oldest go
 NEVER = 1e15
@@ -26,47 +26,47 @@
 class HeldLease:
     task: str
     number: int
-    ends: float
-    out: int = 0
+    expires_at: float
+    orders_in_flight: int = 0
     """Orders that were given and have no answer: it is not given back before."""
 
 
 class LeaseHolder:
-    """One life's. `held` is emptied by ends, by answers that lack a lease, by giving back; `asked` by answers
-    and by MOST_OPEN. `strays`: what the council has for this life and this life does not hold, to be given
-    back; else it would be renewed with the others and done by nobody."""
+    """One life's. `held` is emptied by ends, by answers that lack a lease, by giving back; `requested_at`
+    by answers and by MOST_OPEN. `unheld`: what the council has for this life and this life does not hold, to
+    be given back; else it would be renewed with the others and done by nobody."""
 
-    def __init__(self, name: str, birth: int, for_ms: float, drift: float) -> None:
-        self.name, self.birth, self.for_ms, self.drift = name, birth, for_ms, drift
+    def __init__(self, name: str, incarnation: int, duration_ms: float, drift: float) -> None:
+        self.name, self.incarnation, self.duration_ms, self.drift = name, incarnation, duration_ms, drift
         self.held: dict[str, HeldLease] = {}
-        self.asked: dict[str, float] = {}
-        self.strays: dict[str, int] = {}
+        self.requested_at: dict[str, float] = {}
+        self.unheld: dict[str, int] = {}
         self._takes: dict[str, str] = {}  # the task of an ask for one; goes with it
-        self.lost = 0
-        self._count = 0
+        self.lost_count = 0
+        self._request_count = 0
         self._renewing: tuple[str, dict[str, int]] = ("", {})
         self._renew_at = NEVER
 
-    def ask(self, now: float, task: str = "") -> str:
+    def start_request(self, now: float, task: str = "") -> str:
         """An ask leaves now, for this task if it takes one; gives its id."""
-        self._count += 1
-        asked = f"{self.name}/{self.birth}/{self._count}"
-        self.asked[asked] = now
+        self._request_count += 1
+        asked = f"{self.name}/{self.incarnation}/{self._request_count}"
+        self.requested_at[asked] = now
         if task:
             self._takes[asked] = task
-        while len(self.asked) > MOST_OPEN:
-            self._let_go(next(iter(self.asked)))
+        while len(self.requested_at) > MOST_OPEN:
+            self._let_go(next(iter(self.requested_at)))
         return asked
 
     def _let_go(self, asked: str) -> float | None:
         """No answer to it gives anything any more; when it was asked."""
         self._takes.pop(asked, None)
-        return self.asked.pop(asked, None)
+        return self.requested_at.pop(asked, None)
 
     def _runs(self, asked: float) -> float:
-        return asked + self.for_ms * (1.0 - self.drift) - MARGIN_MS
+        return asked + self.duration_ms * (1.0 - self.drift) - SEND_MARGIN_MS
 
-    def granted(self, asked: str, task: str, number: int, now: float) -> bool:
+    def record_grant(self, asked: str, task: str, number: int, now: float) -> bool:
         """Whether it is held now: an answer that came late, again, or to no ask of this life gives nothing.
         An ask that is put again under its id counts from its first time."""
         at = self._let_go(asked)  # heard twice it would bring back what was given back meanwhile
@@ -75,17 +75,19 @@
         known = self.held.get(task)
         if known is None or known.number < number:
             self.held[task] = HeldLease(task, number, self._runs(at))
-        self._renew_at = min(self._renew_at, at + self.for_ms / PART)
+        self._renew_at = min(self._renew_at, at + self.duration_ms / PART)
         return self.held[task].number == number
 
-    def renew(self, now: float) -> tuple[str, int]:
+    def start_renewal(self, now: float) -> tuple[str, int]:
         """An ask for all that is held leaves now; its id and the digest of that."""
         numbers = {task: held.number for task, held in self.held.items()}
-        asked = self.ask(now)
+        asked = self.start_request(now)
         self._renewing = (asked, numbers)
-        return asked, digest(numbers.items())
+        return asked, lease_digest(numbers.items())
 
-    def renewed(self, asked: str, numbers: dict[str, int], now: float, same: bool = False) -> list[str]:
+    def record_renewal(
+        self, asked: str, numbers: dict[str, int], now: float, same: bool = False
+    ) -> list[str]:
         """The leader's answer to a renewal; gives the tasks that are lost by it. `same`: it renews all that
         was held as the ask left."""
         at = self._let_go(asked)
@@ -98,8 +100,8 @@
         lost = []
         for task, held in [*self.held.items()]:
             if numbers.get(task) == held.number:
-                held.ends = max(held.ends, self._runs(at))
-            elif held.ends <= self._runs(at):  # granted before this ask, and the leader knows it no more
+                held.expires_at = max(held.expires_at, self._runs(at))
+            elif held.expires_at <= self._runs(at):  # granted before: unknown to the leader
                 del self.held[task]
                 lost.append(task)
         for task, number in numbers.items():
@@ -107,51 +109,51 @@
                 # Its time was over here, or the grant's answer is lost or on its way: that one is void now.
                 for one in [one for one, of in self._takes.items() if of == task]:
                     self._let_go(one)
-                self.strays[task] = number
-        self.lost += len(lost)
-        self._renew_at = at + self.for_ms / PART if self.held else NEVER
+                self.unheld[task] = number
+        self.lost_count += len(lost)
+        self._renew_at = at + self.duration_ms / PART if self.held else NEVER
         return lost
 
-    def may(self, task: str, now: float) -> int:
+    def fencing_number(self, task: str, now: float) -> int:
         """The number for an order that leaves now; 0 where none may. Looked at right before each order."""
         held = self.held.get(task)
-        if held is None or held.ends <= now:
+        if held is None or held.expires_at <= now:
             return 0
         return held.number
 
-    def ordered(self, task: str, number: int, more: int) -> None:
+    def track_order(self, task: str, number: int, more: int) -> None:
         """An order left, or its answer came (`more` -1)."""
         held = self.held.get(task)
         if held is not None and held.number == number:
-            held.out = max(0, held.out + more)
+            held.orders_in_flight = max(0, held.orders_in_flight + more)
 
-    def give(self, task: str) -> int:
+    def release(self, task: str) -> int:
         """Stop doing the task; the number to give back, 0 where an order is still out: what it does could
         overtake the giving back, and come after the next holder's."""
         held = self.held.get(task)
-        if held is None or held.out:
+        if held is None or held.orders_in_flight:
             return 0
         del self.held[task]
         return held.number
 
-    def beat(self, now: float) -> tuple[bool, list[str]]:
+    def tick(self, now: float) -> tuple[bool, list[str]]:
         """Whether to renew now, all by one ask; and the tasks whose time is over here."""
-        over = [task for task, held in self.held.items() if held.ends <= now]
+        over = [task for task, held in self.held.items() if held.expires_at <= now]
         for task in over:
             del self.held[task]
-        self.lost += len(over)
+        self.lost_count += len(over)
         if not self.held:
             self._renew_at = NEVER
         renew = now >= self._renew_at
         if renew:  # and again soon, where no answer comes
-            self._renew_at = now + self.for_ms / PART / 4.0
+            self._renew_at = now + self.duration_ms / PART / 4.0
         return renew, over
 
-    def due(self) -> float:
-        return min([self._renew_at, *(held.ends for held in self.held.values())])
+    def next_deadline(self) -> float:
+        return min([self._renew_at, *(held.expires_at for held in self.held.values())])
 
 
-def turn(task: str, living: list[str], me: str) -> int:
+def rendezvous_rank(task: str, living: list[str], me: str) -> int:
     """Who asks for a free task when: 0 asks at once, 1 after that one did not, and so on; by rendezvous
     (Thaler, Ravishankar 1998), so that a dead one's tasks go to many and no task moves else. The living by
     name; len(living) where this one is not among them."""
--- a/cherrygrade/fleet/leases/lease_table.py
+++ b/cherrygrade/fleet/leases/lease_table.py
@@ -32,16 +32,16 @@
     id: str
     task: str
     holder: str
-    birth: int
-    for_ms: float
+    incarnation: int
+    duration_ms: float
 
 
 class Release(LeaseCommand, frozen=True, tag="g"):
-    """Back, by its holder; `failed` says why it could not do the task."""
+    """Back, by its holder; `failure` says why it could not do the task."""
 
     task: str
     number: int
-    failed: str = ""
+    failure: str = ""
 
 
 class Expire(LeaseCommand, frozen=True, tag="f"):
@@ -58,35 +58,35 @@
     number: int
     task: str
     holder: str
-    birth: int
-    for_ms: float
+    incarnation: int
+    duration_ms: float
 
 
 class FailedTask(msgspec.Struct, array_like=True, frozen=True):
     """A task that holders gave back undone: how often in a row, until when it rests, the last reason."""
 
-    times: int
-    until: float
-    why: str
+    failure_count: int
+    retry_at: float
+    reason: str
 
 
 class LeaseOutcome(msgspec.Struct, array_like=True, frozen=True):
     """What an entry came to: a lease's number, or why there is none and who has it."""
 
     number: int = 0
-    waits: str = ""
+    refusal: str = ""
     holder: str = ""
-    rests_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 class LeaseTableState(msgspec.Struct, array_like=True):
     now: float
     leases: list[Lease]
-    failed: dict[str, FailedTask]
-    asks: list[tuple[str, LeaseOutcome]]
+    failed_tasks: dict[str, FailedTask]
+    answered_requests: list[tuple[str, LeaseOutcome]]
 
 
-def digest(numbers: Iterable[tuple[str, int]]) -> int:
+def lease_digest(numbers: Iterable[tuple[str, int]]) -> int:
     """Of tasks and numbers, in whatever order: equal where a holder and the log know the same."""
     found = 0
     for task, number in numbers:
@@ -95,16 +95,16 @@
 
 
 class LeaseTable:
-    """`leases` by task and `lives` by holder and birth, emptied by their ends; `failed` by a task done, or
-    the oldest of MOST_FAILS."""
+    """`leases` by task and `by_holder` by holder and birth, emptied by their ends; `failed_tasks` by a task
+    done, or the oldest of MOST_FAILS."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self.leases: dict[str, Lease] = {}
-        self.lives: dict[tuple[str, int], dict[str, Lease]] = {}
-        self.least: dict[tuple[str, int], float] = {}  # for_ms that any of a life's had; goes with the life
-        self.failed: OrderedDict[str, FailedTask] = OrderedDict()
-        self.asks: OrderedDict[str, LeaseOutcome] = OrderedDict()
+        self.by_holder: dict[tuple[str, int], dict[str, Lease]] = {}
+        self.min_duration_ms: dict[tuple[str, int], float] = {}  # that any of a life had
+        self.failed_tasks: OrderedDict[str, FailedTask] = OrderedDict()
+        self.answered_requests: OrderedDict[str, LeaseOutcome] = OrderedDict()
 
     def apply(self, index: int, op: AnyLeaseCommand) -> LeaseOutcome:
         self.now = max(self.now, op.at)
@@ -112,75 +112,81 @@
             return self._take(op, index)
         held = self.leases.get(op.task)
         if held is None or held.number != op.number:
-            return LeaseOutcome(waits=f"{op.task} is not held by number {op.number}")
+            return LeaseOutcome(refusal=f"{op.task} is not held by number {op.number}")
         self._drop(held)
         if isinstance(op, Release):
             self._gave(op)
         return LeaseOutcome(op.number)
 
     def _take(self, op: Acquire, index: int) -> LeaseOutcome:
-        known = self.asks.get(op.id)
+        known = self.answered_requests.get(op.id)
         held = self.leases.get(op.task)
         if known is not None:  # asked again; a lease that ended since is not granted again by an old word
             still = held is not None and held.number == known.number
             return (
                 known
                 if still
-                else LeaseOutcome(waits="that lease has ended", holder=held.holder if held else "")
+                else LeaseOutcome(refusal="that lease has ended", holder=held.holder if held else "")
             )
         if held is not None:
-            return LeaseOutcome(waits=f"{op.task} is held", holder=held.holder)
-        rest = self.failed.get(op.task)
-        if rest is not None and self.now < rest.until:
+            return LeaseOutcome(refusal=f"{op.task} is held", holder=held.holder)
+        rest = self.failed_tasks.get(op.task)
+        if rest is not None and self.now < rest.retry_at:
             return LeaseOutcome(
-                waits=f"failed {rest.times} times: {rest.why}", rests_ms=rest.until - self.now
+                refusal=f"failed {rest.failure_count} times: {rest.reason}",
+                retry_after_ms=rest.retry_at - self.now,
             )
         if len(self.leases) >= MOST_TASKS:
-            return LeaseOutcome(waits=f"{MOST_TASKS} tasks are held, and no more can be")
-        for_ms = min(LONGEST_MS, max(LEAST_MS, op.for_ms))
-        self._hold(Lease(index, op.task, op.holder, op.birth, for_ms))
-        told = self.asks[op.id] = LeaseOutcome(index, holder=op.holder)
-        while len(self.asks) > MOST_ASKS:
-            self.asks.popitem(last=False)
+            return LeaseOutcome(refusal=f"{MOST_TASKS} tasks are held, and no more can be")
+        duration_ms = min(LONGEST_MS, max(LEAST_MS, op.duration_ms))
+        self._add(Lease(index, op.task, op.holder, op.incarnation, duration_ms))
+        told = self.answered_requests[op.id] = LeaseOutcome(index, holder=op.holder)
+        while len(self.answered_requests) > MOST_ASKS:
+            self.answered_requests.popitem(last=False)
         return told
 
     def _gave(self, op: Release) -> None:
-        before = self.failed.pop(op.task, None)
-        if op.failed:
-            times = 1 + (before.times if before is not None else 0)
+        before = self.failed_tasks.pop(op.task, None)
+        if op.failure:
+            times = 1 + (before.failure_count if before is not None else 0)
             rest = min(MOST_REST_MS, REST_MS * 2.0 ** min(times - 1, 20))
-            self.failed[op.task] = FailedTask(times, self.now + rest, op.failed[:200])
-            while len(self.failed) > MOST_FAILS:
-                self.failed.popitem(last=False)
+            self.failed_tasks[op.task] = FailedTask(times, self.now + rest, op.failure[:200])
+            while len(self.failed_tasks) > MOST_FAILS:
+                self.failed_tasks.popitem(last=False)
 
-    def of(self, holder: str, birth: int) -> dict[str, int]:
+    def numbers_of(self, holder: str, incarnation: int) -> dict[str, int]:
         """Numbers by task, of one life."""
-        return {one.task: one.number for one in self.lives.get((holder, birth), {}).values()}
+        return {one.task: one.number for one in self.by_holder.get((holder, incarnation), {}).values()}
 
-    def _hold(self, lease: Lease) -> None:
+    def _add(self, lease: Lease) -> None:
         self.leases[lease.task] = lease
-        life = (lease.holder, lease.birth)
-        self.lives.setdefault(life, {})[lease.task] = lease
-        self.least[life] = min(lease.for_ms, self.least.get(life, LONGEST_MS))
+        life = (lease.holder, lease.incarnation)
+        self.by_holder.setdefault(life, {})[lease.task] = lease
+        self.min_duration_ms[life] = min(lease.duration_ms, self.min_duration_ms.get(life, LONGEST_MS))
 
     def _drop(self, lease: Lease) -> None:
         del self.leases[lease.task]
-        life = (lease.holder, lease.birth)
-        del self.lives[life][lease.task]
-        if not self.lives[life]:
-            del self.lives[life], self.least[life]
+        life = (lease.holder, lease.incarnation)
+        del self.by_holder[life][lease.task]
+        if not self.by_holder[life]:
+            del self.by_holder[life], self.min_duration_ms[life]
 
-    def free(self, task: str, at: float) -> bool:
+    def is_free(self, task: str, at: float) -> bool:
         """Whether it would be granted at this time of the leaders'."""
-        rest = self.failed.get(task)
-        return task not in self.leases and (rest is None or at >= rest.until)
+        rest = self.failed_tasks.get(task)
+        return task not in self.leases and (rest is None or at >= rest.retry_at)
 
     def state(self) -> LeaseTableState:
-        return LeaseTableState(self.now, [*self.leases.values()], dict(self.failed), [*self.asks.items()])
+        return LeaseTableState(
+            self.now, [*self.leases.values()], dict(self.failed_tasks), [*self.answered_requests.items()]
+        )
 
     def restore(self, state: LeaseTableState) -> None:
         self.now = state.now
-        self.leases, self.lives, self.least = {}, {}, {}
+        self.leases, self.by_holder, self.min_duration_ms = {}, {}, {}
         for one in state.leases:
-            self._hold(one)
-        self.failed, self.asks = OrderedDict(state.failed), OrderedDict(state.asks)
+            self._add(one)
+        self.failed_tasks, self.answered_requests = (
+            OrderedDict(state.failed_tasks),
+            OrderedDict(state.answered_requests),
+        )
--- a/cherrygrade/fleet/leases/renewal_tracker.py
+++ b/cherrygrade/fleet/leases/renewal_tracker.py
@@ -17,55 +17,56 @@
 
 
 class RenewalTracker:
-    """`answered` holds the lives that hold leases; `freeing` what is on its way to be freed in this lead."""
+    """`answered_at` holds the lives that hold leases; `expiring` what is on its way to be freed in
+    this lead."""
 
     def __init__(self, drift: float) -> None:
         self.drift = drift
-        self.begun = NEVER
-        self.answered: dict[tuple[str, int], float] = {}
-        self.freeing: set[int] = set()
+        self.leading_since = NEVER
+        self.answered_at: dict[tuple[str, int], float] = {}
+        self.expiring: set[int] = set()
 
-    def lead(self, now: float) -> None:
+    def reset(self, now: float) -> None:
         """A lead begins, or goes on being none (`now` NEVER)."""
-        self.begun = now
-        self.answered.clear()
-        self.freeing.clear()
+        self.leading_since = now
+        self.answered_at.clear()
+        self.expiring.clear()
 
-    def renews(self, grants: LeaseTable, holder: str, birth: int, now: float) -> dict[str, int]:
+    def renew(self, grants: LeaseTable, holder: str, incarnation: int, now: float) -> dict[str, int]:
         """What an answer that leaves now renews, numbers by task. What is on its way to be freed is not
         renewed any more: the entry may be agreed already."""
-        self.answered[(holder, birth)] = now
-        return {t: n for t, n in grants.of(holder, birth).items() if n not in self.freeing}
+        self.answered_at[(holder, incarnation)] = now
+        return {t: n for t, n in grants.numbers_of(holder, incarnation).items() if n not in self.expiring}
 
-    def ends(self, lease: Lease) -> float:
-        return self._since((lease.holder, lease.birth)) + lease.for_ms * (1.0 + self.drift)
+    def expiry_of(self, lease: Lease) -> float:
+        return self._since((lease.holder, lease.incarnation)) + lease.duration_ms * (1.0 + self.drift)
 
     def _since(self, life: tuple[str, int]) -> float:
-        return max(self.begun, self.answered.get(life, -NEVER))
+        return max(self.leading_since, self.answered_at.get(life, -NEVER))
 
-    def over(self, grants: LeaseTable, now: float, most: int = 1 << 30) -> list[Lease]:
+    def take_expired(self, grants: LeaseTable, now: float, most: int = 1 << 30) -> list[Lease]:
         """Those whose time is counted to the end, so many at most; each is told once in a lead. What it costs
         goes by how many live, not by how many leases they hold."""
         found: list[Lease] = []
-        for life, leases in grants.lives.items():
+        for life, leases in grants.by_holder.items():
             if len(found) >= most or now < self._first(grants, life):
                 continue
-            free = [one for one in leases.values() if one.number not in self.freeing]
-            found += [one for one in free if self.ends(one) <= now][: most - len(found)]
+            free = [one for one in leases.values() if one.number not in self.expiring]
+            found += [one for one in free if self.expiry_of(one) <= now][: most - len(found)]
         if found:
-            self.freeing |= {one.number for one in found}
-            self.freeing &= {one.number for one in grants.leases.values()}
-        self.answered = {life: at for life, at in self.answered.items() if life in grants.lives}
+            self.expiring |= {one.number for one in found}
+            self.expiring &= {one.number for one in grants.leases.values()}
+        self.answered_at = {life: at for life, at in self.answered_at.items() if life in grants.by_holder}
         return found
 
-    def due(self, grants: LeaseTable) -> float:
+    def next_expiry(self, grants: LeaseTable) -> float:
         """When one may be over next; it is looked for a life at a time."""
-        counts = [life for life, leases in grants.lives.items() if self._counts(leases)]
+        counts = [life for life, leases in grants.by_holder.items() if self._counts(leases)]
         return min((self._first(grants, life) for life in counts), default=NEVER)
 
     def _first(self, grants: LeaseTable, life: tuple[str, int]) -> float:
         """None of this life's is over before."""
-        return self._since(life) + grants.least[life] * (1.0 + self.drift)
+        return self._since(life) + grants.min_duration_ms[life] * (1.0 + self.drift)
 
     def _counts(self, leases: dict[str, Lease]) -> bool:
-        return not self.freeing or any(one.number not in self.freeing for one in leases.values())
+        return not self.expiring or any(one.number not in self.expiring for one in leases.values())
--- a/cherrygrade/fleet/runtime/lease_exercise.py
+++ b/cherrygrade/fleet/runtime/lease_exercise.py
@@ -57,7 +57,7 @@
         holder, clock = self.holder, self.clock
         while True:
             for task in [*holder.held]:
-                number = holder.may(task, clock())  # right before the write: the lease may have ended
+                number = holder.fencing_number(task, clock())  # right before the write: it may have ended
                 if not number:
                     continue
                 self.count += 1
@@ -65,13 +65,13 @@
                     "task": task,
                     "number": number,
                     "holder": holder.name,
-                    "birth": holder.birth,
+                    "birth": holder.incarnation,
                     "count": self.count,
                 }
                 writer.write(json.dumps(order).encode() + b"\n")
-                holder.ordered(task, number, 1)
+                holder.track_order(task, number, 1)
                 line = await reader.readuntil(b"\n")
-                holder.ordered(task, number, -1)
+                holder.track_order(task, number, -1)
                 if not json.loads(line)["done"]:  # the receiver knows a later holder: this lease is over
                     holder.held.pop(task, None)
             await asyncio.sleep(ORDER_INTERVAL_S)
--- a/cherrygrade/fleet/runtime/lease_tasks.py
+++ b/cherrygrade/fleet/runtime/lease_tasks.py
@@ -75,7 +75,7 @@
         self._log = log
         self._timer: asyncio.TimerHandle | None = None
         for task in council.drills:
-            self.client.want(task)
+            self.client.add_task(task)
 
     def start(self) -> None:
         """Begin to look for free tasks."""
@@ -102,11 +102,11 @@
     def status(self) -> dict[str, float]:
         """Return the tasks that are held here, and for how many ms yet."""
         now = self.clock()
-        return {task: round(held.ends - now) for task, held in self.holder.held.items()}
+        return {task: round(held.expires_at - now) for task, held in self.holder.held.items()}
 
     def _tick(self) -> None:
         now = self.clock()
-        renew, ended = self.holder.beat(now)
+        renew, ended = self.holder.tick(now)
         for task in ended:
             self._log("lease over", task=task)
         if renew:
@@ -142,48 +142,48 @@
         Returns:
             False where an order of the task is still out, or its lease is not held.
         """
-        number = self.holder.give(task)
+        number = self.holder.release(task)
         if number:
             await self._request_release(task, number, failed)
         return bool(number)
 
     async def _request_release(self, task: str, number: int, failed: str = "") -> None:
-        request = ReleaseLease(self.holder.ask(self.clock()), task, number, failed)
+        request = ReleaseLease(self.holder.start_request(self.clock()), task, number, failed)
         # Without an answer the lease ends by its time, or a renewal finds that it is not held here.
         with contextlib.suppress(CouncilUnreachableError):
             await self.council_server.request(request, REQUEST_TIMEOUT_S)
 
     async def _renew(self) -> None:
-        asked, same = self.holder.renew(self.clock())
-        request = RenewLeases(asked, self.holder.name, self.holder.birth, same)
+        asked, same = self.holder.start_renewal(self.clock())
+        request = RenewLeases(asked, self.holder.name, self.holder.incarnation, same)
         try:
             reply = await self.council_server.request(request, REQUEST_TIMEOUT_S)
         except CouncilUnreachableError:
             return  # leases end by their time unless a later renewal is answered
         if not isinstance(reply, LeasesRenewed):
             return
-        for task in self.holder.renewed(asked, reply.numbers, self.clock(), reply.unchanged):
+        for task in self.holder.record_renewal(asked, reply.numbers, self.clock(), reply.unchanged):
             self._log("lease lost", task=task)
-        strays, self.holder.strays = self.holder.strays, {}
+        strays, self.holder.unheld = self.holder.unheld, {}
         for task, number in strays.items():
             self._log("lease given back", task=task, number=number, why="not held here")
             await self._request_release(task, number)
 
     async def _acquire_free(self, tasks: list[str]) -> None:
-        request = ListFreeTasks(self.holder.ask(self.clock()), tasks)
+        request = ListFreeTasks(self.holder.start_request(self.clock()), tasks)
         try:
             reply = await self.council_server.request(request, REQUEST_TIMEOUT_S)
             if isinstance(reply, FreeTasks):
-                for task in self.client.told(tasks, reply.tasks, self._living(), self.clock()):
+                for task in self.client.tasks_to_acquire(tasks, reply.tasks, self._living(), self.clock()):
                     await self._acquire(task)
         except CouncilUnreachableError:
             return  # the next look asks again
 
     async def _acquire(self, task: str) -> None:
-        asked = self.holder.ask(self.clock(), task)
-        request = AcquireLease(asked, task, self.holder.name, self.holder.birth, self.council.lease_ms)
+        asked = self.holder.start_request(self.clock(), task)
+        request = AcquireLease(asked, task, self.holder.name, self.holder.incarnation, self.council.lease_ms)
         reply = await self.council_server.request(request, REQUEST_TIMEOUT_S)
-        if isinstance(reply, LeaseAcquired) and self.holder.granted(
+        if isinstance(reply, LeaseAcquired) and self.holder.record_grant(
             asked, task, reply.outcome.number, self.clock()
         ):
             self._log("lease held", task=task, number=reply.outcome.number)
--- a/cherrygrade/fleet/runtime/voter_status.py
+++ b/cherrygrade/fleet/runtime/voter_status.py
@@ -28,9 +28,12 @@
                 "task": lease.task,
                 "holder": lease.holder,
                 "number": lease.number,
-                "left_ms": round(voter.renewals.ends(lease) - now) if known.is_leader else None,
+                "left_ms": round(voter.renewals.expiry_of(lease) - now) if known.is_leader else None,
             }
             for lease in voter.state_machine.leases.leases.values()
         ],
-        "failed": {task: [one.times, one.why] for task, one in voter.state_machine.leases.failed.items()},
+        "failed": {
+            task: [one.failure_count, one.reason]
+            for task, one in voter.state_machine.leases.failed_tasks.items()
+        },
     }
--- a/cherrygrade/lab/audits/broken.py
+++ b/cherrygrade/lab/audits/broken.py
@@ -204,8 +204,8 @@
         held = self.held.get(task)
         return held.number if held is not None else 0
 
-    lease_holder.LeaseHolder.may = may  # type: ignore[method-assign]
-    lease_holder.LeaseHolder.beat = lambda self, now: (False, [])  # type: ignore[method-assign]
+    lease_holder.LeaseHolder.fencing_number = may  # type: ignore[method-assign]
+    lease_holder.LeaseHolder.tick = lambda self, now: (False, [])  # type: ignore[method-assign]
     return site
 
 
--- a/cherrygrade/lab/exploration/holders.py
+++ b/cherrygrade/lab/exploration/holders.py
@@ -122,32 +122,36 @@
 
     def _holding(self, name: str, mind: Mind) -> LeaseHolder:
         one = LeaseHolder(name, mind.life, FOR_MS, DRIFT)
-        one.asked = dict(mind.asked)
+        one.requested_at = dict(mind.asked)
         if mind.number:
             one.held[TASK] = HeldLease(TASK, mind.number, mind.ends, mind.out)
         return one
 
     def _mind(self, one: LeaseHolder, life: int) -> Mind:
         held = one.held.get(TASK)
-        asked = tuple(sorted(one.asked.items()))
-        return Mind(life, held.number, held.ends, held.out, asked) if held else Mind(life, asked=asked)
+        asked = tuple(sorted(one.requested_at.items()))
+        return (
+            Mind(life, held.number, held.expires_at, held.orders_in_flight, asked)
+            if held
+            else Mind(life, asked=asked)
+        )
 
     def _grants(self, now: Now) -> LeaseTable:
         grants = LeaseTable()
         if now.lease is not None:
-            grants._hold(now.lease)
+            grants._add(now.lease)
         return grants
 
     def _count(self, lead: Lead) -> RenewalTracker:
         count = RenewalTracker(DRIFT)
-        count.begun = lead.begun
-        count.answered = {(holder, life): at for holder, life, at in lead.answered}
-        count.freeing = {*lead.freeing}
+        count.leading_since = lead.begun
+        count.answered_at = {(holder, life): at for holder, life, at in lead.answered}
+        count.expiring = {*lead.freeing}
         return count
 
     def _lead(self, count: RenewalTracker) -> Lead:
-        answered = tuple(sorted((holder, life, at) for (holder, life), at in count.answered.items()))
-        return Lead(True, count.begun, answered, frozenset(count.freeing))
+        answered = tuple(sorted((holder, life, at) for (holder, life), at in count.answered_at.items()))
+        return Lead(True, count.leading_since, answered, frozenset(count.expiring))
 
     # Steps.
 
@@ -172,23 +176,23 @@
         bounds, mind, here = self.bounds, now.minds[at], clock(name, now.at)
         if now.asks < bounds.asks and bounds.who[now.asks : now.asks + 1] in ("", name):
             one = self._holding(name, mind)
-            one._count = now.asks
-            asked = one.ask(here)
+            one._request_count = now.asks
+            asked = one.start_request(here)
             kind = "renew" if mind.number else "take"
             word = Word(kind, name, mind.life, asked)
             more = self._put(now._replace(asks=now.asks + 1), at, self._mind(one, mind.life))
             yield f"{name} asks to {kind}", more._replace(told=more.told | self._told.mask([word]))
         one = self._holding(name, mind)
-        if (number := one.may(TASK, here)) and now.orders < bounds.orders:
-            one.ordered(TASK, number, 1)
+        if (number := one.fencing_number(TASK, here)) and now.orders < bounds.orders:
+            one.track_order(TASK, number, 1)
             order = Order(number, name, mind.life)
             if order not in now.flying:
                 more = self._put(now._replace(orders=now.orders + 1), at, self._mind(one, mind.life))
                 yield f"{name} orders", more._replace(flying=now.flying | {order})
         one = self._holding(name, mind)
         if self.planted.overtakes and mind.number:
-            one.held[TASK].out = 0
-        if bounds.gives and (number := one.give(TASK)):
+            one.held[TASK].orders_in_flight = 0
+        if bounds.gives and (number := one.release(TASK)):
             if any(order.number == number for order in now.flying):
                 raise Breach(f"{name} gave {number} back while its order is under way")
             word = Word("give", name, mind.life, "", number)
@@ -203,12 +207,12 @@
         for word in self._told.of(now.told):
             if word.holder == name and word.life == mind.life and word.kind in ("granted", "renewed"):
                 one = self._holding(name, mind)
-                if self.planted.from_answer and word.asked in one.asked:
-                    one.asked[word.asked] = here
+                if self.planted.from_answer and word.asked in one.requested_at:
+                    one.requested_at[word.asked] = here
                 if word.kind == "granted":
-                    one.granted(word.asked, TASK, word.number, here)
+                    one.record_grant(word.asked, TASK, word.number, here)
                 else:
-                    one.renewed(word.asked, {TASK: word.number} if word.number else {}, here)
+                    one.record_renewal(word.asked, {TASK: word.number} if word.number else {}, here)
                 after = self._mind(one, mind.life)
                 if after != mind:
                     yield f"{name} hears {word.kind} {word.number}", self._put(now, at, after)
@@ -224,14 +228,14 @@
                 yield "the lease is free", now._replace(newest=now.newest + 1, lease=grants.leases.get(TASK))
             elif word.kind == "renew" and (true or self.planted.unproven):
                 count = self._count(now.leads[at])
-                numbers = count.renews(self._grants(now), word.holder, word.life, here)
+                numbers = count.renew(self._grants(now), word.holder, word.life, here)
                 answer = word._replace(kind="renewed", number=numbers.get(TASK, 0), leader=name)
                 if not true:  # it knows the log as it was; what it held then
                     answer = answer._replace(number=now.lease.number if now.lease else 0)
                 yield f"{name} renews for {word.holder}", self._led(now, at, count, answer)
         if true:
             count = self._count(now.leads[at])
-            if over := count.over(self._grants(now), here):
+            if over := count.take_expired(self._grants(now), here):
                 grants = self._grants(now)
                 grants.apply(now.newest + 1, Expire(0.0, TASK, over[0].number))
                 more = now._replace(newest=now.newest + 1, lease=grants.leases.get(TASK))
@@ -251,7 +255,7 @@
             return  # answered before, by its id; or held
         told = grants.apply(index, Acquire(0.0, word.asked, TASK, word.holder, word.life, FOR_MS))
         count = self._count(now.leads[at])
-        count.answered[(word.holder, word.life)] = here
+        count.answered_at[(word.holder, word.life)] = here
         answer = word._replace(kind="granted", number=told.number)
         more = now._replace(newest=index, lease=grants.leases.get(TASK))
         yield f"{word.holder} is granted {told.number}", self._led(more, at, count, answer)
@@ -259,12 +263,12 @@
     def _change(self, now: Now) -> Now:
         at = 1 - now.true
         count = RenewalTracker(DRIFT)
-        count.lead(clock(LEADERS[at], now.at))
+        count.reset(clock(LEADERS[at], now.at))
         if self.planted.trusts:  # as the log has it: from when it was granted, or last renewed there
             old = now.leads[now.true]
             count = self._count(old)
-            count.begun = old.begun
-            count.answered = {}
+            count.leading_since = old.begun
+            count.answered_at = {}
         leads = [*now.leads]
         leads[at] = self._lead(count)
         return now._replace(true=at, leads=tuple(leads), changes=now.changes + 1)
@@ -276,7 +280,7 @@
         at = HOLDERS.index(order.holder)
         one = self._holding(order.holder, minds[at])
         if minds[at].life == order.life:
-            one.ordered(TASK, order.number, -1)
+            one.track_order(TASK, order.number, -1)
             minds[at] = self._mind(one, order.life)
         if not orders.accept(TASK, order.number):
             return now._replace(flying=flying, minds=tuple(minds))
@@ -307,6 +311,6 @@
         may = [
             (name, number)
             for name, mind in zip(HOLDERS, now.minds, strict=True)
-            if (number := self._holding(name, mind).may(TASK, clock(name, now.at)))
+            if (number := self._holding(name, mind).fencing_number(TASK, clock(name, now.at)))
         ]
         return f"both may act: {may}" if len(may) > 1 else ""
