--- a/cherrygrade/fleet/config/live_changes.py
+++ b/cherrygrade/fleet/config/live_changes.py
@@ -48,14 +48,14 @@
     """What differs between two sites. Keys are as in the record (`plans.gold.limit_rate`), sorted.
 
     Attributes:
-        live: Keys that may change while a dispatcher runs.
-        restart: Keys that need a restart; any of them refuses the version.
-        divisors: What quota parts move away from; None where none move.
+        live_keys: Keys that may change while a dispatcher runs.
+        restart_keys: Keys that need a restart; any of them refuses the version.
+        old_divisors: What quota parts move away from; None where none move.
     """
 
-    live: list[str]
-    restart: list[str]
-    divisors: QuotaDivisors | None = None
+    live_keys: list[str]
+    restart_keys: list[str]
+    old_divisors: QuotaDivisors | None = None
 
 
 def quota_divisors(site: SiteSettings) -> QuotaDivisors:
--- a/cherrygrade/fleet/config/replica.py
+++ b/cherrygrade/fleet/config/replica.py
@@ -207,7 +207,7 @@
             self.store.add(version)
             self.witnesses.believed = StageDigest(stage, version.digest_prefix)
         if leader_confirmed:
-            self.witnesses.heard = True
+            self.witnesses.has_confirmation = True
             self._update_certainty()
         return self._apply_believed()
 
@@ -328,12 +328,12 @@
         digest_prefix = statement.digest_prefix
         joint_stage = statement.stage & ~1
         for stage in (statement.stage, joint_stage):
-            if self.witnesses.heard and stage <= self.believed.stage:
+            if self.witnesses.has_confirmation and stage <= self.believed.stage:
                 continue
             names = self.witnesses.supporters(stage, digest_prefix)
             if not self.witnesses.suffice(names):
                 continue
-            self.witnesses.heard = True
+            self.witnesses.has_confirmation = True
             if stage > self.believed.stage:
                 self.witnesses.believe(stage, digest_prefix, names)
                 self.fetch.restart()
@@ -341,7 +341,7 @@
             self._update_certainty()
 
     def _update_certainty(self) -> None:
-        if not self._is_certain and self.witnesses.heard and self.stage >= self.believed.stage:
+        if not self._is_certain and self.witnesses.has_confirmation and self.stage >= self.believed.stage:
             self._is_certain = True
             self._tick_now = True
             self.witnesses.drop_statements(self.stage)
--- a/cherrygrade/fleet/config/witness_questions.py
+++ b/cherrygrade/fleet/config/witness_questions.py
@@ -63,15 +63,15 @@
     Attributes:
         pending: By nonce; emptied by answers and by time.
         query: The search that is under way; None for none.
-        asked_voters: How many questions went to voters, in all.
-        asked_members: How many questions went to other members, in all.
+        sent_to_voters: How many questions went to voters, in all.
+        sent_to_members: How many questions went to other members, in all.
     """
 
     def __init__(self, zone: str, witnesses: Witnesses, chance: SeededChance, now: float) -> None:
         self.pending: dict[int, PendingQuestion] = {}
         self.query: WitnessQuery | None = None
-        self.asked_voters = 0
-        self.asked_members = 0
+        self.sent_to_voters = 0
+        self.sent_to_members = 0
         self._zone = zone
         self._witnesses = witnesses
         self._chance = chance
@@ -215,7 +215,7 @@
         nonce = self._chance.nonce()
         self.pending[nonce] = PendingQuestion(name, now)
         if name in self._witnesses.voters:
-            self.asked_voters += 1
+            self.sent_to_voters += 1
         else:
-            self.asked_members += 1
+            self.sent_to_members += 1
         return ConfigQuestion(name, nonce)
--- a/cherrygrade/fleet/config/witnesses.py
+++ b/cherrygrade/fleet/config/witnesses.py
@@ -31,7 +31,7 @@
         adverts: By member, the highest that its adverts told above the stage in force here; MAX_ADVERTS at
             most.
         believed: The highest stage with witnesses; its stage never decreases.
-        heard: Whether witnesses told any stage, be it that there is no configuration.
+        has_confirmation: Whether witnesses told any stage, be it that there is no configuration.
     """
 
     def __init__(self, voters: list[str]) -> None:
@@ -39,7 +39,7 @@
         self.statements: dict[str, list[StageDigest]] = {}
         self.adverts: OrderedDict[str, StageDigest] = OrderedDict()
         self.believed = StageDigest(0, 0)
-        self.heard = False
+        self.has_confirmation = False
         self._doubts: dict[str, tuple[int, float]] = {}  # by member: times in a row, and until when
 
     def add_advert(self, name: str, advert: StageDigest) -> bool:
--- a/cherrygrade/gateway/overlay.py
+++ b/cherrygrade/gateway/overlay.py
@@ -65,7 +65,7 @@
             old = self.site(before)
         except RecordError:  # it was refused here too
             old, before = self.own, ""
-        restart = setting_changes(old, new).restart
+        restart = setting_changes(old, new).restart_keys
         if restart:
             return needs(restart), None, None
         lost = {key for key in names(before) - names(text) if _deals(key)} - _gone(old, new)
--- a/cherrygrade/gateway/process.py
+++ b/cherrygrade/gateway/process.py
@@ -430,7 +430,7 @@
             site = await loop.run_in_executor(None, self.overlay.site, version.text)
         except RecordError as wrong:
             return told(wrong)
-        restart = setting_changes(self._in_force[0], site).restart
+        restart = setting_changes(self._in_force[0], site).restart_keys
         if restart:
             return needs(restart)
         if self.done.done():
--- a/cherrygrade/lab/exploration/config.py
+++ b/cherrygrade/lab/exploration/config.py
@@ -189,7 +189,7 @@
         if mind.number:
             one.version = self.log.forged if mind.forged else self.versions[mind.number]
             one.store.add(one.version)
-        one._is_certain, one.witnesses.heard = mind.sure, mind.heard
+        one._is_certain, one.witnesses.has_confirmation = mind.sure, mind.heard
         one.witnesses.believed = StageDigest(mind.believed[0], self._mark(mind.believed[1]))
         one.witnesses.statements = {
             by: [StageDigest(s, self._mark(m)) for s, m in words] for by, words in mind.said
@@ -214,7 +214,7 @@
             number=one.version.number if one.version is not None else 0,
             forged=one.version is not None and one.version.text == self.log.forged.text,
             sure=one._is_certain,
-            heard=one.witnesses.heard,
+            heard=one.witnesses.has_confirmation,
             believed=believed,
             said=words,
             asks=frozenset((nonce, by) for nonce, (by, _) in one.questions.pending.items()),
--- a/cherrygrade/lab/scale/follow.py
+++ b/cherrygrade/lab/scale/follow.py
@@ -62,8 +62,8 @@
     replica = config.replica
     return {
         "in_force": replica.stage // 2,
-        "asked_voters": replica.questions.asked_voters,
-        "asked_members": replica.questions.asked_members,
+        "asked_voters": replica.questions.sent_to_voters,
+        "asked_members": replica.questions.sent_to_members,
         "fetched_bytes": config.fetched_bytes,
         "given_bytes": config.sent_bytes,
     }
--- a/tests/fleet/config/test_config_replica.py
+++ b/tests/fleet/config/test_config_replica.py
@@ -202,7 +202,7 @@
     one = One()
 
     def played(ms: float) -> int:
-        begun, before = one.now, one.replica.questions.asked_members + one.replica.questions.asked_voters
+        begun, before = one.now, one.replica.questions.sent_to_members + one.replica.questions.sent_to_voters
         while one.now < begun + ms:
             one.hint("d1", 99, 66)
             one.beat(50.0)
@@ -210,7 +210,7 @@
                 told = (99, 66) if name == "d1" else (0, 0)
                 one.do(one.replica.receive_statement(name, *told, one.now, nonce))
             one.which = []
-        return one.replica.questions.asked_members + one.replica.questions.asked_voters - before
+        return one.replica.questions.sent_to_members + one.replica.questions.sent_to_voters - before
 
     first, later = played(10_000.0), 0
     played(60_000.0)
--- a/tests/fleet/config/test_live_changes.py
+++ b/tests/fleet/config/test_live_changes.py
@@ -81,23 +81,23 @@
     ],
 )
 def test_needs_a_restart(file: Path, extra: str, key: str) -> None:
-    assert differ(file, extra).restart == [key]
+    assert differ(file, extra).restart_keys == [key]
 
 
 def test_budget_that_comes_is_live(file: Path, tmp_path: Path) -> None:
     other = tmp_path / "b.rec"
     other.write_text(TEXT.replace("budget: {spare: 4, share: 0.1, span_ms: 1000}", ""))
     found = setting_changes(read_site(other), read_site(file))
-    assert found.live == ["budget.share", "budget.span_ms", "budget.spare"] and not found.restart
+    assert found.live_keys == ["budget.share", "budget.span_ms", "budget.spare"] and not found.restart_keys
 
 
 def test_divisors_move(file: Path) -> None:
     assert quota_divisors(read_site(file)) == QuotaDivisors(9, (("v", 9), ("w", 3)))
     more = differ(file, "place: dispatchers: 12")
-    assert more.live == ["place.dispatchers", "volumes.v.hosts"] and not more.restart
-    assert more.divisors == QuotaDivisors(9, (("v", 9),))
-    assert differ(file, "volumes: w: hosts: 2").divisors == QuotaDivisors(9, (("w", 3),))
-    assert differ(file, "volumes: x: {plan: plans.gold, hosts: 2}").divisors is None
+    assert more.live_keys == ["place.dispatchers", "volumes.v.hosts"] and not more.restart_keys
+    assert more.old_divisors == QuotaDivisors(9, (("v", 9),))
+    assert differ(file, "volumes: w: hosts: 2").old_divisors == QuotaDivisors(9, (("w", 3),))
+    assert differ(file, "volumes: x: {plan: plans.gold, hosts: 2}").old_divisors is None
 
 
 def test_every_setting_is_looked_at(file: Path) -> None:
--- a/tests/fleet/runtime/test_quota_parts_processes.py
+++ b/tests/fleet/runtime/test_quota_parts_processes.py
@@ -48,7 +48,7 @@
 
     def load(self, numbers: Iterable[int]) -> None:
         for number in numbers:
-            address = self.log(number, "listening")[-1]["address"]
+            address = self.log_lines(number, "listening")[-1]["address"]
             client = self.clients[number] = Client(address, f"c{number}")
             asks = [("v", 0)] * 4 + [("u", 1)] * 2
             self.tasks[number] = [asyncio.create_task(self._ask(client, *one)) for one in asks]
@@ -79,14 +79,14 @@
             told = await asyncio.gather(*(self.status(one) for one in self.running))
             return all(one["number"] == number and one["settled"] for one in told)
 
-        await self.until(holds, within_s)
+        await self.wait_until(holds, within_s)
 
     async def on(self, number: int, *numbers: int) -> None:
         async def holds() -> bool:
             told = await asyncio.gather(*(self.status(one) for one in numbers))
             return all(one["number"] == number for one in told)
 
-        await self.until(holds, 6.0)
+        await self.wait_until(holds, 6.0)
 
 
 def play(story: Callable[[Loaded], Coroutine[Any, Any, None]], folder: Path, count: int, begins: int) -> None:
@@ -100,7 +100,7 @@
             await fleet.open()
             fleet.count = count
             await story(fleet)
-            fleet.never_back()
+            fleet.assert_stages_never_decrease()
         finally:
             await fleet.close()
 
@@ -150,10 +150,10 @@
         await fleet.on(2, *range(6))
         both = fleet.now
         await asyncio.sleep(4.0)
-        assert set((await fleet.numbers()).values()) == {1, 2}
+        assert set((await fleet.version_numbers()).values()) == {1, 2}
         healed = fleet.now
         fleet.heal(6, 7, 8)
-        await fleet.all_on(2)
+        await fleet.wait_for_version(2)
         lowered = fleet.now
         await asyncio.sleep(3.0)
         node = fleet.house.nodes[0]
@@ -179,10 +179,10 @@
         begun = fleet.now
         assert await fleet.put(text(9, 300.0)) == 2
         assert await fleet.put(text(9, 30.0)) == 3
-        await fleet.all_on(3, 12.0)  # slower than the goal, with words that are so late
+        await fleet.wait_for_version(3, 12.0)  # slower than the goal, with words that are so late
         lowered = fleet.now
         await asyncio.sleep(4.0)  # words of version 2 still come
-        assert {*(await fleet.numbers()).values()} == {3}
+        assert {*(await fleet.version_numbers()).values()} == {3}
         node = fleet.house.nodes[0]
         assert over_limit(sends(node, "v", begun, lowered), 300.0, 24.0) <= 0.0
         after = sends(node, "v", lowered + SLACK_MS, fleet.now)
--- a/tests/support/configured_fleet.py
+++ b/tests/support/configured_fleet.py
@@ -27,7 +27,7 @@
 
 VOTERS = ["d0", "d1", "d2"]
 FLEET = "configured"
-WITHIN_S = 6.0  # the goal, and what stories hold it to
+MAX_SPREAD_S = 6.0  # the goal, and what stories hold it to
 SITE = """
 place: {{name: "d{n}", listen: "127.0.0.1:0", register: "{register}", number: {n}, dispatchers: {count}}}
 workloads: {{
@@ -46,7 +46,7 @@
 """
 
 
-def limit(rate: int) -> str:
+def limit_text(rate: int) -> str:
     """A version's text."""
     return f"plans: plan: {{usual_rate: 1000, limit_rate: {rate}, limit_depth: 100}}\n"
 
@@ -70,22 +70,23 @@
     return found
 
 
-class Told(Ways):
-    """What passes between the dispatchers, by number. `mute`: whose datagrams all are lost; `refused`: whose
-    streams are broken off at once; `liars`: what they say of their configuration is replaced."""
+class FaultyNetwork(Ways):
+    """What passes between the dispatchers, by number. `datagrams_lost_from`: whose datagrams all are lost;
+    `streams_refused_from`: whose streams are broken off at once; `advert_rewriters`: what they say of their
+    configuration is replaced."""
 
     def __init__(self, count: int, port: int, bound: int) -> None:
         super().__init__(count, port, bound, FLEET, 1, None)
-        self.mute: set[int] = set()
-        self.refused: set[int] = set()
-        self.liars: dict[int, Callable[[ConfigAdvert], ConfigAdvert]] = {}
+        self.datagrams_lost_from: set[int] = set()
+        self.streams_refused_from: set[int] = set()
+        self.advert_rewriters: dict[int, Callable[[ConfigAdvert], ConfigAdvert]] = {}
         self.bytes_of: dict[int, int] = {}
 
     def _came(self, data: bytes, source: int, to: int) -> None:
         self.bytes_of[source] = self.bytes_of.get(source, 0) + len(data)
-        if source in self.mute:
+        if source in self.datagrams_lost_from:
             return
-        lies = self.liars.get(source)
+        lies = self.advert_rewriters.get(source)
         if lies is not None:
             page = self.book.read(data)
             config = getattr(page, "config", None)
@@ -94,7 +95,7 @@
         super()._came(data, source, to)
 
     async def _stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if number_of(writer.get_extra_info("peername")[0]) in self.refused:
+        if number_of(writer.get_extra_info("peername")[0]) in self.streams_refused_from:
             writer.transport.abort()
             return
         await super()._stream(reader, writer)
@@ -107,16 +108,18 @@
         self.folder, self.register, self.count = folder, register, count
         ports = free_ports(2)
         self.port, self.bound = ports
-        self.ways = Told(count, *ports)
+        self.ways = FaultyNetwork(count, *ports)
         self.running: dict[int, asyncio.subprocess.Process] = {}
-        self.programs: dict[int, str] = {}  # of those that run another one: Python text before the command
+        self.code_before_start: dict[
+            int, str
+        ] = {}  # of those that run another one: Python text before the command
 
     async def open(self) -> None:
         await self.ways.start("127.0.0.1:0")
         for name in VOTERS:
             create_founding_store(self.folder / name, FLEET, name, VOTERS)
         await asyncio.gather(*(self.start(number) for number in range(self.count)))
-        await self.leader()
+        await self.wait_for_leader()
 
     async def start(self, number: int) -> None:
         contacts = [f"{host(TOLD, at)}:{self.port}" for at in (0, 1)]
@@ -135,8 +138,8 @@
         file = self.folder / f"d{number}.rec"
         file.write_text(text)
         program = ("-m", "cherrygrade")
-        if number in self.programs:
-            program = ("-c", self.programs[number] + "\nfrom cherrygrade.cli import main\nmain()\n")
+        if number in self.code_before_start:
+            program = ("-c", self.code_before_start[number] + "\nfrom cherrygrade.cli import main\nmain()\n")
         with (self.folder / f"d{number}.log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
                 sys.executable, *program, "serve", str(file),
@@ -162,75 +165,77 @@
 
     # What an operator does.
 
-    def at(self, number: int) -> str:
+    def admin_address(self, number: int) -> str:
         """Where people reach it: past the ways."""
         return f"{host(BOUND, number)}:{self.bound}"
 
-    async def put(self, text: str, at: int = 0, based_on: int = -1, within_s: float = 10.0) -> int:
+    async def put(self, text: str, via: int = 0, based_on: int = -1, within_s: float = 10.0) -> int:
         """Asked again under its id while the council elects somebody: a machine that is busy costs elections.
         ConfigUnreached where nobody leads for all that time."""
         loop, request = asyncio.get_running_loop(), PutRequest(new_request_id(), text, "a story", based_on)
         ends = loop.time() + within_s
         while True:
             try:
-                number: int = (await send_admin_request(self.at(at), request, 5.0))["number"]
+                number: int = (await send_admin_request(self.admin_address(via), request, 5.0))["number"]
                 return number
             except ConfigUnreachableError:
                 if loop.time() > ends:
                     raise
                 await asyncio.sleep(0.1)
 
-    async def show(self, number: int = 0, at: int = 0) -> dict[str, Any]:
-        return await send_admin_request(self.at(at), ShowRequest(number), 5.0)
+    async def show(self, number: int = 0, via: int = 0) -> dict[str, Any]:
+        return await send_admin_request(self.admin_address(via), ShowRequest(number), 5.0)
 
-    async def missing(self, number: int, at: int = 0) -> dict[str, str]:
-        told = await send_admin_request(self.at(at), MissingRequest(number), 5.0)
+    async def missing(self, number: int, via: int = 0) -> dict[str, str]:
+        told = await send_admin_request(self.admin_address(via), MissingRequest(number), 5.0)
         return {one["name"] or f"seat {one['seat']}": one["why"] for one in told["missing"]}
 
     # What is seen of it.
 
     async def status(self, number: int) -> dict[str, Any]:
-        found: dict[str, Any] = (await query_status(self.at(number)))["config"]
+        found: dict[str, Any] = (await query_status(self.admin_address(number)))["config"]
         return found
 
-    async def numbers(self, *but: int) -> dict[int, int]:
+    async def version_numbers(self, *excluding: int) -> dict[int, int]:
         """Which version is in force at each that runs."""
-        on = [number for number in self.running if number not in but]
+        on = [number for number in self.running if number not in excluding]
         told = await asyncio.gather(*(self.status(number) for number in on))
         return {number: one["number"] for number, one in zip(on, told, strict=True)}
 
-    async def all_on(self, number: int, within_s: float = WITHIN_S, but: tuple[int, ...] = ()) -> float:
+    async def wait_for_version(
+        self, number: int, within_s: float = MAX_SPREAD_S, excluding: tuple[int, ...] = ()
+    ) -> float:
         """Seconds until it is in force at all others that run, with one digest."""
         loop = asyncio.get_running_loop()
         begun = loop.time()
 
         async def holds() -> bool:
-            on = [one for one in self.running if one not in but]
+            on = [one for one in self.running if one not in excluding]
             told = await asyncio.gather(*(self.status(one) for one in on))
             digests = {one["digest"] for one in told}
             return {one["number"] for one in told} == {number} and len(digests) == 1
 
-        await self.until(holds, within_s)
+        await self.wait_until(holds, within_s)
         return loop.time() - begun
 
-    async def leads(self) -> bool:
+    async def has_leader(self) -> bool:
         return await self._leader() >= 0
 
-    async def leader(self) -> int:
+    async def wait_for_leader(self) -> int:
         """By what the voters say; waits for an election's end."""
-        await self.until(self.leads, 10.0)
+        await self.wait_until(self.has_leader, 10.0)
         return await self._leader()
 
     async def _leader(self) -> int:
         told = [
-            (await query_status(self.at(number)))["council"]
+            (await query_status(self.admin_address(number)))["council"]
             for number in self.running
             if number < len(VOTERS)
         ]
         named = {one["leader"] for one in told}
         return int(named.pop()[1:]) if len(named) == 1 and named != {""} else -1
 
-    async def until(self, holds: Callable[[], Coroutine[Any, Any, bool]], within_s: float) -> None:
+    async def wait_until(self, holds: Callable[[], Coroutine[Any, Any, bool]], within_s: float) -> None:
         loop = asyncio.get_running_loop()
         ends = loop.time() + within_s
         while not await holds():
@@ -246,36 +251,36 @@
                 lines.append(f"d{number}: {wrong!r}")
         return "\n".join(lines)
 
-    def log(self, number: int, event: str) -> list[dict[str, Any]]:
+    def log_lines(self, number: int, event: str) -> list[dict[str, Any]]:
         lines = (self.folder / f"d{number}.log").read_text().splitlines()
         read = [json.loads(line) for line in lines if line.startswith("{")]
         return [one for one in read if one["event"] == event]
 
-    def in_force(self, number: int) -> list[int]:
+    def stages_in_force(self, number: int) -> list[int]:
         """Stages that came into force there, over all its lives; a start puts the kept one in force again."""
-        return [one["stage"] for one in self.log(number, "configuration in force")]
+        return [one["stage"] for one in self.log_lines(number, "configuration in force")]
 
-    def never_back(self) -> None:
+    def assert_stages_never_decrease(self) -> None:
         for number in range(self.count):
-            stages = self.in_force(number)
+            stages = self.stages_in_force(number)
             assert stages == sorted(stages), (number, stages)
 
 
-def play(
+def run_scenario(
     story: Callable[[Fleet], Coroutine[Any, Any, None]],
     folder: Path,
     count: int = 5,
-    programs: dict[int, str] | None = None,
+    code_before_start: dict[int, str] | None = None,
 ) -> None:
     async def whole(house: GatewaySite) -> None:
         await house.node(0)
         await house.register.start()
         fleet = Fleet(folder, house.register.address, count)
-        fleet.programs |= programs or {}
+        fleet.code_before_start |= code_before_start or {}
         try:
             await fleet.open()
             await story(fleet)
-            fleet.never_back()
+            fleet.assert_stages_never_decrease()
         finally:
             await fleet.close()
 
