--- a/tests/golden/test_http_bytes.py
+++ b/tests/golden/test_http_bytes.py
@@ -9,7 +9,7 @@
 
 import pytest
 from support import golden
-from support.platform_site import PlatformSite, play
+from support.platform_site import PlatformSite, run_case
 
 from cherrygrade.standin.web import WebNode
 
@@ -82,7 +82,7 @@
             await asyncio.sleep(0.03)
         found.append({"discovery": square.discovery.asked[0].decode()})  # type: ignore[dict-item]
 
-    play(folder, story)
+    run_case(folder, story)
     return found
 
 
--- a/tests/http/test_http_forms.py
+++ b/tests/http/test_http_forms.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 import pytest
-from support.platform_site import PlatformSite, ask, play
+from support.platform_site import PlatformSite, client_request, run_case
 
 from cherrygrade.scheduling.model import Outcome
 from cherrygrade.scheduling.scheduler import Scheduler
@@ -147,11 +147,11 @@
     wanted = REQUESTS[form]
 
     async def story(site: PlatformSite) -> None:
-        node = await site.node()
+        node = await site.add_node()
         platform = await site.start()
-        caller = await site.caller()
+        caller = await site.connect_client()
         await write(caller.writer, wanted.wire, piece)
-        answered = await caller.answer()
+        answered = await caller.read_answer()
         assert answered is not None and answered.status == 200
         (came,) = node.came
         assert (came.target, came.fields[b"x-call-id"], came.body) == (wanted.target, CALL, wanted.body)
@@ -159,10 +159,10 @@
             assert came.fields[name] == value
         assert not {*wanted.without} & {*came.fields}
         # Nothing of it is left over: the next one on the connection is read, and nothing was refused.
-        assert (await caller.call(ask())).status == 200
+        assert (await caller.exchange(client_request())).status == 200
         assert platform.refused == 0
 
-    play(tmp_path, story)
+    run_case(tmp_path, story)
 
 
 # What is refused, though one or another reader takes it.
@@ -191,32 +191,36 @@
     tmp_path: Path, form: str, piece: int
 ) -> None:
     async def story(site: PlatformSite) -> None:
-        node = await site.node()
+        node = await site.add_node()
         platform = await site.start()
-        caller = await site.caller()
+        caller = await site.connect_client()
         await write(caller.writer, REFUSED[form], piece)
-        answered = await caller.answer()
+        answered = await caller.read_answer()
         assert answered is not None and answered.status in (400, 404)
-        assert await caller.answer() is None  # and its connection ends: what comes behind can't be told apart
+        assert (
+            await caller.read_answer() is None
+        )  # and its connection ends: what comes behind can't be told apart
         assert not node.came and platform.refused == 1
 
-    play(tmp_path, story)
+    run_case(tmp_path, story)
 
 
 @PIECES
 def test_many_requests_in_one_write_are_answered_in_order(tmp_path: Path, piece: int) -> None:
     async def story(site: PlatformSite) -> None:
-        node = await site.node()
+        node = await site.add_node()
         await site.start()
-        caller = await site.caller()
+        caller = await site.connect_client()
         paths = [TARGET + b"?n=%d" % n for n in range(12)]
-        wire = b"".join((b"\r\n" if n % 3 else b"") + ask(path.decode()) for n, path in enumerate(paths))
+        wire = b"".join(
+            (b"\r\n" if n % 3 else b"") + client_request(path.decode()) for n, path in enumerate(paths)
+        )
         await write(caller.writer, wire + b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n", piece)
-        assert [(await caller.answer()).body for _ in paths] == [b"of " + path for path in paths]
-        assert (await caller.answer()).status == 200
+        assert [(await caller.read_answer()).body for _ in paths] == [b"of " + path for path in paths]
+        assert (await caller.read_answer()).status == 200
         assert [one.target for one in node.came] == paths
 
-    play(tmp_path, story)
+    run_case(tmp_path, story)
 
 
 @PIECES
@@ -229,36 +233,36 @@
     tmp_path: Path, option: bytes, piece: int
 ) -> None:
     async def story(site: PlatformSite) -> None:
-        node = await site.node()
+        node = await site.add_node()
         platform = await site.start()
-        caller = await site.caller()
+        caller = await site.connect_client()
         wire = plain(b"Connection: " + option + b"\r\nContent-Length: 1\r\n")
         await write(caller.writer, wire, piece)
-        answered = await caller.answer()
+        answered = await caller.read_answer()
         assert (answered.status, answered.fields[b"connection"]) == (200, b"close")
-        caller.writer.write(ask())  # no more is read (RFC 9112, 9.6)
-        assert await caller.answer() is None
+        caller.writer.write(client_request())  # no more is read (RFC 9112, 9.6)
+        assert await caller.read_answer() is None
         assert len(node.came) == 1 and platform.refused == 0
 
-    play(tmp_path, story)
+    run_case(tmp_path, story)
 
 
 @PIECES
 def test_option_that_only_contains_close_closes_nothing(tmp_path: Path, piece: int) -> None:
     async def story(site: PlatformSite) -> None:
-        node = await site.node()
+        node = await site.add_node()
         await site.start()
-        caller = await site.caller()
+        caller = await site.connect_client()
         await write(caller.writer, plain(b"Connection: X-Closed\r\nContent-Length: 1\r\n"), piece)
-        assert (await caller.answer()).status == 200
+        assert (await caller.read_answer()).status == 200
         node.script.append(None)
-        caller.writer.write(ask())
-        await site.until(lambda: len(node.came) == 2)
+        caller.writer.write(client_request())
+        await site.wait_until(lambda: len(node.came) == 2)
         await write(node.peers[0], OK + b"Connection: not-close\r\nContent-Length: 4\r\n\r\nmine", piece)
-        assert (await caller.answer()).body == b"mine"
-        assert (await caller.call(ask())).status == 200 and node.made == 1
+        assert (await caller.read_answer()).body == b"mine"
+        assert (await caller.exchange(client_request())).status == 200 and node.made == 1
 
-    play(tmp_path, story)
+    run_case(tmp_path, story)
 
 
 @PIECES
@@ -266,12 +270,12 @@
 def test_client_that_expects_continue_gets_it(tmp_path: Path, framing: bytes, piece: int) -> None:
     # RFC 9110, 10.1.1: a client may hold its body back for as long as it likes.
     async def story(site: PlatformSite) -> None:
-        node = await site.node(work_ms=30.0)
+        node = await site.add_node(work_ms=30.0)
         await site.start()
         with socket.create_connection(("127.0.0.1", site.port)) as client:
             client.setblocking(False)
             # Behind another one that is open: its turn comes with that one's answer, not before.
-            await send(client, ask() + plain(b"Expect: 100-Continue \r\n" + framing, b""), piece)
+            await send(client, client_request() + plain(b"Expect: 100-Continue \r\n" + framing, b""), piece)
             got = await received(client, until=GO_ON)
             assert got.startswith(b"HTTP/1.1 200") and got.count(b"HTTP/1.1") == 2 and len(node.came) == 1
             await send(client, b"z" if framing is not CHUNKED else b"1\r\nz\r\n0\r\n\r\n", piece)
@@ -279,19 +283,19 @@
             assert got.startswith(b"HTTP/1.1 200") and got.count(b"HTTP/1.1") == 1
             assert node.came[1].body == b"z"
 
-    play(tmp_path, story)
+    run_case(tmp_path, story)
 
 
 def test_client_that_expects_continue_for_too_long_a_body_is_refused(tmp_path: Path) -> None:
     async def story(site: PlatformSite) -> None:
-        node = await site.node()
+        node = await site.add_node()
         await site.start()
-        caller = await site.caller()
+        caller = await site.connect_client()
         data = plain(b"Expect: 100-continue\r\nContent-Length: 90000000\r\n", b"")
-        assert (await caller.call(data)).status == 413
+        assert (await caller.exchange(data)).status == 413
         assert not node.came
 
-    play(tmp_path, story)
+    run_case(tmp_path, story)
 
 
 # Answers.
@@ -388,19 +392,19 @@
     wanted = ANSWERS[form]
 
     async def story(site: PlatformSite) -> None:
-        node = await site.node()
+        node = await site.add_node()
         platform = await site.start(Heard)
         node.script.append(None)
-        caller = await site.caller()
-        caller.writer.write(ask())
-        await site.until(lambda: node.came)
+        caller = await site.connect_client()
+        caller.writer.write(client_request())
+        await site.wait_until(lambda: node.came)
         await write(node.peers[0], wanted.wire, piece)
-        answered = await caller.answer()
+        answered = await caller.read_answer()
         assert answered is not None and answered.status == 200
         assert answered.body == (b"mine" if wanted.outcome is Outcome.OK else b"of " + TARGET)
         assert platform.rounds.module.told[0] == (wanted.outcome, wanted.used, dict(wanted.load))
         # The next one goes on the same connection, unless this one was its last.
-        assert (await caller.call(ask())).status == 200
+        assert (await caller.exchange(client_request())).status == 200
         assert node.made == (2 if wanted.ends else 1)
 
-    play(tmp_path, story)
+    run_case(tmp_path, story)
--- a/tests/peers/test_floods.py
+++ b/tests/peers/test_floods.py
@@ -8,30 +8,36 @@
 import psutil
 import pytest
 from support.platform_process import SOCKETS, PlatformProcess
-from support.platform_site import ask
+from support.platform_site import client_request
 
 from cherrygrade.http.reader import MessageReader
 
 pytestmark = pytest.mark.alone
 
-CUT = ask()[:-2]  # its head does not end
+CUT = client_request()[:-2]  # its head does not end
 # What each kind writes, and what it is told; None: a close will do.
 KINDS: dict[str, tuple[list[bytes], int | None]] = {
     "no HTTP": ([b"\x00\x01\x02 nonsense\r\n\r\n"], 400),
     "a head without end": ([CUT, *[b"X-More: " + b"a" * 1000 + b"\r\n"] * 40], 431),
     "many fields": ([CUT, *[b"X-%d: 1\r\n" % n for n in range(200)], b"\r\n"], 431),
-    "a body of 60 MB": ([ask(method="PUT", Content_Length="61000000"), *[bytes(65536)] * 60], 413),
+    "a body of 60 MB": ([client_request(method="PUT", Content_Length="61000000"), *[bytes(65536)] * 60], 413),
     "chunks without end": (
-        [ask(method="PUT", Content_Length=None, Transfer_Encoding="chunked"), *[b"1\r\nx\r\n" * 10000] * 12],
+        [
+            client_request(method="PUT", Content_Length=None, Transfer_Encoding="chunked"),
+            *[b"1\r\nx\r\n" * 10000] * 12,
+        ],
         413,
     ),
-    "two lengths": ([ask(method="PUT", body=b"abc", Content_Length="3\r\nContent-Length: 4")], 400),
-    "length and chunks": ([ask(method="PUT", body=b"abc", Transfer_Encoding="chunked")], 400),
-    "a class that is none": ([ask(X_Call_Class="nothing")], 400),
-    "a plan that is none": ([ask(X_Storage_Class="nothing")], 400),
-    "half a request": ([ask()[:40]], None),
+    "two lengths": (
+        [client_request(method="PUT", body=b"abc", Content_Length="3\r\nContent-Length: 4")],
+        400,
+    ),
+    "length and chunks": ([client_request(method="PUT", body=b"abc", Transfer_Encoding="chunked")], 400),
+    "a class that is none": ([client_request(X_Call_Class="nothing")], 400),
+    "a plan that is none": ([client_request(X_Storage_Class="nothing")], 400),
+    "half a request": ([client_request()[:40]], None),
     "nothing": ([], None),
-    "a flood": ([b"".join(ask(X_Call_Class="nothing") for _ in range(400))], 400),
+    "a flood": ([b"".join(client_request(X_Call_Class="nothing") for _ in range(400))], 400),
 }
 
 
@@ -77,7 +83,7 @@
     loop = asyncio.get_running_loop()
     try:
         await loop.sock_connect(sock, ("127.0.0.1", one.port))
-        await asyncio.wait_for(loop.sock_sendall(sock, b"".join(ask() for _ in range(300))), 1.0)
+        await asyncio.wait_for(loop.sock_sendall(sock, b"".join(client_request() for _ in range(300))), 1.0)
         await asyncio.sleep(2.0)
     except (TimeoutError, ConnectionError):
         pass
@@ -90,16 +96,20 @@
         one = PlatformProcess(tmp_path)
         await one.start()
         try:
-            usual, kept = await one.caller(), psutil.Process(one.process.pid)
+            usual, kept = await one.connect_client(), psutil.Process(one.process.pid)
             before, most, served, stop = kept.memory_info().rss, 0, [], asyncio.Event()
 
             async def serve() -> None:
                 nonlocal most
                 while not stop.is_set():
                     # Each of its own key: one that follows what was given up there is taken for its repeat.
-                    answered = await usual.call(ask(f"/api/00000000000000ac/{len(served):016x}"))
+                    answered = await usual.exchange(
+                        client_request(f"/api/00000000000000ac/{len(served):016x}")
+                    )
                     served.append(answered.status if answered is not None else 0)
-                    served.append(await one.fresh(f"/api/00000000000000ac/{len(served):016x}"))
+                    served.append(
+                        await one.status_on_new_connection(f"/api/00000000000000ac/{len(served):016x}")
+                    )
                     most = max(most, kept.num_fds())
                     await asyncio.sleep(0.01)
 
@@ -119,7 +129,7 @@
             assert kept.memory_info().rss - before < 24 * 1024 * 1024
             assert {message.fields[b"x-call-class"] for message in one.node.came} == {b"read"}
         finally:
-            code = await one.end()
-        assert code == 0 and "Traceback" not in one.told()
+            code = await one.stop()
+        assert code == 0 and "Traceback" not in one.read_log()
 
     asyncio.run(asyncio.wait_for(story(), 90.0))
--- a/tests/platform/test_deploy.py
+++ b/tests/platform/test_deploy.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from support.platform_site import SETTINGS, RawClient, ask
+from support.platform_site import SETTINGS, RawClient, client_request
 from support.port_reservation import release, reserve
 
 from cherrygrade.platform.process import READY_MS
@@ -98,7 +98,7 @@
         caller = RawClient(*await asyncio.open_connection("127.0.0.1", port))
         told.answers = []
         for _ in range(3):
-            answer = await caller.call(ask())
+            answer = await caller.exchange(client_request())
             told.answers.append(answer.status if answer else 0)
             process.send_signal(signal.SIGHUP)
         here = Path(f"/proc/{process.pid}")
@@ -122,12 +122,12 @@
         release(place)
 
 
-def play(life: Coroutine[Any, Any, Started]) -> Started:
+def run_case(life: Coroutine[Any, Any, Started]) -> Started:
     return asyncio.run(asyncio.wait_for(life, 30.0))
 
 
 def test_run_is_one_process_without_forbidden_calls_modules_or_sockets(tmp_path):
-    told = play(one_life(tmp_path))
+    told = run_case(one_life(tmp_path))
     assert told.answers == [200, 200, 200] and told.code == 0
     # The shell became the program, it has no child, and the library that the bench loads can be loaded.
     assert "python" in told.program and not told.children.strip()
@@ -180,13 +180,13 @@
                 caller = RawClient(*await asyncio.open_connection("127.0.0.1", port))
             except ConnectionError:
                 continue
-            answer = await caller.call(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
+            answer = await caller.exchange(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
             answers.append(answer.status if answer else 0)
             caller.writer.close()
         took = loop.time() - began
         times = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()[11:13]
         caller = RawClient(*await asyncio.open_connection("127.0.0.1", port))
-        told = await caller.call(ask())
+        told = await caller.exchange(client_request())
         assert told is not None and told.status == 503 and told.fields[b"retry-after"] and not node.came
         caller.writer.close()
         return took, sum(map(int, times)) / os.sysconf("SC_CLK_TCK"), answers
--- a/tests/platform/test_descriptors.py
+++ b/tests/platform/test_descriptors.py
@@ -8,7 +8,7 @@
 
 import pytest
 from support.platform_process import SOCKETS, PlatformProcess
-from support.platform_site import ask
+from support.platform_site import client_request
 
 
 @pytest.mark.parametrize("crowd", ["rests", "is silent", "sends half"])
@@ -22,20 +22,20 @@
             most = 0
             for number in range(3 * SOCKETS):
                 try:
-                    caller = await one.caller()
+                    caller = await one.connect_client()
                     if crowd == "rests":
-                        await caller.call(ask())
+                        await caller.exchange(client_request())
                     elif crowd == "sends half":
-                        caller.writer.write(ask()[:-7])
+                        caller.writer.write(client_request()[:-7])
                 except ConnectionError:
                     pass
                 if not number % 16:
-                    assert await one.fresh() == 200
-                    most = max(most, one.seen.num_fds())
+                    assert await one.status_on_new_connection() == 200
+                    most = max(most, one.process_info.num_fds())
             assert most <= SOCKETS - 8  # never near the limit, so that no accept and no connect fails for it
-            before = sum(one.seen.cpu_times()[:2])
+            before = sum(one.process_info.cpu_times()[:2])
             await asyncio.sleep(1.0)
-            assert sum(one.seen.cpu_times()[:2]) - before < 0.5  # and nothing spins
+            assert sum(one.process_info.cpu_times()[:2]) - before < 0.5  # and nothing spins
 
             # Discovery is back: its watch and the connections to nodes had their places all along.
             one.discovery.down = False
@@ -44,19 +44,19 @@
                 return len(one.discovery.asked) > asked and len(one.discovery.peers) == 1
 
             asked = len(one.discovery.asked)
-            await one.until(watched, 4.0)
+            await one.wait_until(watched, 4.0)
             one.discovery.tell(one.node.entry("terminating"))
 
             async def drained() -> bool:
-                return await one.fresh() == 503
+                return await one.status_on_new_connection() == 503
 
-            await one.until(drained, 6.0)
+            await one.wait_until(drained, 6.0)
             assert not one.discovery.late(one.node)
-            told = one.told()
+            told = one.read_log()
             assert "Traceback" not in told and "Too many open files" not in told
             assert "out of system resource" not in told
         finally:
-            code = await one.end()
+            code = await one.stop()
         assert code == 0
 
     asyncio.run(asyncio.wait_for(story(), 60.0))
--- a/tests/support/platform_process.py
+++ b/tests/support/platform_process.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import psutil
-from support.platform_site import SETTINGS, RawClient, ask
+from support.platform_site import SETTINGS, RawClient, client_request
 from support.port_reservation import release, reserve
 
 from cherrygrade.standin.web import WebDiscovery, WebNode
@@ -26,16 +26,16 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.discovery, self.node = WebDiscovery(breath_s=0.5), WebNode("s-0", 0)
-        self.callers: list[RawClient] = []
+        self.clients: list[RawClient] = []
 
     async def start(self) -> None:
         await self.discovery.open()
         await self.node.open()
         self.discovery.tell(self.node.entry())
-        self.place = reserve(1)[0]
-        self.port = int(self.place.rpartition(":")[2])
+        self.address = reserve(1)[0]
+        self.port = int(self.address.rpartition(":")[2])
         config = self.folder / "config.json"
-        told = {"name": "n0", "listen": self.place, "discovery": self.discovery.address}
+        told = {"name": "n0", "listen": self.address, "discovery": self.discovery.address}
         told |= {"seed": "1", "limits": {"sockets": SOCKETS, "memory_mb": 64}, "settings": SETTINGS}
         config.write_text(json.dumps(told))
         self.log = (self.folder / "log").open("w+b")
@@ -47,46 +47,46 @@
             stderr=self.log,
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS)),
         )
-        self.seen = psutil.Process(self.process.pid)
-        await self.until(self.ready)
+        self.process_info = psutil.Process(self.process.pid)
+        await self.wait_until(self.ready)
 
-    async def until(self, holds: Callable[[], Awaitable[bool]], s: float = 15.0) -> None:
+    async def wait_until(self, holds: Callable[[], Awaitable[bool]], s: float = 15.0) -> None:
         end = asyncio.get_running_loop().time() + s
         while not await holds():
-            assert asyncio.get_running_loop().time() < end, self.told()
+            assert asyncio.get_running_loop().time() < end, self.read_log()
             await asyncio.sleep(0.02)
 
     async def ready(self) -> bool:
         try:
-            caller = await self.caller()
+            caller = await self.connect_client()
         except ConnectionError:
             return False
-        answered = await caller.call(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
+        answered = await caller.exchange(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
         caller.writer.close()
         return answered is not None and answered.status == 200
 
-    async def caller(self) -> RawClient:
+    async def connect_client(self) -> RawClient:
         caller = RawClient(*await asyncio.open_connection("127.0.0.1", self.port))
-        self.callers.append(caller)
+        self.clients.append(caller)
         return caller
 
-    async def fresh(self, target: str = "/api/00000000000000aa/00000000000000bb") -> int:
+    async def status_on_new_connection(self, target: str = "/api/00000000000000aa/00000000000000bb") -> int:
         """The status that a client gets that comes just now; 0 where its connection ended instead."""
-        caller = await self.caller()
-        answered = await caller.call(ask(target))
+        caller = await self.connect_client()
+        answered = await caller.exchange(client_request(target))
         caller.writer.close()
         return answered.status if answered is not None else 0
 
-    def told(self) -> str:
+    def read_log(self) -> str:
         self.log.seek(0)
         return self.log.read().decode()
 
-    async def end(self) -> int:
-        for caller in self.callers:
+    async def stop(self) -> int:
+        for caller in self.clients:
             caller.writer.close()
         self.process.send_signal(signal.SIGTERM)
         code = await asyncio.wait_for(self.process.wait(), 10.0)
-        release(self.place)
+        release(self.address)
         self.discovery.close()
         self.node.close()
         return code
--- a/tests/support/platform_site.py
+++ b/tests/support/platform_site.py
@@ -30,10 +30,10 @@
     "guarantees": {"drainGraceS": 0.25},
     "membershipMode": "push",
 }
-IDS = iter(range(1, 10**9))
+_CALL_IDS = iter(range(1, 10**9))
 
 
-def ask(
+def client_request(
     target: str = "/api/00000000000000aa/00000000000000bb",
     method: str = "GET",
     body: bytes = b"",
@@ -41,7 +41,7 @@
 ) -> bytes:
     """An RPC as a client writes it; a field given as None is left out."""
     told: dict[str, str | None] = {
-        "X-Call-Id": f"{next(IDS):016x}",
+        "X-Call-Id": f"{next(_CALL_IDS):016x}",
         "X-Call-Class": "read" if method == "GET" else "write",
         "X-Storage-Class": "plan",
         "X-Budget-Ms": "1000",
@@ -64,7 +64,7 @@
         )
         self._found: list[Message] = []
 
-    async def answer(self) -> Message | None:
+    async def read_answer(self) -> Message | None:
         """The next answer; None where the connection ended instead."""
         while not self._found:
             try:
@@ -77,9 +77,9 @@
             self._found, self._reader.messages = self._reader.messages, []
         return self._found.pop(0)
 
-    async def call(self, data: bytes) -> Message | None:
+    async def exchange(self, data: bytes) -> Message | None:
         self.writer.write(data)
-        return await self.answer()
+        return await self.read_answer()
 
 
 class PlatformSite:
@@ -88,11 +88,11 @@
         self.discovery = WebDiscovery()
         self.nodes: list[WebNode] = []
         self.logs: list[tuple[str, dict[str, Any]]] = []
-        self._callers: list[RawClient] = []
+        self._clients: list[RawClient] = []
         self.platform: PlatformDispatcher | None = None
         self.env = {"BALANCER_CONFIG": str(folder / "config.json")}
 
-    async def node(self, **build: Any) -> WebNode:
+    async def add_node(self, **build: Any) -> WebNode:
         build.setdefault("shard", len(self.nodes))
         node = WebNode(f"s-{len(self.nodes)}", **build)
         await node.open()
@@ -114,11 +114,13 @@
         (self.folder / "config.json").write_text(json.dumps(told | other))
 
     async def start(self, make: Callable[..., Any] = Scheduler, **other: Any) -> PlatformDispatcher:
-        platform = await self.begin(make, **other)
-        await self.until(lambda: platform.endpoints_known)
+        platform = await self.start_before_endpoints(make, **other)
+        await self.wait_until(lambda: platform.endpoints_known)
         return platform
 
-    async def begin(self, make: Callable[..., Any] = Scheduler, **other: Any) -> PlatformDispatcher:
+    async def start_before_endpoints(
+        self, make: Callable[..., Any] = Scheduler, **other: Any
+    ) -> PlatformDispatcher:
         """Without waiting for the first list."""
         await self.discovery.open()
         self.write_config(**other)
@@ -130,20 +132,20 @@
         self.port = await self.platform.start()
         return self.platform
 
-    async def caller(self) -> RawClient:
+    async def connect_client(self) -> RawClient:
         caller = RawClient(*await asyncio.open_connection("127.0.0.1", self.port))
-        self._callers.append(caller)
+        self._clients.append(caller)
         return caller
 
-    async def until(self, holds: Callable[[], Any], ms: float = 2000.0) -> None:
+    async def wait_until(self, holds: Callable[[], Any], ms: float = 2000.0) -> None:
         for _ in range(int(ms / 5.0)):
             if holds():
                 return
             await asyncio.sleep(0.005)
         assert holds()
 
-    async def end(self) -> None:
-        for caller in self._callers:
+    async def close(self) -> None:
+        for caller in self._clients:
             caller.writer.close()
         if self.platform is not None and not self.platform.done.done():
             self.platform.leave()
@@ -154,12 +156,12 @@
         await asyncio.sleep(0.02)
 
 
-def play(folder: Path, story: Callable[[PlatformSite], Coroutine[Any, Any, None]]) -> None:
+def run_case(folder: Path, story: Callable[[PlatformSite], Coroutine[Any, Any, None]]) -> None:
     async def whole() -> None:
         site = PlatformSite(folder)
         try:
             await story(site)
         finally:
-            await site.end()
+            await site.close()
 
     asyncio.run(asyncio.wait_for(whole(), 20.0))
