--- a/cherrygrade/compiled.py
+++ b/cherrygrade/compiled.py
@@ -1,8 +1,8 @@
-"""The scheduler in machine code: the same sources through mypyc, so the same decisions, sooner.
+"""Compiles the scheduler with mypyc: the same sources make the same decisions in less time.
 
-The compiled form is a package beside the environment's other packages, under a name of its own, and carries a
-digest of the sources that it was made from. It is used only where that digest is the present sources': an
-edited module runs as it reads until it is compiled again. Types that hosts share with the scheduler
+The compiled modules are installed into the environment as a package of their own, with a digest of the
+sources that they were made from. They are used only if that digest matches the present sources; after an edit
+the sources are interpreted until they are compiled again. The types that hosts share with the scheduler
 (`scheduling/model.py`) are never compiled.
 """
 
@@ -21,14 +21,20 @@
 from cherrygrade.scheduling import scheduler
 
 PACKAGE = "cherrygrade_compiled_scheduling"
+"""Name of the package of compiled modules."""
+
 SOURCE_PACKAGE = "cherrygrade.scheduling"
+"""Name of the package that is compiled."""
+
 SOURCES = Path(str(scheduler.__file__)).resolve().parent
+"""Folder of the package that is compiled."""
+
 NOT_COMPILED = ("__init__.py", "model.py", "round_inputs.py", "start_settings.py")
-"""Shared with hosts, or the hosts' side of the scheduler."""
+"""Modules that are not compiled, since hosts use their types or run them themselves."""
 
 
 def source_digest() -> str:
-    """Of all modules of the package, as they read now."""
+    """Return a digest of all modules of the source package as they are now."""
     digest = hashlib.blake2b(digest_size=12)
     for file in sorted(SOURCES.glob("*.py")):
         digest.update(file.name.encode() + b"\0" + file.read_bytes())
@@ -36,7 +42,7 @@
 
 
 def scheduler_class() -> tuple[type[scheduler.Scheduler], bool]:
-    """The scheduler's class, and whether it is the compiled one."""
+    """Return the class of the scheduler, and whether it is the compiled one."""
     try:
         package = importlib.import_module(PACKAGE)
     except ImportError:
@@ -44,31 +50,31 @@
     if getattr(package, "DIGEST", "") != source_digest():
         return scheduler.Scheduler, False
     module = importlib.import_module(f"{PACKAGE}.scheduler")
-    made: type[scheduler.Scheduler] = module.Scheduler
-    return made, True
+    compiled_class: type[scheduler.Scheduler] = module.Scheduler
+    return compiled_class, True
 
 
 def build() -> str:
-    """Compile into this environment.
+    """Compile the scheduler and install the result into this environment.
 
     Returns:
-        What was done.
+        A message for the operator that says what was done.
 
     Raises:
-        RuntimeError: it cannot be compiled; the program runs the sources as they read.
+        RuntimeError: The scheduler cannot be compiled; the program goes on interpreting the sources.
     """
     if scheduler_class()[1]:
-        return "the compiled module is of this source already"
+        return "the compiled scheduler is up to date with its sources"
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        modules = _lay_out(folder)
+        modules = _copy_sources(folder)
         _compile(folder, modules)
         _install(folder, Path(sysconfig.get_paths()["purelib"]))
-    return "compiled into " + Path(sysconfig.get_paths()["purelib"]).name
+    return "compiled scheduler installed into " + Path(sysconfig.get_paths()["purelib"]).name
 
 
-def _lay_out(folder: Path) -> list[str]:
-    """Copies of the sources that import each other under the compiled package's name; their paths."""
+def _copy_sources(folder: Path) -> list[str]:
+    """Copy the sources, with imports of each other changed to the compiled package; return their paths."""
     package = folder / PACKAGE
     package.mkdir()
     (package / "__init__.py").write_text(f'DIGEST = "{source_digest()}"\n')
@@ -87,17 +93,23 @@
     environment = {**os.environ, "PYTHONPATH": root, "MYPYPATH": root}
     done = subprocess.run(command, cwd=folder, capture_output=True, text=True, env=environment, check=False)
     if done.returncode or not [*folder.glob("*.so")]:
-        raise RuntimeError(f"not compiled, it runs as it reads: {(done.stderr or done.stdout)[-2000:]}")
+        raise RuntimeError(
+            "compiling the scheduler failed, its sources are interpreted instead: "
+            f"{(done.stderr or done.stdout)[-2000:]}"
+        )
 
 
 def _install(folder: Path, environment: Path) -> None:
-    """Put what was built beside the environment's packages; the digest comes last."""
+    """Install what was built into the environment.
+
+    The module with the digest is written last, so that an incomplete installation is not used.
+    """
     target = environment / PACKAGE
     shutil.rmtree(target, ignore_errors=True)
     target.mkdir()
     for file in [*folder.glob("*.so"), *(folder / PACKAGE).glob("*.so")]:
-        place = environment / file.relative_to(folder)
-        new = place.with_name(f"{place.name}.new")
+        installed = environment / file.relative_to(folder)
+        new = installed.with_name(f"{installed.name}.new")
         shutil.copy2(file, new)
-        new.replace(place)
+        new.replace(installed)
     shutil.copy2(folder / PACKAGE / "__init__.py", target / "__init__.py")
--- a/cherrygrade/wirehost/__main__.py
+++ b/cherrygrade/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m cherrygrade.wirehost`: reads batches on standard input, replies on standard output."""
+"""Runs `python -m cherrygrade.wirehost`: reads batches from standard input, replies on standard output."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     """Serve until standard input ends.
 
     Returns:
-        0; 1: standard output was closed; 2: a line was malformed.
+        The exit code. 0: standard input ended; 1: standard output was closed; 2: a line was malformed.
     """
     host = Host(sys.stdout)
     try:
--- a/cherrygrade/wirehost/host.py
+++ b/cherrygrade/wirehost/host.py
@@ -1,6 +1,6 @@
-"""Reads the bench's lines, maps ids to objects, and hosts one scheduler an instance.
+"""Reads the bench's lines, maps identifiers to objects, and hosts one scheduler per instance.
 
-Ids are known here only. No decisions.
+Identifiers of the protocol are used in this module only. It takes no decisions.
 """
 
 from __future__ import annotations
@@ -25,56 +25,58 @@
 
 
 class MalformedLineError(Exception):
-    """A line that the protocol does not allow."""
+    """A line that does not conform to the protocol."""
 
 
 class InstanceWriter:
-    """Writes one instance's decisions as lines, in the order they are made; see `DecisionSink`.
+    """Writes the decisions of one instance as lines, in the order in which they are made.
+
+    It implements `DecisionSink`.
 
     Attributes:
-        who: the instance's name.
+        name: name of the instance.
         now: time of the round, ms.
-        ended: ids of requests that got their final answer in this round.
+        finished_ids: ids of the requests that were given their final answer in this round.
     """
 
-    def __init__(self, who: str, lines: list[str]) -> None:
-        self.who = who
+    def __init__(self, name: str, lines: list[str]) -> None:
+        self.name = name
         self.now = 0.0
-        self.ended: set[str] = set()
+        self.finished_ids: set[str] = set()
         self._lines = lines
 
     def _write(self, *parts: str) -> None:
-        self._lines.append("\t".join((parts[0], self.who, *parts[1:])))
+        self._lines.append("\t".join((parts[0], self.name, *parts[1:])))
 
     def send(self, request: Request, node: Node, limit_ms: float) -> Attempt:
-        """Start an attempt that may take so long."""
+        """Start an attempt that may take up to `limit_ms`."""
         attempt = Attempt(request=request, node=node, number=len(request.attempts), sent_ms=self.now)
         request.attempts.append(attempt)
         self._write("ROUTE", request.id, seconds(limit_ms), node.address)
         return attempt
 
     def cancel(self, attempt: Attempt) -> None:
-        """No answer of this attempt is waited for any more."""
+        """Cancel an attempt."""
         self._write("RECALL", attempt.request.id, str(attempt.number))
 
     def reject(self, request: Request, retry_after_ms: float) -> None:
-        """Final answer: trying again is harmless."""
+        """Give the final answer that the request was rejected and may be retried."""
         request.finished = True
-        self.ended.add(request.id)
+        self.finished_ids.add(request.id)
         self._write("DENY", request.id, seconds(retry_after_ms))
 
     def fail(self, request: Request) -> None:
-        """Final answer: the request may have run."""
+        """Give the final answer that the request failed, and may have taken effect."""
         request.finished = True
-        self.ended.add(request.id)
+        self.finished_ids.add(request.id)
         self._write("ABORT", request.id)
 
     def wake(self, after_ms: float) -> None:
-        """Call again after so long."""
+        """Request a round after `after_ms`."""
         self._write("SCHEDULE", seconds(after_ms), "0")
 
     def check_health(self, node: Node) -> None:
-        """Send a health check."""
+        """Send a health check to the node."""
         self._write("POLL", node.address)
 
     def release(self, node: Node) -> None:
@@ -82,15 +84,15 @@
         self._write("RELEASE", node.address)
 
     def subscribe(self) -> None:
-        """Poll for the list, with changes pushed from then on."""
+        """Poll for the endpoint list and subscribe to its changes."""
         self._write("KEEP_INFORMED", "1")
 
     def fetch(self) -> None:
-        """Poll for the list once."""
+        """Poll for the endpoint list once."""
         self._write("PULL")
 
     def send_gossip(self, peer: int | None, payload: bytes) -> None:
-        """Send a message to one dispatcher, or to all."""
+        """Send a load report message to one dispatcher; None: to all."""
         self._write("BROADCAST_TO", "all" if peer is None else str(peer), base64.b64encode(payload).decode())
 
     def log(self, text: str) -> None:
@@ -100,17 +102,17 @@
 
 @dataclass
 class Instance:
-    """One dispatcher that the bench started.
+    """A dispatcher that the bench started.
 
     Attributes:
-        writer: writes its decisions.
-        scheduler: its scheduler.
-        settings: its start message.
-        requests: requests by id; dropped once finished with no attempt in flight.
-        nodes: its nodes, as long as it runs.
-        inputs: what came in for its next round.
-        ended_ids: ids that a line of this batch may have ended.
-        has_input: a line of this batch was for it.
+        writer: writes the decisions.
+        scheduler: the scheduler of the dispatcher.
+        settings: the settings of the start message.
+        requests: requests by id; removed once they are finished and have no attempt in flight.
+        nodes: the nodes that the instance was told of.
+        inputs: inputs of the next round.
+        ended_ids: ids of the requests that an input of this batch may have ended.
+        has_input: whether a line of this batch was addressed to the instance.
     """
 
     writer: InstanceWriter
@@ -127,38 +129,42 @@
         self.plans = self.settings.plans()
 
     def decide(self, now: float) -> None:
-        """One round at this time, ms."""
+        """Run a round at `now` (ms)."""
         self.inputs.decide(self.scheduler, now, self.writer)
         self._forget_ended()
         self.ended_ids.clear()
         self.has_input = False
 
     def _forget_ended(self) -> None:
-        """Drop ids that no further line can name."""
-        for request_id in self.ended_ids | self.writer.ended:
+        """Remove the requests that no further line can name."""
+        for request_id in self.ended_ids | self.writer.finished_ids:
             request = self.requests.get(request_id)
             if request is None or not request.finished:
                 continue
             if all(attempt.outcome for attempt in request.attempts):
                 del self.requests[request_id]
-        self.writer.ended.clear()
+        self.writer.finished_ids.clear()
 
 
 Fields = list[str]
-"""The tab-separated fields of a line, its name first."""
+"""The tab-separated fields of a line; the first one is the name of the line."""
 
 MAX_FIELDS = 14
+"""Number of fields that the line of an event is filled up to."""
+
 SERVER_FIELDS = 8
+"""Number of fields that the line of a server in an endpoint list is filled up to."""
+
 MAX_QUOTED = 400
-"""Characters of a malformed line that are shown."""
+"""Number of characters of a malformed line that an error shows."""
 
 
 def _ignored(fields: Fields) -> None:
-    """A line that tells nothing that is used here."""
+    """Ignore a line that carries nothing that the scheduler uses."""
 
 
 class Host:
-    """Reads lines of the bench, and answers each batch of them."""
+    """Reads the lines of the bench, and answers each batch of them with decisions."""
 
     def __init__(self, out: TextIO) -> None:
         self._out = out
@@ -181,10 +187,10 @@
         }
 
     def read(self, line: str) -> None:
-        """One line without its end.
+        """Read one line, given without its line end.
 
         Raises:
-            MalformedLineError: the protocol does not allow it.
+            MalformedLineError: The line does not conform to the protocol.
         """
         if not line:
             return
@@ -200,7 +206,7 @@
             self._now = ms(fields[1])
             return
         if self._now is None:
-            raise ValueError("line outside a batch")
+            raise ValueError("expected MARK to begin a batch")
         if self._missing_servers:
             self._read_server(fields)
         elif name == "SHEET":
@@ -217,7 +223,7 @@
 
     def _read_server(self, fields: Fields) -> None:
         if fields[0] != "SERVER":
-            raise ValueError("list cut short")
+            raise ValueError("expected a SERVER line of an unfinished list")
         self._list.append(fields[1:] + ["-"] * (SERVER_FIELDS - len(fields)))
         self._missing_servers -= 1
 
@@ -225,21 +231,21 @@
         event = self._events[fields[0]]
         instance = self._instances.get(fields[1])
         if instance is not None:
-            self._note_input(instance)
+            self._mark_input(instance)
             event(fields + ["-"] * (MAX_FIELDS - len(fields)))
 
     def _reply(self, now: float) -> None:
-        """End of a batch: a round of each instance that had input, then all decisions."""
+        """End a batch: run a round of each instance that had input, and write all decisions."""
         for instance in self._with_input:
-            who = instance.writer.who
-            if self._instances.get(who) is not instance:  # killed later in the same batch
+            name = instance.writer.name
+            if self._instances.get(name) is not instance:  # detached later in the same batch
                 continue
             instance.writer.now = now
             try:
                 instance.decide(now)
             except Exception as error:
                 text = " ".join(f"{type(error).__name__}: {error}".split())
-                self._lines.append(f"BAIL_OUT\t{who}\t{text}")
+                self._lines.append(f"BAIL_OUT\t{name}\t{text}")
         self._with_input.clear()
         self._lines.append("OK\n")
         self._out.write("\n".join(self._lines))
@@ -247,25 +253,25 @@
         self._lines.clear()
         self._now = None
 
-    def _note_input(self, instance: Instance) -> None:
+    def _mark_input(self, instance: Instance) -> None:
         if not instance.has_input:
             instance.has_input = True
             self._with_input.append(instance)
 
     def _on_born(self, fields: Fields) -> None:
-        who = fields[1]
+        name = fields[1]
         settings = StartSettings(fields[3:])
         scheduler = settings.create_scheduler(Scheduler, int(number(fields[2])))
-        writer = InstanceWriter(who, self._lines)
+        writer = InstanceWriter(name, self._lines)
         instance = Instance(writer=writer, scheduler=scheduler, settings=settings)
-        self._instances[who] = instance
-        self._note_input(instance)
+        self._instances[name] = instance
+        self._mark_input(instance)
 
     def _on_incoming(self, fields: Fields) -> None:
-        who, request_id, retry, workload, deadline, update, owner, plan, hosts, extent, shard, units = fields[
-            1:13
-        ]
-        instance = self._instances[who]
+        name, request_id, retry, workload, deadline, update, owner, plan, hosts, extent, shard, units = (
+            fields[1:13]
+        )
+        instance = self._instances[name]
         request = Request(
             workload=instance.workloads.get(workload),
             plan=instance.plans.get(plan),
@@ -283,10 +289,10 @@
         instance.inputs.arrivals.append(request)
 
     def _on_completed(self, fields: Fields) -> None:
-        (_, who, request_id, _, latency, usage, elsewhere, terminal, attempt_number, code, load) = fields[:11]
-        instance = self._instances[who]
+        (_, name, request_id, _, latency, usage, elsewhere, terminal, index, code, load) = fields[:11]
+        instance = self._instances[name]
         request = instance.requests[request_id]
-        attempt = request.attempts[int(number(attempt_number))]
+        attempt = request.attempts[int(number(index))]
         attempt.outcome = OUTCOMES[code]
         attempt.latency_ms = ms(latency)
         attempt.plan_use = (number(usage) - 1.0) / 100.0 if number(usage) >= 1.0 else None
@@ -311,11 +317,13 @@
             instance.inputs.endpoint_list_received = False
             return
         if mode not in (LIST_CHANGES, LIST_FETCHED, LIST_COMPLETE):
-            raise ValueError(f"unknown list mode {mode}")
+            raise ValueError(f"expected list mode D, F, C or X, got {mode}")
         if mode != LIST_COMPLETE:
             instance.inputs.endpoint_list_received = True
-        named = [_listed_node(instance.nodes, entry) for entry in self._lists[fields[3]]]
-        instance.inputs.endpoint_changes += instance.nodes.apply_list(named, is_complete=mode != LIST_CHANGES)
+        listed = [_listed_node(instance.nodes, entry) for entry in self._lists[fields[3]]]
+        instance.inputs.endpoint_changes += instance.nodes.apply_list(
+            listed, is_complete=mode != LIST_CHANGES
+        )
 
     def _on_note(self, fields: Fields) -> None:
         payload = b"" if fields[3] == "-" else base64.b64decode(fields[3])
@@ -323,20 +331,26 @@
 
 
 LIST_CHANGES = "D"
+"""Mode of an announced list that names only the nodes that changed."""
+
 LIST_FETCHED = "F"
+"""Mode of an announced list that answers a poll."""
+
 LIST_COMPLETE = "C"
+"""Mode of an announced list that is complete and answers no poll."""
+
 LIST_FAILED = "X"
-"""Modes of an announced list: what changed, the answer to a poll, a complete list, a poll that failed."""
+"""Mode that announces that a poll failed."""
 
 
 def _listed_node(nodes: NodeTable, entry: Fields) -> Node:
-    """The node of one entry of a list, brought up to date."""
-    address, zone, kind, shard, health, size, born = entry[:7]
+    """Return the node of a list entry, updated from the entry."""
+    address, zone, kind, shard, health, size, started = entry[:7]
     node = nodes.node(address)
     node.zone = zone
     node.kind = kind
     node.shard = int(number(shard))
     node.state = NODE_STATES[health]
     node.size = number(size)
-    node.started_ms = ms(born)
+    node.started_ms = ms(started)
     return node
