--- a/tests/scheduling/test_compiled.py
+++ b/tests/scheduling/test_compiled.py
@@ -1,4 +1,7 @@
-"""The compiled module decides as the module that can be read."""
+"""The compiled scheduler makes the same decisions as its sources.
+
+This guards against differences between mypyc and the interpreter.
+"""
 
 from __future__ import annotations
 
@@ -45,26 +48,32 @@
 ]
 
 
-class Told:
-    """Writes decisions down; `out` are the sends without an outcome."""
+class Recorder:
+    """A `DecisionSink` that writes decisions down.
+
+    Attributes:
+        now: time of the round, ms.
+        log: the decisions so far.
+        in_flight: attempts without an outcome.
+    """
 
     def __init__(self) -> None:
-        self.now, self.log, self.out = 1e6, [], []
+        self.now, self.log, self.in_flight = 1e6, [], []
 
-    def send(self, rpc, node, limit_ms):
-        send = Attempt(rpc, node, len(rpc.attempts), self.now)
-        rpc.attempts.append(send)
-        self.out.append(send)
-        self.log.append(("send", rpc.id, node.address, limit_ms))
-        return send
+    def send(self, request, node, limit_ms):
+        attempt = Attempt(request, node, len(request.attempts), self.now)
+        request.attempts.append(attempt)
+        self.in_flight.append(attempt)
+        self.log.append(("send", request.id, node.address, limit_ms))
+        return attempt
 
-    def reject(self, rpc, come_back_ms):
-        rpc.finished = True
-        self.log.append(("reject", rpc.id, come_back_ms))
+    def reject(self, request, retry_after_ms):
+        request.finished = True
+        self.log.append(("reject", request.id, retry_after_ms))
 
-    def fail(self, rpc):
-        rpc.finished = True
-        self.log.append(("error", rpc.id))
+    def fail(self, request):
+        request.finished = True
+        self.log.append(("error", request.id))
 
     def wake(self, after_ms):
         self.log.append(("wake", after_ms))
@@ -73,12 +82,13 @@
         self.log.append(("subscribe",))
 
 
-def decisions_of_seeded_run(made, seed: int) -> list:
-    chance, told = random.Random(seed), Told()
+def decisions_of_seeded_run(make, seed: int) -> list:
+    """Run 700 rounds on random inputs, and return the decisions; `make` creates the scheduler."""
+    rng, sink = random.Random(seed), Recorder()
     nodes = [
-        Node(f"n{i}", zone="z", shard=i % 5, started_ms=chance.choice([0, told.now - 500])) for i in range(6)
+        Node(f"n{i}", zone="z", shard=i % 5, started_ms=rng.choice([0, sink.now - 500])) for i in range(6)
     ]
-    module = made(
+    instance = make(
         seed=seed,
         number=1,
         dispatchers=3,
@@ -91,43 +101,48 @@
         ),
         key_rest_ms=100,
     )
-    module.decide(told.now, told, endpoint_changes=nodes)
+    instance.decide(sink.now, sink, endpoint_changes=nodes)
     for step in range(700):
-        told.now += chance.choice([0.5, 1, 3, 10, 2])
-        taken, answers, heard = [], [], []
-        for turn in range(chance.choice([0, 0, 1, 1, 2, 5])):
-            work = chance.choice(WORKLOADS)
-            key, shard = chance.choice(["", "k1", "k2", f"q{step}"]), chance.choice([-1, 0, 1, 2, 3, 4, 7])
-            taken.append(
+        sink.now += rng.choice([0.5, 1, 3, 10, 2])
+        arrivals, outcomes, endpoint_changes = [], [], []
+        for index in range(rng.choice([0, 0, 1, 1, 2, 5])):
+            workload = rng.choice(WORKLOADS)
+            key, shard = rng.choice(["", "k1", "k2", f"q{step}"]), rng.choice([-1, 0, 1, 2, 3, 4, 7])
+            arrivals.append(
                 Request(
-                    work,
-                    chance.choice(PLANS),
-                    chance.choice("xyz"),
+                    workload,
+                    rng.choice(PLANS),
+                    rng.choice("xyz"),
                     3,
                     key,
                     shard,
-                    chance.choice([1.0, 2.0, 8.0]),
-                    told.now + work.deadline_ms,
-                    id=f"{step}.{turn}",
+                    rng.choice([1.0, 2.0, 8.0]),
+                    sink.now + workload.deadline_ms,
+                    id=f"{step}.{index}",
                 )
             )
-        for send in [
-            send for send in told.out if chance.random() < 0.1 or told.now >= send.request.deadline_ms
+        for attempt in [
+            one for one in sink.in_flight if rng.random() < 0.1 or sink.now >= one.request.deadline_ms
         ]:
-            told.out.remove(send)
-            send.outcome = chance.choices(list(Outcome), [20, 1, 1, 1, 1, 1, 0.2, 0.2])[0]
-            send.latency_ms, send.units_elsewhere = told.now - send.sent_ms, chance.choice([0.0, 0.0, 2.0])
-            send.request.finished = send.request.finished or send.outcome is Outcome.OK
-            answers.append(send)
-        if chance.random() < 0.02:
-            node = chance.choice(nodes)
-            node.state = chance.choice([NodeState.LIVE, NodeState.LIVE, NodeState.DRAINING, NodeState.GONE])
-            heard = [node]
-        module.decide(told.now, told, arrivals=taken, outcomes=answers, endpoint_changes=heard)
-    return told.log
-
-
-def test_modules_stay_short_enough_to_read():
+            sink.in_flight.remove(attempt)
+            attempt.outcome = rng.choices(list(Outcome), [20, 1, 1, 1, 1, 1, 0.2, 0.2])[0]
+            attempt.latency_ms, attempt.units_elsewhere = (
+                sink.now - attempt.sent_ms,
+                rng.choice([0.0, 0.0, 2.0]),
+            )
+            attempt.request.finished = attempt.request.finished or attempt.outcome is Outcome.OK
+            outcomes.append(attempt)
+        if rng.random() < 0.02:
+            node = rng.choice(nodes)
+            node.state = rng.choice([NodeState.LIVE, NodeState.LIVE, NodeState.DRAINING, NodeState.GONE])
+            endpoint_changes = [node]
+        instance.decide(
+            sink.now, sink, arrivals=arrivals, outcomes=outcomes, endpoint_changes=endpoint_changes
+        )
+    return sink.log
+
+
+def test_no_module_is_longer_than_400_lines_or_wider_than_110_columns():
     for module in Path(scheduler.__file__).parent.glob("*.py"):
         lines = module.read_text().splitlines()
         assert len(lines) <= 400, module.name
@@ -135,8 +150,8 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_rough_days_are_decided_alike(seed):
-    made, is_compiled = compiled.scheduler_class()
+def test_compiled_scheduler_makes_the_decisions_of_its_sources(seed):
+    make, is_compiled = compiled.scheduler_class()
     if not is_compiled:
-        pytest.skip("no C compiler here: the program runs the module as it reads")
-    assert decisions_of_seeded_run(made, seed) == decisions_of_seeded_run(scheduler.Scheduler, seed)
+        pytest.skip("no compiled scheduler in this environment: its sources are interpreted")
+    assert decisions_of_seeded_run(make, seed) == decisions_of_seeded_run(scheduler.Scheduler, seed)
--- a/tests/scheduling/test_load_gossip.py
+++ b/tests/scheduling/test_load_gossip.py
@@ -1,4 +1,7 @@
-"""Words between dispatchers on fakes: what all of them know of a node, and what is done with it."""
+"""Load reports between dispatchers: their aggregation, what aggregates change, and who may send them.
+
+Further tests cover client retries, quotas and placement.
+"""
 
 from __future__ import annotations
 
@@ -19,315 +22,335 @@
     UtilityModel,
 )
 
-PEERS = SitePolicy(max_attempts=4, allows_cancel=True, max_retry_after_ms=500.0, allows_gossip=True)
-MARKS = SitePolicy(max_attempts=4, max_retry_after_ms=500.0, clients_mark_retries=True)
+GOSSIP_POLICY = SitePolicy(max_attempts=4, allows_cancel=True, max_retry_after_ms=500.0, allows_gossip=True)
+MARKED_RETRIES_POLICY = SitePolicy(max_attempts=4, max_retry_after_ms=500.0, clients_mark_retries=True)
+
 
+class GossipingFleet:
+    """Dispatchers of the same nodes whose load reports arrive without delay.
 
-class Room:
-    """Dispatchers that hear each other at once, before the same nodes."""
+    Attributes:
+        hosts: one fake host per dispatcher.
+        messages: number of messages sent.
+        dead: numbers of dispatchers that receive nothing.
+    """
 
     def __init__(self, dispatchers: int, nodes: int = 1) -> None:
         self.hosts = [
-            FakeHost(nodes, number=number, dispatchers=dispatchers, seed=number, permits=PEERS)
+            FakeHost(nodes, number=number, dispatchers=dispatchers, seed=number, permits=GOSSIP_POLICY)
             for number in range(dispatchers)
         ]
-        self.words = 0
+        self.messages = 0
         self.dead: set[int] = set()
         for number, host in enumerate(self.hosts):
-            host.send_gossip = lambda peer, word, number=number: self.tell(number, peer, word)
+            host.send_gossip = lambda peer, message, number=number: self.deliver(number, peer, message)
 
-    def tell(self, number: int, peer: int | None, word: bytes) -> None:
-        assert len(word) <= 256
-        self.words += 1
+    def deliver(self, number: int, peer: int | None, message: bytes) -> None:
+        """Deliver a message of dispatcher `number` to `peer`; None: to all living ones."""
+        assert len(message) <= 256
+        self.messages += 1
         for other, host in enumerate(self.hosts):
             if other not in (number, *self.dead) and peer in (None, other):
-                host.dispatcher.decide(host.now, host, gossip=[(number, word)])
+                host.dispatcher.decide(host.now, host, gossip=[(number, message)])
 
     def pass_time(self, ms: float) -> None:
+        """Advance all clocks in steps of 10 ms, with a round after each."""
         for _ in range(int(ms / 10.0)):
             for host in self.hosts:
                 host.now += 10.0
                 host.round()
 
-    def load(self, number: int, rounds: int, took_ms: float) -> None:
-        """One dispatcher's exports at the first node, each answered after so long."""
+    def load(self, number: int, rounds: int, latency_ms: float) -> None:
+        """Send exports from dispatcher `number` to the first node, each answered after `latency_ms`."""
         host = self.hosts[number]
         for _ in range(rounds):
             host.take(*[host.rpc(EXPORT, units=4.0) for _ in range(3)])
-            self.pass_time(took_ms)
-            for send in [send for send in host.sent if send.outcome is None]:
-                host.answer(send)
+            self.pass_time(latency_ms)
+            for attempt in [attempt for attempt in host.sent if attempt.outcome is None]:
+                host.answer(attempt)
 
 
-def test_what_one_dispatcher_has_out_is_known_to_another_that_never_sent_there():
-    room = Room(3)
-    keeper = next(iter(room.hosts[0].dispatcher.node_queues.values())).node_hash % 3
-    sender, other = (number for number in range(3) if number != keeper)
-    for host in room.hosts:
+def test_dispatcher_learns_of_waiting_at_a_node_that_only_another_one_uses():
+    fleet = GossipingFleet(3)
+    aggregator = next(iter(fleet.hosts[0].dispatcher.node_queues.values())).node_hash % 3
+    sender, other = (number for number in range(3) if number != aggregator)
+    for host in fleet.hosts:
         host.dispatcher.node_queues[host.nodes[0]].limit.window = 40.0
-    sending = room.hosts[sender]
+    sending = fleet.hosts[sender]
     for _ in range(20):
         sending.take(*[sending.rpc(EXPORT, units=4.0) for _ in range(2)])
-        room.pass_time(50.0)
-        late = [send for send in sending.sent if send.outcome is None and sending.now - send.sent_ms > 300.0]
-        for send in late:
-            sending.answer(send)
-    lane = room.hosts[other].dispatcher.node_queues[room.hosts[other].nodes[0]]
-    assert not lane.attempts and lane.latency.waiting_ms > 200.0
-    # So a read that could not be in time does not press: it goes at its late value, if at all.
-    read = room.hosts[other].rpc(READ)
-    room.hosts[other].take(read)
-    assert not room.hosts[other].dispatcher.requests[read].pressed
-
-
-def test_a_dead_keeper_costs_words_only_and_the_lane_goes_by_what_it_sees():
-    room = Room(2)
-    keeper = next(iter(room.hosts[0].dispatcher.node_queues.values())).node_hash % 2
-    room.dead.add(keeper)
-    room.load(1 - keeper, 5, 100.0)
-    host = room.hosts[1 - keeper]
-    assert sum(1 for send in host.sent if send.outcome is Outcome.OK) >= 5
+        fleet.pass_time(50.0)
+        long_waiting = [
+            attempt
+            for attempt in sending.sent
+            if attempt.outcome is None and sending.now - attempt.sent_ms > 300.0
+        ]
+        for attempt in long_waiting:
+            sending.answer(attempt)
+    queue = fleet.hosts[other].dispatcher.node_queues[fleet.hosts[other].nodes[0]]
+    assert not queue.attempts and queue.latency.waiting_ms > 200.0
+    # A read that cannot meet its latency objective is therefore not pressed, and is ranked by its late value.
+    read = fleet.hosts[other].rpc(READ)
+    fleet.hosts[other].take(read)
+    assert not fleet.hosts[other].dispatcher.requests[read].pressed
+
+
+def test_without_a_living_aggregator_a_dispatcher_uses_its_own_observations():
+    fleet = GossipingFleet(2)
+    aggregator = next(iter(fleet.hosts[0].dispatcher.node_queues.values())).node_hash % 2
+    fleet.dead.add(aggregator)
+    fleet.load(1 - aggregator, 5, 100.0)
+    host = fleet.hosts[1 - aggregator]
+    assert sum(1 for attempt in host.sent if attempt.outcome is Outcome.OK) >= 5
     assert not host.dispatcher.node_queues[host.nodes[0]].latency.is_reported(host.now)
 
 
-def test_a_keeper_forgets_what_a_dispatcher_that_died_never_ended():
-    room = Room(2)
-    keeper = next(iter(room.hosts[0].dispatcher.node_queues.values())).node_hash % 2
-    host, keeping = room.hosts[1 - keeper], room.hosts[keeper]
+def test_aggregator_forgets_attempts_whose_end_a_dead_dispatcher_never_reported():
+    fleet = GossipingFleet(2)
+    aggregator = next(iter(fleet.hosts[0].dispatcher.node_queues.values())).node_hash % 2
+    host, aggregating = fleet.hosts[1 - aggregator], fleet.hosts[aggregator]
     host.take(*[host.rpc(EXPORT, units=4.0) for _ in range(2)])
-    kept = next(iter(keeping.dispatcher.load_gossip.aggregators.values()))
-    assert sum(units for _, units in kept.sends) == 8.0
+    aggregate = next(iter(aggregating.dispatcher.load_gossip.aggregators.values()))
+    assert sum(units for _, units in aggregate.sends) == 8.0
     for _ in range(1100):
-        keeping.now += 10.0
-        keeping.round()
-    assert not kept.sends and not keeping.dispatcher.load_gossip.aggregators
+        aggregating.now += 10.0
+        aggregating.round()
+    assert not aggregate.sends and not aggregating.dispatcher.load_gossip.aggregators
 
 
-def test_what_was_passed_over_counts_no_more_and_what_only_waits_long_does():
-    # Counted out by the sender's patience, a full node looked empty: incident i5cc5d4.
-    keeper = LoadAggregator(0.0, 4.0)
+def test_overtaken_attempts_no_longer_count_and_long_waiting_ones_do():
+    # If attempts were dropped after the time that their sender waits for them, a full node would look empty
+    # (incident i5cc5d4).
+    aggregator = LoadAggregator(0.0, 4.0)
     for index in range(40):
-        keeper.receive(SENT, 2.0, 0.0, index * 50.0)
-    keeper.receive(ANSWERED, 2.0, 1950.0, 1950.0)  # the first only
-    assert len(keeper.sends) == 39
-    keeper.receive(
-        ANSWERED, 2.0, 450.0, 1950.0
-    )  # sent at 1,500: before 1,000 all ended or lost their answers
-    assert min(at for at, _ in keeper.sends) > 1000.0
-    assert len(keeper.sends) == 18
-
-
-def test_without_peers_nobody_is_told_anything():
-    host = FakeHost()  # a word would have nowhere to go: this writer has no `tell`
+        aggregator.receive(SENT, 2.0, 0.0, index * 50.0)
+    aggregator.receive(ANSWERED, 2.0, 1950.0, 1950.0)  # the first attempt; no other was overtaken
+    assert len(aggregator.sends) == 39
+    # This attempt was sent at 1,500 ms, so those sent up to 1,000 ms have ended, or their reports are lost.
+    aggregator.receive(ANSWERED, 2.0, 450.0, 1950.0)
+    assert min(sent_ms for sent_ms, _ in aggregator.sends) > 1000.0
+    assert len(aggregator.sends) == 18
+
+
+def test_without_gossip_no_load_report_is_sent():
+    host = FakeHost()  # sending would fail, since this host has no `send_gossip`
     for _ in range(20):
         host.take(host.rpc())
         host.pass_time(20.0)
-        for send in [send for send in host.sent if send.outcome is None]:
-            host.answer(send)
+        for attempt in [attempt for attempt in host.sent if attempt.outcome is None]:
+            host.answer(attempt)
     assert len(host.sent) == 20
 
 
-@pytest.mark.parametrize("word", [b"", b"\x03", b"\xff" * 256, b"\x00" * 6, b"\x03" + b"\xff" * 5])
-def test_a_word_of_nonsense_changes_nothing_that_matters(word):
-    host = FakeHost(permits=PEERS, dispatchers=2)
-    host.send_gossip = lambda peer, told: None
-    host.round(gossip=[(1, word)])
+@pytest.mark.parametrize("message", [b"", b"\x03", b"\xff" * 256, b"\x00" * 6, b"\x03" + b"\xff" * 5])
+def test_malformed_message_changes_no_decision(message):
+    host = FakeHost(permits=GOSSIP_POLICY, dispatchers=2)
+    host.send_gossip = lambda peer, payload: None
+    host.round(gossip=[(1, message)])
     host.take(host.rpc())
     assert len(host.sent) == 1 and len(host.dispatcher.load_gossip.aggregators) <= 1
 
 
-def test_only_a_nodes_keeper_tells_its_waiting_and_only_it_takes_reports():
-    # Else any peer's slip could make a node look full, and its reads rejected.
+def test_only_the_aggregator_of_a_node_publishes_its_wait_and_accepts_reports():
+    # Otherwise an error of any dispatcher could make a node look full, and its reads would be rejected.
     for peer in (0, 1, 2):
-        host = FakeHost(permits=PEERS, dispatchers=3, number=1)
-        host.send_gossip = lambda peer, told: None
-        lane = host.dispatcher.node_queues[host.nodes[0]]
-        keeper = lane.node_hash % 3
-        host.round(gossip=[(peer, pack(REPORT_FORMAT, WAITING, lane.node_hash, 10, 900))])
-        assert (lane.latency.waiting_ms == 900.0) == (peer == keeper)
-        host.round(gossip=[(peer, pack(REPORT_FORMAT, SENT, lane.node_hash, 10, 0)), (peer, b"cut")])
-        assert bool(host.dispatcher.load_gossip.aggregators) == (keeper == 1)
-        assert host.dispatcher.load_gossip.malformed == 1 + (peer != keeper) + (keeper != 1)
-
-
-def test_of_words_that_lay_while_the_dispatcher_stood_still_the_last_stands():
-    place = next(iter(FakeHost().dispatcher.node_queues.values())).node_hash
-    host = FakeHost(permits=PEERS, dispatchers=2, number=1 - place % 2)
-    host.send_gossip = lambda peer, told: None
+        host = FakeHost(permits=GOSSIP_POLICY, dispatchers=3, number=1)
+        host.send_gossip = lambda peer, payload: None
+        queue = host.dispatcher.node_queues[host.nodes[0]]
+        aggregator = queue.node_hash % 3
+        host.round(gossip=[(peer, pack(REPORT_FORMAT, WAITING, queue.node_hash, 10, 900))])
+        assert (queue.latency.waiting_ms == 900.0) == (peer == aggregator)
+        host.round(gossip=[(peer, pack(REPORT_FORMAT, SENT, queue.node_hash, 10, 0)), (peer, b"cut")])
+        assert bool(host.dispatcher.load_gossip.aggregators) == (aggregator == 1)
+        assert host.dispatcher.load_gossip.malformed == 1 + (peer != aggregator) + (aggregator != 1)
+
+
+def test_last_of_the_reports_received_after_a_pause_counts():
+    node_hash = next(iter(FakeHost().dispatcher.node_queues.values())).node_hash
+    host = FakeHost(permits=GOSSIP_POLICY, dispatchers=2, number=1 - node_hash % 2)
+    host.send_gossip = lambda peer, payload: None
     host.now += 1300.0
-    host.round(gossip=[(place % 2, pack(REPORT_FORMAT, WAITING, place, 10, wait)) for wait in (900, 400, 0)])
+    host.round(
+        gossip=[(node_hash % 2, pack(REPORT_FORMAT, WAITING, node_hash, 10, wait)) for wait in (900, 400, 0)]
+    )
     assert host.dispatcher.node_queues[host.nodes[0]].latency.waiting_ms == 0.0
 
 
-def test_silence_strikes_nobody_while_the_keeper_sees_answers():
-    # Answers get lost on their way: the node lives, and others are answered by it.
-    strikes = []
-    for heard in (False, True):
-        place = next(iter(FakeHost().dispatcher.node_queues.values())).node_hash
-        host = FakeHost(permits=PEERS, dispatchers=2, number=1 - place % 2)
-        host.send_gossip = lambda peer, told: None
-        lane = host.dispatcher.node_queues[host.nodes[0]]
+def test_silent_node_is_not_ejected_while_its_aggregator_reports_little_waiting():
+    # The answers to this dispatcher are lost on their way, but the node answers other dispatchers.
+    failures = []
+    for is_reported in (False, True):
+        node_hash = next(iter(FakeHost().dispatcher.node_queues.values())).node_hash
+        host = FakeHost(permits=GOSSIP_POLICY, dispatchers=2, number=1 - node_hash % 2)
+        host.send_gossip = lambda peer, payload: None
+        queue = host.dispatcher.node_queues[host.nodes[0]]
         host.pass_time(20.0)
         host.take(host.rpc())
         for _ in range(100):
             host.pass_time(10.0)
-            if heard:
-                lane.latency.receive_report(host.now, 0.0, 20.0)
-        strikes.append(lane.health.consecutive_failures)
-    assert strikes[0] >= 1 and strikes[1] == 0
+            if is_reported:
+                queue.latency.receive_report(host.now, 0.0, 20.0)
+        failures.append(queue.health.consecutive_failures)
+    assert failures[0] >= 1 and failures[1] == 0
+
 
+class FixedAggregator(PeerDirectory):
+    """A directory in which one dispatcher aggregates all nodes.
 
-class Others(PeerDirectory):
-    """Whoever is told to keeps all nodes."""
+    Attributes:
+        aggregator_seat: seat of that dispatcher.
+        may_publish: whether this dispatcher may publish aggregates.
+    """
 
-    keeps, told = 1, True
+    aggregator_seat, may_publish = 1, True
 
-    def aggregator(self, node):
-        return self.keeps
+    def aggregator(self, node_hash):
+        return self.aggregator_seat
 
-    def publishes(self, node, now):
-        return self.told
+    def publishes(self, node_hash, now):
+        return self.may_publish
 
 
-def test_words_go_to_whoever_keeps_the_node_now():
-    company = Others(3)
-    host = FakeHost(dispatchers=3, permits=PEERS, company=company)
-    told = []
-    host.send_gossip = lambda peer, payload: told.append(peer)
+def test_reports_go_to_the_present_aggregator():
+    peers = FixedAggregator(3)
+    host = FakeHost(dispatchers=3, permits=GOSSIP_POLICY, company=peers)
+    receivers = []
+    host.send_gossip = lambda peer, payload: receivers.append(peer)
     host.take(host.rpc())
-    company.keeps = 2  # the one before died
+    peers.aggregator_seat = 2  # the previous one died
     host.take(host.rpc())
-    assert told == [1, 2]
+    assert receivers == [1, 2]
 
 
-def test_a_new_keeper_listens_before_it_tells():
-    company = Others(3)
-    company.keeps, company.told = 0, False
-    host = FakeHost(dispatchers=3, permits=PEERS, company=company)
-    told = []
-    host.send_gossip = lambda peer, payload: told.append(peer)
+def test_new_aggregator_collects_reports_before_it_publishes():
+    peers = FixedAggregator(3)
+    peers.aggregator_seat, peers.may_publish = 0, False
+    host = FakeHost(dispatchers=3, permits=GOSSIP_POLICY, company=peers)
+    receivers = []
+    host.send_gossip = lambda peer, payload: receivers.append(peer)
     for _ in range(30):
         host.take(host.rpc())
         host.pass_time(100.0)
-    assert None not in told
-    company.told = True
+    assert None not in receivers
+    peers.may_publish = True
     for _ in range(30):
         host.take(host.rpc())
         host.pass_time(100.0)
-    assert None in told
+    assert None in receivers
 
 
-def test_one_that_yielded_its_seat_uses_no_part_of_limits_and_cold_nodes():
-    company = Others(3)
-    cold = SlowStartSettings(
+def test_dispatcher_that_forfeits_its_quota_uses_neither_limits_nor_cold_nodes():
+    peers = FixedAggregator(3)
+    slow_start = SlowStartSettings(
         base_units=12.0, cold_capacity=0.25, overload_multiple=3.0, window_ms=1000.0, warm_up_ms=4000.0
     )
     limited = ServicePlan("limited", usual_rate=100.0, limit_rate=100.0, limit_burst=50.0)
-    host = FakeHost(nodes=2, dispatchers=3, company=company, cold=cold)
+    host = FakeHost(nodes=2, dispatchers=3, company=peers, cold=slow_start)
     host.pass_time(1000.0)
-    company.forfeits_quota = True
+    peers.forfeits_quota = True
     host.nodes[1].started_ms = host.now - 1500.0
     host.take(host.rpc(plan=limited, volume="w"), host.rpc(shard=1), host.rpc())
-    assert [send.node for send in host.sent] == [host.nodes[0]] and host.sent[0].request.volume == "v"
-    company.forfeits_quota = False
+    assert [attempt.node for attempt in host.sent] == [host.nodes[0]] and host.sent[0].request.volume == "v"
+    peers.forfeits_quota = False
     host.pass_time(50.0)
-    assert {send.request.volume for send in host.sent} == {"v", "w"} and len(host.sent) == 3
+    assert {attempt.request.volume for attempt in host.sent} == {"v", "w"} and len(host.sent) == 3
 
 
-def test_a_first_try_in_haste_is_no_repeat_where_repeats_are_marked():
-    # Its client left itself little time; taken for a repeat it was late, and rejected at once. Where none is
-    # marked, one whose key was given up here is a repeat.
-    sent = []
-    for permits in (SitePolicy(max_attempts=4, max_retry_after_ms=500.0), MARKS):
-        host = FakeHost(permits=permits)
+def test_unmarked_request_with_a_short_timeout_is_no_retry_where_clients_mark_retries():
+    # If it were taken for a retry, it would be late from the start and rejected at once. Where clients do not
+    # mark retries, a request on a key that was rejected early before is one.
+    results = []
+    for policy in (SitePolicy(max_attempts=4, max_retry_after_ms=500.0), MARKED_RETRIES_POLICY):
+        host = FakeHost(permits=policy)
         host.take(host.rpc(shard=9))
         host.pass_time(500.0)
         host.dispatcher.node_queues[host.nodes[0]].latency.unit_ms = 10.0
         host.take(host.rpc(key="a"))
         host.answer(host.sent[0])
         host.pass_time(1000.0)
-        hasty = host.rpc(gives_up=90.0)
-        host.take(hasty)
-        sent.append(
-            [hasty.attempts != [], host.dispatcher.requests[hasty].pressed if hasty.attempts else None]
+        short = host.rpc(gives_up=90.0)
+        host.take(short)
+        results.append(
+            [short.attempts != [], host.dispatcher.requests[short].pressed if short.attempts else None]
         )
-    assert sent == [[True, False], [True, True]]
+    assert results == [[True, False], [True, True]]
 
 
-def test_what_lay_while_the_dispatcher_stood_still_is_late_though_unmarked():
-    host = FakeHost(permits=MARKS)
+def test_unmarked_request_that_waited_while_the_dispatcher_paused_is_late():
+    host = FakeHost(permits=MARKED_RETRIES_POLICY)
     host.take(host.rpc(EXPORT), host.rpc(key="b"))
-    for send in [*host.sent]:
-        host.answer(send)
+    for attempt in [*host.sent]:
+        host.answer(attempt)
     host.now += 900.0
     old = host.rpc(gives_up=READ.deadline_ms - 900.0)
     host.take(old)
     assert old in host.rejected or not host.dispatcher.requests[old].pressed
 
 
-def test_a_tokened_new_object_that_may_have_run_goes_back_to_its_node():
-    # Only there is a repeat dropped; it used to wait at a node that the gate never opens for it.
+def test_new_object_with_idempotency_key_is_retried_at_its_first_node():
+    # A repeat is dropped only there. Placed on another node, the retry would never be admitted.
     host = FakeHost(nodes=12)
     for node in host.nodes:
         node.zone = node.address
-    tokened = host.rpc(MARKED, shard=-1, gives_up=1500.0)
-    host.take(tokened)
+    new_object = host.rpc(MARKED, shard=-1, gives_up=1500.0)
+    host.take(new_object)
     first = host.sent[0]
     host.now += 5.0
     host.answer(first, Outcome.RESET)
     host.pass_time(50.0)
-    assert [send.node for send in host.sent] == [first.node, first.node]
+    assert [attempt.node for attempt in host.sent] == [first.node, first.node]
 
 
-def test_a_second_rpc_of_a_quiet_volume_is_still_inside_its_share():
-    # Fair-queueing time stood still where no other volume came through, so the second was beyond.
+def test_second_request_of_a_quiet_volume_is_within_its_usual_rate():
+    # Quotas are refilled by time. With fair queueing, whose virtual time stands still while no other volume
+    # sends, the second request would be beyond the rate.
     host = FakeHost(earnings=UtilityModel(within_quota=1.0, beyond_quota=0.1))
     plan = ServicePlan("quiet", usual_rate=10.0, weight=1.0)
     levels = []
     for volume in ("v", "v", "w"):
-        rpc = Request(READ, plan, volume, 4, "", 0, 1.0, host.now + 2000.0)
-        host.take(rpc)
-        levels.append(host.dispatcher.requests[rpc].utility_level)
+        request = Request(READ, plan, volume, 4, "", 0, 1.0, host.now + 2000.0)
+        host.take(request)
+        levels.append(host.dispatcher.requests[request].utility_level)
         host.pass_time(400.0)
     assert levels == [1.0, 1.0, 1.0]
 
 
-def test_a_volume_far_over_its_usual_rate_is_beyond_its_share():
+def test_last_request_of_a_volume_far_over_its_usual_rate_is_beyond_it():
     host = FakeHost(earnings=UtilityModel(within_quota=1.0, beyond_quota=0.1))
     plan = ServicePlan("loud", usual_rate=10.0)
-    rpcs = [Request(EXPORT, plan, "v", 4, "", 0, 2.0, host.now + 5000.0) for _ in range(6)]
-    host.take(*rpcs)
-    assert [host.dispatcher.requests[rpc].utility_level for rpc in rpcs][-1] == 0.1
+    requests = [Request(EXPORT, plan, "v", 4, "", 0, 2.0, host.now + 5000.0) for _ in range(6)]
+    host.take(*requests)
+    assert [host.dispatcher.requests[request].utility_level for request in requests][-1] == 0.1
 
 
-def test_an_rpc_that_its_volumes_share_does_not_hold_whole_is_beyond_it():
-    # So a small volume's large exports give way, and are not kept once late: what a full house needs.
+def test_request_that_does_not_fit_the_usual_rate_completely_is_beyond_it():
+    # Under full load, large exports of a small volume then yield to others and are rejected early once late.
     host = FakeHost(earnings=UtilityModel(within_quota=1.0, beyond_quota=0.1))
     plan = ServicePlan("small", usual_rate=10.0)
     sizes = (("a", 3.0), ("b", 4.0))
-    rpcs = [Request(EXPORT, plan, volume, 4, "", 0, units, host.now + 5000.0) for volume, units in sizes]
-    host.take(*rpcs)
-    assert [host.dispatcher.requests[rpc].utility_level for rpc in rpcs] == [1.0, 0.1]
+    requests = [Request(EXPORT, plan, volume, 4, "", 0, units, host.now + 5000.0) for volume, units in sizes]
+    host.take(*requests)
+    assert [host.dispatcher.requests[request].utility_level for request in requests] == [1.0, 0.1]
 
 
-def test_new_objects_go_where_an_answer_comes_sooner():
+def test_new_objects_go_to_the_node_with_the_lower_expected_latency():
     host = FakeHost(nodes=2)
-    slow, quick = (host.dispatcher.node_queues[node] for node in host.nodes)
-    slow.latency.unit_ms, quick.latency.unit_ms = 200.0, 10.0
+    slow, fast = (host.dispatcher.node_queues[node] for node in host.nodes)
+    slow.latency.unit_ms, fast.latency.unit_ms = 200.0, 10.0
     for _ in range(20):
         host.take(host.rpc(shard=-1))
-        for send in [send for send in host.sent if send.outcome is None]:
-            host.answer(send)
-        slow.latency.unit_ms, quick.latency.unit_ms = 200.0, 10.0
+        for attempt in [attempt for attempt in host.sent if attempt.outcome is None]:
+            host.answer(attempt)
+        slow.latency.unit_ms, fast.latency.unit_ms = 200.0, 10.0
         host.pass_time(50.0)
-    assert {send.node for send in host.sent} == {quick.node}
+    assert {attempt.node for attempt in host.sent} == {fast.node}
 
 
-def test_the_table_of_places_follows_the_list():
-    host = FakeHost(permits=PEERS, dispatchers=2)
-    host.send_gossip = lambda peer, told: None
+def test_index_by_node_hash_follows_the_endpoint_list():
+    host = FakeHost(permits=GOSSIP_POLICY, dispatchers=2)
+    host.send_gossip = lambda peer, payload: None
     host.round(endpoint_changes=[Node("10.0.9.9:1", shard=3)])
-    assert {lane.node.address for lane in host.dispatcher.load_gossip.queues_by_hash.values()} >= {
+    assert {queue.node.address for queue in host.dispatcher.load_gossip.queues_by_hash.values()} >= {
         "10.0.9.9:1",
         "10.0.0.0:1",
     }
--- a/tests/support/decision_storm.py
+++ b/tests/support/decision_storm.py
@@ -1,8 +1,8 @@
-"""Seeded storms on the decision module, written down decision by decision.
+"""Runs a scheduler on seeded random inputs, and computes digests of all of its decisions.
 
-A storm feeds one dispatcher with requests, outcomes, list changes, leavings and peers' messages drawn by a
-seed. Every decision becomes one line of text with floats in hexadecimal, so that a change in the order of
-decisions or in the last bit of an argument changes the digest.
+A run feeds one scheduler with requests, outcomes, endpoint changes, cancellations and load reports drawn from
+a seed. Every decision becomes a line of text with floats in hexadecimal, so that the digest changes with the
+order of the decisions and with the last bit of each argument.
 """
 
 from __future__ import annotations
@@ -31,6 +31,8 @@
 )
 
 ROUNDS_PER_DIGEST = 100
+"""Number of rounds after which a digest of all decisions so far is taken."""
+
 WORKLOADS = [
     Workload("interactive", 200.0, 1500.0, 3.0, 0.2),
     Workload("zone-token", 900.0, 1500.0, 2.0, 0.1, Idempotency.IDEMPOTENT_WITH_KEY, "zone", 600.0),
@@ -50,26 +52,45 @@
 
 @dataclass
 class Scenario:
-    """Settings of one storm; `shared` turns ranges of one key into candidates for one attempt."""
+    """Settings of one run.
+
+    Attributes:
+        name: key of the recorded digests, and part of the seed.
+        policy: what the site allows the scheduler to do.
+        utility: what units of work earn.
+        slow_start: how much a node that is warming up can take.
+        retry_budget: limits retries; None: no limit.
+        nodes: number of nodes at the start.
+        number: seat of the scheduler.
+        dispatchers: number of dispatchers.
+        arrivals: counts of requests per round, one of which is drawn.
+        answer_probability: probability that an attempt in flight ends in a round.
+        coalescable: whether requests on the keys key-1 and key-2 may be coalesced.
+        changing_counts: whether the numbers of dispatchers that quotas are divided among change.
+        steady: whether every attempt succeeds, while nodes are slow and fast in long phases.
+    """
 
     name: str
-    permits: SitePolicy
-    earnings: UtilityModel = field(default_factory=lambda: UtilityModel(0.5, 0.1, 2.0, 8.0, 0.0, True))
-    cold: SlowStartSettings = field(default_factory=lambda: SlowStartSettings(8.0, 0.3, 3.0, 1000.0, 4000.0))
-    budget: RetryBudgetSettings | None = None
+    policy: SitePolicy
+    utility: UtilityModel = field(default_factory=lambda: UtilityModel(0.5, 0.1, 2.0, 8.0, 0.0, True))
+    slow_start: SlowStartSettings = field(
+        default_factory=lambda: SlowStartSettings(8.0, 0.3, 3.0, 1000.0, 4000.0)
+    )
+    retry_budget: RetryBudgetSettings | None = None
     nodes: int = 6
     number: int = 1
     dispatchers: int = 3
     arrivals: tuple[int, ...] = (0, 0, 1, 1, 2, 5)
-    answer_chance: float = 0.25
-    shared: bool = False
-    moving_counts: bool = False
+    answer_probability: float = 0.25
+    coalescable: bool = False
+    changing_counts: bool = False
     steady: bool = False
-    """Every attempt succeeds; nodes turn slow and quick again in long phases."""
 
 
 SCENARIOS = [
-    Scenario("plain", SitePolicy(4, max_retry_after_ms=500.0), budget=RetryBudgetSettings(5.0, 0.2, 2000.0)),
+    Scenario(
+        "plain", SitePolicy(4, max_retry_after_ms=500.0), retry_budget=RetryBudgetSettings(5.0, 0.2, 2000.0)
+    ),
     Scenario(
         "asked-list",
         SitePolicy(3, polls_endpoints=True, max_poll_interval_ms=5000.0),
@@ -89,7 +110,7 @@
     Scenario(
         "marked-retries",
         SitePolicy(4, max_retry_after_ms=700.0, clients_mark_retries=True),
-        budget=RetryBudgetSettings(0.0, 0.1, 1000.0),
+        retry_budget=RetryBudgetSettings(0.0, 0.1, 1000.0),
         dispatchers=2,
     ),
     Scenario(
@@ -103,12 +124,16 @@
         ),
         nodes=2,
         arrivals=(0, 1, 3, 6),
-        answer_chance=0.3,
-        shared=True,
+        answer_probability=0.3,
+        coalescable=True,
     ),
-    Scenario("copies", SitePolicy(5, allows_hedging=True), dispatchers=1, number=0, answer_chance=0.1),
+    Scenario("copies", SitePolicy(5, allows_hedging=True), dispatchers=1, number=0, answer_probability=0.1),
     Scenario(
-        "many-nodes", SitePolicy(4, max_retry_after_ms=500.0), nodes=40, arrivals=(3, 5, 9), answer_chance=0.2
+        "many-nodes",
+        SitePolicy(4, max_retry_after_ms=500.0),
+        nodes=40,
+        arrivals=(3, 5, 9),
+        answer_probability=0.2,
     ),
     Scenario(
         "moving-counts",
@@ -117,10 +142,14 @@
         SlowStartSettings(20.0, 0.5, 2.0, 800.0, 6000.0),
         RetryBudgetSettings(3.0, 0.3, 1500.0),
         dispatchers=5,
-        moving_counts=True,
+        changing_counts=True,
     ),
     Scenario(
-        "overload", SitePolicy(4, max_retry_after_ms=500.0), nodes=3, arrivals=(2, 4, 6), answer_chance=0.1
+        "overload",
+        SitePolicy(4, max_retry_after_ms=500.0),
+        nodes=3,
+        arrivals=(2, 4, 6),
+        answer_probability=0.1,
     ),
     Scenario(
         "steady",
@@ -137,34 +166,41 @@
 
 
 def exact(value: float) -> str:
+    """Return a float as text without loss."""
     return float(value).hex()
 
 
 class Recorder:
-    """The writer of a storm: `lines` of what was decided, `out` the attempts without an outcome."""
+    """A `DecisionSink` that writes decisions down.
+
+    Attributes:
+        now: time of the round, ms.
+        lines: the decisions since the last round, one line each.
+        in_flight: attempts without an outcome.
+    """
 
     def __init__(self) -> None:
         self.now = 1_000_000.0
         self.lines: list[str] = []
-        self.out: list[Attempt] = []
+        self.in_flight: list[Attempt] = []
 
-    def send(self, rpc: Request, node: Node, limit_ms: float) -> Attempt:
-        send = Attempt(rpc, node, len(rpc.attempts), self.now)
-        rpc.attempts.append(send)
-        self.out.append(send)
-        self.lines.append(f"send {rpc.id} {send.number} {node.address} {exact(limit_ms)}")
-        return send
+    def send(self, request: Request, node: Node, limit_ms: float) -> Attempt:
+        attempt = Attempt(request, node, len(request.attempts), self.now)
+        request.attempts.append(attempt)
+        self.in_flight.append(attempt)
+        self.lines.append(f"send {request.id} {attempt.number} {node.address} {exact(limit_ms)}")
+        return attempt
 
-    def cancel(self, send: Attempt) -> None:
-        self.lines.append(f"cancel {send.request.id} {send.number}")
+    def cancel(self, attempt: Attempt) -> None:
+        self.lines.append(f"cancel {attempt.request.id} {attempt.number}")
 
-    def reject(self, rpc: Request, come_back_ms: float) -> None:
-        rpc.finished = True
-        self.lines.append(f"reject {rpc.id} {exact(come_back_ms)}")
+    def reject(self, request: Request, retry_after_ms: float) -> None:
+        request.finished = True
+        self.lines.append(f"reject {request.id} {exact(retry_after_ms)}")
 
-    def fail(self, rpc: Request) -> None:
-        rpc.finished = True
-        self.lines.append(f"error {rpc.id}")
+    def fail(self, request: Request) -> None:
+        request.finished = True
+        self.lines.append(f"error {request.id}")
 
     def wake(self, after_ms: float) -> None:
         self.lines.append(f"wake {exact(after_ms)}")
@@ -188,153 +224,162 @@
         self.lines.append(f"log {text}")
 
 
-class Storm:
-    """One dispatcher under one scenario and seed."""
+class RandomRun:
+    """A scheduler under one scenario and seed."""
 
     def __init__(self, make: Callable[..., Any], scenario: Scenario, seed: int) -> None:
         self.scenario = scenario
-        self.random = random.Random(f"{scenario.name}:{seed}")
-        self.writer = Recorder()
-        now = self.writer.now
+        self.rng = random.Random(f"{scenario.name}:{seed}")
+        self.sink = Recorder()
+        now = self.sink.now
         self.nodes = [
             Node(
                 f"10.0.0.{index}:7",
                 f"zone-{index % 2}",
                 "disk",
                 index % 5,
-                started_ms=self.random.choice([0.0, now - 500.0]),
+                started_ms=self.rng.choice([0.0, now - 500.0]),
             )
             for index in range(scenario.nodes)
         ]
-        self.company = PeerDirectory(scenario.dispatchers)
-        self.dispatcher = make(
+        self.peers = PeerDirectory(scenario.dispatchers)
+        self.scheduler = make(
             seed=seed,
             number=scenario.number,
             dispatchers=scenario.dispatchers,
             workloads=WORKLOADS,
-            utility=scenario.earnings,
-            slow_start=scenario.cold,
-            retry_budget=scenario.budget,
-            policy=scenario.permits,
+            utility=scenario.utility,
+            slow_start=scenario.slow_start,
+            retry_budget=scenario.retry_budget,
+            policy=scenario.policy,
             key_rest_ms=100.0,
-            peers=self.company,
+            peers=self.peers,
         )
-        self.open: list[Request] = []
-        self.step = 0
+        self.unfinished: list[Request] = []
+        self.round_number = 0
 
-    def play(self, rounds: int) -> list[str]:
-        """One digest for each ROUNDS_PER_DIGEST rounds, over all decisions so far."""
+    def run(self, rounds: int) -> list[str]:
+        """Run the rounds; return a digest of all decisions so far after each ROUNDS_PER_DIGEST of them."""
         digest, found = hashlib.sha256(), list[str]()
-        self.dispatcher.decide(self.writer.now, self.writer, endpoint_changes=self.nodes)
-        for self.step in range(1, rounds + 1):
-            self.round()
-            digest.update("\n".join([*self.writer.lines, f"round {self.step}\n"]).encode())
-            self.writer.lines.clear()
-            if self.step % ROUNDS_PER_DIGEST == 0:
+        self.scheduler.decide(self.sink.now, self.sink, endpoint_changes=self.nodes)
+        for self.round_number in range(1, rounds + 1):
+            self.run_round()
+            digest.update("\n".join([*self.sink.lines, f"round {self.round_number}\n"]).encode())
+            self.sink.lines.clear()
+            if self.round_number % ROUNDS_PER_DIGEST == 0:
                 found.append(digest.hexdigest()[:32])
         return found
 
-    def round(self) -> None:
+    def run_round(self) -> None:
+        """Advance the clock, and run one round on random inputs."""
         if self.scenario.steady:
-            self.writer.now += 30.0
-        self.writer.now += self.random.choice(
-            [0.5, 1.0, 3.0, 10.0, 2.0, 2.0, 40.0 if self.step % 50 else 700.0]
+            self.sink.now += 30.0
+        self.sink.now += self.rng.choice(
+            [0.5, 1.0, 3.0, 10.0, 2.0, 2.0, 40.0 if self.round_number % 50 else 700.0]
         )
-        if self.scenario.moving_counts and self.random.random() < 0.05:
-            self.company.dispatcher_counts = self.random.choice([(5,), (5, 7), (5, 3)])
-            self.company.forfeits_quota = self.random.random() < 0.1
-        taken = [self.request(turn) for turn in range(self.random.choice(self.scenario.arrivals))]
-        self.dispatcher.decide(
-            self.writer.now,
-            self.writer,
-            arrivals=taken,
-            outcomes=self.answers(),
-            cancellations=self.leavings(),
-            endpoint_changes=self.list_changes(),
-            endpoint_list_received=self.random.choice([None, True, False, False])
-            if self.step % 10 == 0
+        if self.scenario.changing_counts and self.rng.random() < 0.05:
+            self.peers.dispatcher_counts = self.rng.choice([(5,), (5, 7), (5, 3)])
+            self.peers.forfeits_quota = self.rng.random() < 0.1
+        arrivals = [self.request(index) for index in range(self.rng.choice(self.scenario.arrivals))]
+        self.scheduler.decide(
+            self.sink.now,
+            self.sink,
+            arrivals=arrivals,
+            outcomes=self.outcomes(),
+            cancellations=self.cancellations(),
+            endpoint_changes=self.endpoint_changes(),
+            endpoint_list_received=self.rng.choice([None, True, False, False])
+            if self.round_number % 10 == 0
             else None,
-            gossip=self.messages(),
+            gossip=self.load_reports(),
         )
-        self.open = [rpc for rpc in [*self.open, *taken] if not rpc.finished]
-
-    def request(self, turn: int) -> Request:
-        chance, now = self.random, self.writer.now
-        work = chance.choice(WORKLOADS if not self.scenario.steady else [WORKLOADS[0], WORKLOADS[4]])
-        key = chance.choice(["", "key-1", "key-2", "key-2", f"own-{self.step}-{turn}"])
-        start = 4096 * chance.randrange(24)
-        length = 4096 * chance.choice([1, 1, 2, 4])
-        joins = self.scenario.shared and key.startswith("key") and not work.ordered
+        self.unfinished = [request for request in [*self.unfinished, *arrivals] if not request.finished]
+
+    def request(self, index: int) -> Request:
+        """Return a random request; `index` is its number among the arrivals of the round."""
+        rng, now = self.rng, self.sink.now
+        workload = rng.choice(WORKLOADS if not self.scenario.steady else [WORKLOADS[0], WORKLOADS[4]])
+        key = rng.choice(["", "key-1", "key-2", "key-2", f"own-{self.round_number}-{index}"])
+        start = 4096 * rng.randrange(24)
+        length = 4096 * rng.choice([1, 1, 2, 4])
+        coalescable = self.scenario.coalescable and key.startswith("key") and not workload.ordered
         return Request(
-            None if chance.random() < 0.002 else work,
-            chance.choice(PLANS),
-            chance.choice(VOLUMES),
-            chance.choice([1, 3, self.scenario.dispatchers]),
+            None if rng.random() < 0.002 else workload,
+            rng.choice(PLANS),
+            rng.choice(VOLUMES),
+            rng.choice([1, 3, self.scenario.dispatchers]),
             key,
-            chance.choice([-1, -1, 0, 1, 2, 3, 4, 7]) if not (joins or self.scenario.steady) else 0,
-            chance.choice([1.0, 1.0, 2.0, 8.0]) if not joins else max(1.0, length / 4096.0),
-            now + work.deadline_ms * chance.choice([1.0, 1.0, 0.6, 0.1]),
-            is_write=chance.random() < 0.3,
-            is_retry=chance.random() < 0.1,
-            id=f"{self.step}.{turn}",
+            rng.choice([-1, -1, 0, 1, 2, 3, 4, 7]) if not (coalescable or self.scenario.steady) else 0,
+            rng.choice([1.0, 1.0, 2.0, 8.0]) if not coalescable else max(1.0, length / 4096.0),
+            now + workload.deadline_ms * rng.choice([1.0, 1.0, 0.6, 0.1]),
+            is_write=rng.random() < 0.3,
+            is_retry=rng.random() < 0.1,
+            id=f"{self.round_number}.{index}",
             offset=start,
-            length=length if joins else 0,
-            coalescable=joins,
+            length=length if coalescable else 0,
+            coalescable=coalescable,
         )
 
-    def answers(self) -> list[Attempt]:
-        chance, now, found = self.random, self.writer.now, list[Attempt]()
-        answer_chance = self.scenario.answer_chance
+    def outcomes(self) -> list[Attempt]:
+        """End random attempts, and those behind their deadline, and return them."""
+        rng, now, ended = self.rng, self.sink.now, list[Attempt]()
+        answer_probability = self.scenario.answer_probability
         if self.scenario.steady:
-            answer_chance = 0.06 if self.step < 150 else 0.8
-        for send in [*self.writer.out]:
-            if send.carried_by is not None or not (
-                chance.random() < answer_chance or now >= send.request.deadline_ms + 50.0
+            answer_probability = 0.06 if self.round_number < 150 else 0.8
+        for attempt in [*self.sink.in_flight]:
+            if attempt.carried_by is not None or not (
+                rng.random() < answer_probability or now >= attempt.request.deadline_ms + 50.0
             ):
                 continue
-            outcome = chance.choices([*Outcome], [30, 1, 1, 1, 1, 1, 0.2, 0.2])[0]
+            outcome = rng.choices([*Outcome], [30, 1, 1, 1, 1, 1, 0.2, 0.2])[0]
             if self.scenario.steady:
                 outcome = Outcome.OK
-            elsewhere = chance.choice([0.0, 0.0, 2.0])
-            for one in [send, *(send.coalesced or ())]:
-                self.writer.out.remove(one)
-                one.outcome, one.latency_ms, one.units_elsewhere = outcome, now - one.sent_ms, elsewhere
-                one.request.finished = one.request.finished or outcome is Outcome.OK
-                found.append(one)
-        return found
-
-    def leavings(self) -> list[Request]:
-        left = [rpc for rpc in self.open if not rpc.finished and self.random.random() < 0.005]
-        for rpc in left:
-            rpc.finished = True
-        return left
-
-    def list_changes(self) -> list[Node]:
-        chance = self.random
-        if chance.random() >= 0.04 or self.scenario.steady:
+            elsewhere = rng.choice([0.0, 0.0, 2.0])
+            for part in [attempt, *(attempt.coalesced or ())]:
+                self.sink.in_flight.remove(part)
+                part.outcome, part.latency_ms, part.units_elsewhere = outcome, now - part.sent_ms, elsewhere
+                part.request.finished = part.request.finished or outcome is Outcome.OK
+                ended.append(part)
+        return ended
+
+    def cancellations(self) -> list[Request]:
+        """Cancel random requests, and return them."""
+        cancelled = [
+            request for request in self.unfinished if not request.finished and self.rng.random() < 0.005
+        ]
+        for request in cancelled:
+            request.finished = True
+        return cancelled
+
+    def endpoint_changes(self) -> list[Node]:
+        """Change the state of a random node, or replace one that is gone, and return it."""
+        rng = self.rng
+        if rng.random() >= 0.04 or self.scenario.steady:
             return []
-        index = chance.randrange(len(self.nodes))
+        index = rng.randrange(len(self.nodes))
         node = self.nodes[index]
-        if node.state is NodeState.GONE and chance.random() < 0.5:
-            node = self.nodes[index] = Node(f"10.0.1.{self.step}:7", node.zone, "disk", node.shard)
-        node.state = chance.choice([NodeState.LIVE, NodeState.LIVE, NodeState.DRAINING, NodeState.GONE])
-        if node.state is NodeState.LIVE and chance.random() < 0.5:
-            node.started_ms = self.writer.now - chance.choice([0.0, 300.0, 3000.0])
+        if node.state is NodeState.GONE and rng.random() < 0.5:
+            node = self.nodes[index] = Node(f"10.0.1.{self.round_number}:7", node.zone, "disk", node.shard)
+        node.state = rng.choice([NodeState.LIVE, NodeState.LIVE, NodeState.DRAINING, NodeState.GONE])
+        if node.state is NodeState.LIVE and rng.random() < 0.5:
+            node.started_ms = self.sink.now - rng.choice([0.0, 300.0, 3000.0])
         return [node]
 
-    def messages(self) -> list[tuple[int, bytes]]:
-        chance = self.random
-        if not self.scenario.permits.allows_gossip or chance.random() >= 0.3:
+    def load_reports(self) -> list[tuple[int, bytes]]:
+        """Return random load reports of random senders, some of them cut short or on an unknown node."""
+        rng = self.rng
+        if not self.scenario.policy.allows_gossip or rng.random() >= 0.3:
             return []
-        lane_marks = [*self.dispatcher.load_gossip.queues_by_hash]
+        node_hashes = [*self.scheduler.load_gossip.queues_by_hash]
         found = list[tuple[int, bytes]]()
-        for _ in range(chance.choice([1, 1, 3])):
-            mark = chance.choice(lane_marks) if chance.random() < 0.95 else 7
-            report = pack(">BHBH", chance.randrange(5), mark, chance.randrange(256), chance.randrange(900))
-            cut = report[: chance.randrange(1, 6)] if chance.random() < 0.05 else report
-            found.append((chance.randrange(self.scenario.dispatchers), cut))
+        for _ in range(rng.choice([1, 1, 3])):
+            node_hash = rng.choice(node_hashes) if rng.random() < 0.95 else 7
+            report = pack(">BHBH", rng.randrange(5), node_hash, rng.randrange(256), rng.randrange(900))
+            message = report[: rng.randrange(1, 6)] if rng.random() < 0.05 else report
+            found.append((rng.randrange(self.scenario.dispatchers), message))
         return found
 
 
 def digests(make: Callable[..., Any], scenario: Scenario, seed: int, rounds: int) -> list[str]:
-    return Storm(make, scenario, seed).play(rounds)
+    """Return the digests of one run; `make` creates the scheduler."""
+    return RandomRun(make, scenario, seed).run(rounds)
