--- a/tests/golden/test_command_line.py
+++ b/tests/golden/test_command_line.py
@@ -1,4 +1,4 @@
-"""Commands, options with their defaults, exit codes, and the form of a log line."""
+"""Commands, options, defaults, exit codes and log lines that operators' tools depend on are as recorded."""
 
 from __future__ import annotations
 
@@ -22,21 +22,22 @@
 
 
 def commands(within: App = app, path: str = "") -> dict[str, list[Any]]:
-    """Each command's arguments: names, whether it has to be given, its default."""
+    """Return the arguments of each command: names, whether the argument is required, and its default."""
     found: dict[str, list[Any]] = {}
-    for name in sorted(one for one in within if not one.startswith("-")):
+    for name in sorted(entry for entry in within if not entry.startswith("-")):
         command = within[name]
-        here = f"{path} {name}".strip()
+        command_path = f"{path} {name}".strip()
         if command.default_command is not None:
-            found[here] = [
-                [list(one.names), one.required, str(one.field_info.default)]
-                for one in command.assemble_argument_collection()
+            found[command_path] = [
+                [list(argument.names), argument.required, str(argument.field_info.default)]
+                for argument in command.assemble_argument_collection()
             ]
-        found |= commands(command, here)
+        found |= commands(command, command_path)
     return found
 
 
 def exit_code(words: list[str], folder: Path) -> int:
+    """Run the command line in a process of its own, and return the exit code."""
     filled = [word.format(root=ROOT, folder=folder, golden=golden.FOLDER) for word in words]
     done = subprocess.run(
         [sys.executable, "-m", "cherrygrade", *filled],
@@ -52,10 +53,10 @@
     assert commands() == RECORDED["commands"]
 
 
-@pytest.mark.parametrize("one", RECORDED["exit_codes"], ids=lambda one: " ".join(one["words"]))
-def test_exit_code_is_the_recorded_one(one, tmp_path):
+@pytest.mark.parametrize("case", RECORDED["exit_codes"], ids=lambda case: " ".join(case["words"]))
+def test_exit_code_is_the_recorded_one(case, tmp_path):
     (tmp_path / "wrong.rec").write_text("place: 3\n")
-    assert exit_code(one["words"], tmp_path) == one["code"]
+    assert exit_code(case["words"], tmp_path) == case["code"]
 
 
 def test_exit_codes_of_a_dispatcher_are_the_recorded_ones():
--- a/tests/golden/test_decisions.py
+++ b/tests/golden/test_decisions.py
@@ -1,4 +1,7 @@
-"""The decisions of seeded storms, held against digests that were recorded before the module was split."""
+"""The scheduler's decisions on seeded random inputs have the recorded digests, compiled and interpreted.
+
+This guards against any change of decisions, down to the order of arithmetic and the last bit of a time.
+"""
 
 from __future__ import annotations
 
@@ -17,6 +20,7 @@
 
 
 def recorded(name: str, seed: str) -> list[str]:
+    """Return the recorded digests of a scenario and a seed."""
     found: list[str] = RECORDED["digests"][name][seed]
     return found
 
@@ -35,5 +39,5 @@
 def test_compiled_decisions_are_those_recorded(name, seed):
     make, is_compiled = compiled.scheduler_class()
     if not is_compiled:
-        pytest.skip("no C compiler here: the program runs the module as it reads")
+        pytest.skip("no compiled scheduler in this environment: its sources are interpreted")
     assert digests(make, BY_NAME[name], int(seed), RECORDED["rounds"]) == recorded(name, seed)
--- a/tests/golden/test_disk.py
+++ b/tests/golden/test_disk.py
@@ -1,4 +1,7 @@
-"""What a dispatcher keeps on disk: written anew as recorded, and the recorded files opened."""
+"""Files that a dispatcher stores are written as recorded, and recorded ones can be read.
+
+This guards against a new version that cannot read the files of an earlier one.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 
 
 def records(folder: Path) -> dict[str, str]:
-    """Every record of a store, as hexadecimal."""
+    """Return all records of a voter store in hexadecimal."""
     env = lmdb.open(str(folder / "council.mdb"), subdir=False, max_dbs=0, readonly=True, lock=False)
     with env.begin() as txn:
         found = {key.hex(): data.hex() for key, data in txn.cursor()}
@@ -27,7 +30,7 @@
 
 
 def write_steps(folder: Path) -> None:
-    """A store's life: terms and votes, entries, a cut tail, a snapshot."""
+    """Write terms and votes, entries, a truncated tail and a snapshot to a new store."""
     store = voter_store.VoterStore(folder, FLEET, VOTER, "5eed")
     store.write(
         RaftEffects(
@@ -67,14 +70,14 @@
     assert records(tmp_path) == RECORDED["founded"]
 
 
-def test_kept_configuration_is_sealed_as_recorded(tmp_path):
-    kept = SealedFile(tmp_path / "kept")
-    kept.save(b"kept body")
+def test_stored_configuration_is_sealed_as_recorded(tmp_path):
+    sealed = SealedFile(tmp_path / "kept")
+    sealed.save(b"kept body")
     assert (tmp_path / "kept").read_bytes().hex() == RECORDED["kept"]
-    assert kept.load() == b"kept body"
+    assert sealed.load() == b"kept body"
 
 
-def test_recorded_kept_configuration_is_opened(tmp_path):
+def test_recorded_configuration_is_opened_and_a_truncated_one_is_refused(tmp_path):
     (tmp_path / "kept").write_bytes(bytes.fromhex(RECORDED["kept"]))
     assert SealedFile(tmp_path / "kept").load() == b"kept body"
     (tmp_path / "kept").write_bytes(bytes.fromhex(RECORDED["kept"])[:-1])
@@ -82,22 +85,23 @@
         SealedFile(tmp_path / "kept").load()
 
 
-def test_files_beside_the_kept_configuration_have_their_recorded_names(tmp_path):
+def test_files_beside_the_stored_configuration_have_their_recorded_names(tmp_path):
     assert file_names(tmp_path) == RECORDED["files"]
 
 
 def file_names(folder: Path) -> list[Any]:
-    kept, found = SealedFile(folder / "kept"), list[Any]()
-    kept.set_left()
-    found.append(sorted(one.name for one in folder.iterdir()))
-    kept.set_left(False)
-    kept.save(b"one")
-    kept.put_aside()
-    kept.save(b"two")
-    kept.put_aside()
-    found.append(sorted(one.name for one in folder.iterdir()))
+    """Return the file names after markers were set and files were quarantined."""
+    sealed, found = SealedFile(folder / "kept"), list[Any]()
+    sealed.set_left()
+    found.append(sorted(file.name for file in folder.iterdir()))
+    sealed.set_left(False)
+    sealed.save(b"one")
+    sealed.put_aside()
+    sealed.save(b"two")
+    sealed.put_aside()
+    found.append(sorted(file.name for file in folder.iterdir()))
     store = folder / "store"
     write_steps(store)
     voter_store.put_aside(store)
-    found.append(sorted(one.name for one in store.iterdir()))
+    found.append(sorted(file.name for file in store.iterdir()))
     return found
--- a/tests/golden/test_framing.py
+++ b/tests/golden/test_framing.py
@@ -1,4 +1,7 @@
-"""Frames, datagrams and log entries around the messages, held against recorded bytes."""
+"""Frames, datagrams and log entries have the recorded bytes, and the recorded bytes are read back.
+
+This guards against a new version that does not understand the others of the fleet during an update.
+"""
 
 from __future__ import annotations
 
@@ -20,80 +23,83 @@
 BODY = b"body bytes"
 
 
-def value_of(one: dict[str, Any]) -> Any:
-    return msgspec.convert(one["value"], MESSAGES[one["message"]])
+def value_of(case: dict[str, Any]) -> Any:
+    """Return the message of a recorded case."""
+    return msgspec.convert(case["value"], MESSAGES[case["message"]])
 
 
-def names(recorded: list[dict[str, Any]]) -> list[str]:
-    return [f"{one['message']}-{one['case']}" for one in recorded]
+def names(cases: list[dict[str, Any]]) -> list[str]:
+    """Return the names of recorded cases, as test ids."""
+    return [f"{case['message']}-{case['case']}" for case in cases]
 
 
-@pytest.mark.parametrize("one", FRAMES, ids=names(FRAMES))
-def test_frame_is_written_as_recorded(one):
-    assert encode(value_of(one), len(BODY), one["flags"]).hex() == one["head"]
+@pytest.mark.parametrize("case", FRAMES, ids=names(FRAMES))
+def test_frame_is_written_as_recorded(case):
+    assert encode(value_of(case), len(BODY), case["flags"]).hex() == case["head"]
 
 
-@pytest.mark.parametrize("one", FRAMES, ids=names(FRAMES))
-def test_frame_is_read_as_recorded(one):
+@pytest.mark.parametrize("case", FRAMES, ids=names(FRAMES))
+def test_frame_is_read_as_recorded(case):
     found: list[tuple[Any, bytes]] = []
     reader = FrameReader(
         lambda message, length: bytearray(length),
         lambda message, body: found.append((message, bytes(body or b""))),
         1024,
     )
-    data = bytes.fromhex(one["head"]) + BODY
+    data = bytes.fromhex(case["head"]) + BODY
     while data:
         place = reader.place()
         count = min(len(place), len(data))
         place[:count] = data[:count]
         reader.filled(count)
         data = data[count:]
-    assert found == [(value_of(one), BODY)]
+    assert found == [(value_of(case), BODY)]
 
 
-@pytest.mark.parametrize("one", DATAGRAMS, ids=names(DATAGRAMS))
-def test_datagram_is_written_and_read_as_recorded(one):
-    book = MessageCodec(FLEET)
-    written = book.write(value_of(one))
-    assert written.hex() == one["datagram"]
-    read = book.read(bytes.fromhex(one["datagram"]))
-    assert golden.plain(read) == one["read"] and not book.rejected
+@pytest.mark.parametrize("case", DATAGRAMS, ids=names(DATAGRAMS))
+def test_datagram_is_written_and_read_as_recorded(case):
+    codec = MessageCodec(FLEET)
+    written = codec.write(value_of(case))
+    assert written.hex() == case["datagram"]
+    read = codec.read(bytes.fromhex(case["datagram"]))
+    assert golden.plain(read) == case["read"] and not codec.rejected
 
 
 def test_datagram_of_another_fleet_is_dropped():
-    book = MessageCodec("another")
-    assert book.read(bytes.fromhex(DATAGRAMS[0]["datagram"])) is None
-    assert book.rejected == {"another fleet": 1}
+    codec = MessageCodec("another")
+    assert codec.read(bytes.fromhex(DATAGRAMS[0]["datagram"])) is None
+    assert codec.rejected == {"another fleet": 1}
 
 
-def write_entry(one: dict[str, Any]) -> bytes:
+def write_entry(case: dict[str, Any]) -> bytes:
+    """Encode the command of a recorded log entry."""
     write = {
         "permit": state_machine.encode_drain_command,
         "lease": state_machine.encode_lease_command,
         "config": state_machine.encode_config_command,
-    }[one["kind"]]
-    return write(value_of(one))
+    }[case["kind"]]
+    return write(value_of(case))
 
 
 def test_log_entries_are_written_as_recorded():
-    assert [write_entry(one).hex() for one in ENTRIES["entries"]] == [
-        one["entry"] for one in ENTRIES["entries"]
+    assert [write_entry(case).hex() for case in ENTRIES["entries"]] == [
+        case["entry"] for case in ENTRIES["entries"]
     ]
 
 
-def test_log_entries_come_to_the_recorded_state():
+def test_log_entries_give_the_recorded_state():
     state = state_machine.StateMachine()
-    for index, one in enumerate(ENTRIES["entries"], 1):
-        told = state.apply(index, bytes.fromhex(one["entry"]))
-        assert golden.plain(told) == one["told"]
-        assert state.snapshot().hex() == one["snapshot"]
+    for index, case in enumerate(ENTRIES["entries"], 1):
+        outcome = state.apply(index, bytes.fromhex(case["entry"]))
+        assert golden.plain(outcome) == case["told"]
+        assert state.snapshot().hex() == case["snapshot"]
 
 
 def test_recorded_snapshots_are_restored():
-    for one in ENTRIES["entries"]:
+    for case in ENTRIES["entries"]:
         state = state_machine.StateMachine()
-        state.restore(bytes.fromhex(one["snapshot"]))
-        assert state.snapshot().hex() == one["snapshot"]
+        state.restore(bytes.fromhex(case["snapshot"]))
+        assert state.snapshot().hex() == case["snapshot"]
 
 
 def test_recorded_snapshot_from_before_the_configuration_is_restored():
--- a/tests/golden/test_http_bytes.py
+++ b/tests/golden/test_http_bytes.py
@@ -1,4 +1,4 @@
-"""HTTP in and out of the platform's dispatcher, byte by byte, between raw sockets."""
+"""HTTP requests and answers of the platform's dispatcher have the recorded bytes, on raw sockets."""
 
 from __future__ import annotations
 
@@ -16,18 +16,23 @@
 RECORDED = golden.load("http")
 
 
-def settled(data: bytes) -> str:
-    """Bytes as text, without what differs by run: ports and the time left."""
+def normalized(data: bytes) -> str:
+    """Return bytes as text, with ports and remaining times, which differ between runs, replaced."""
     text = re.sub(r"127\.0\.0\.1:\d+", "127.0.0.1:PORT", data.decode("latin-1"))
     return re.sub(r"X-Budget-Ms: \d+", "X-Budget-Ms: LEFT", text)
 
 
 class RawNode(WebNode):
-    """Answers with given bytes and keeps the bytes that came."""
+    """A node that answers with given bytes, and stores the bytes that it received.
+
+    Attributes:
+        raw_bytes: all bytes received in this exchange.
+        first_request: the first request of the exchange; whether retries follow depends on time.
+        reply: the bytes of the answer.
+    """
 
     raw_bytes = b""
     first_request = b""
-    """Of what came for one exchange; further attempts depend on time."""
     reply = b""
 
     async def open(self) -> None:
@@ -46,57 +51,59 @@
         self.address = f"{host}:{port}"
 
 
-def complete(answer: bytes) -> bool:
-    """Whether head and body of one answer are there."""
+def is_complete(answer: bytes) -> bool:
+    """Whether head and body of an answer were received completely."""
     head, end, body = answer.partition(b"\r\n\r\n")
     length = re.search(rb"Content-Length: (\d+)", head)
     return bool(end) and len(body) >= (int(length[1]) if length else 0)
 
 
-async def exchange(square: PlatformSite, node: RawNode, request: bytes, reply: bytes) -> dict[str, str]:
+async def exchange(site: PlatformSite, node: RawNode, request: bytes, reply: bytes) -> dict[str, str]:
+    """Send a request to the dispatcher; return what the node received and what the dispatcher answered."""
     node.raw_bytes, node.first_request, node.reply = b"", b"", reply
-    reader, writer = await asyncio.open_connection("127.0.0.1", square.port)
+    reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
     writer.write(request)
     answer = b""
     try:
         async with asyncio.timeout(3.0):
-            while not complete(answer) and (data := await reader.read(65536)):
+            while not is_complete(answer) and (data := await reader.read(65536)):
                 answer += data
     finally:
         writer.close()
-    return {"node_request": settled(node.first_request), "answer": settled(answer)}
+    return {"node_request": normalized(node.first_request), "answer": normalized(answer)}
 
 
 def exchanges(folder: Path, cases: list[dict[str, str]]) -> list[dict[str, str]]:
+    """Run all exchanges against a dispatcher, and add the request that it sent to discovery."""
     found: list[dict[str, str]] = []
 
-    async def story(square: PlatformSite) -> None:
+    async def scenario(site: PlatformSite) -> None:
         node = RawNode("s-0", 0)
         await node.open()
-        square.nodes.append(node)
-        square.discovery.tell(node.entry())
-        await square.start()
-        for one in cases:
-            request, reply = one["request"].encode("latin-1"), one["reply"].encode("latin-1")
-            found.append(await exchange(square, node, request, reply))
+        site.nodes.append(node)
+        site.discovery.tell(node.entry())
+        await site.start()
+        for case in cases:
+            request, reply = case["request"].encode("latin-1"), case["reply"].encode("latin-1")
+            found.append(await exchange(site, node, request, reply))
             await asyncio.sleep(0.03)
-        found.append({"discovery": square.discovery.asked[0].decode()})  # type: ignore[dict-item]
+        found.append({"discovery": site.discovery.asked[0].decode()})  # type: ignore[dict-item]
 
-    run_case(folder, story)
+    run_case(folder, scenario)
     return found
 
 
 @pytest.fixture(scope="module")
-def played(tmp_path_factory: pytest.TempPathFactory) -> list[dict[str, Any]]:
+def results(tmp_path_factory: pytest.TempPathFactory) -> list[dict[str, Any]]:
     return exchanges(tmp_path_factory.mktemp("http"), RECORDED["cases"])
 
 
 @pytest.mark.parametrize(
-    "index", range(len(RECORDED["cases"])), ids=[one["case"] for one in RECORDED["cases"]]
+    "index", range(len(RECORDED["cases"])), ids=[case["case"] for case in RECORDED["cases"]]
 )
-def test_exchange_has_the_recorded_bytes(played, index):
-    assert played[index] == RECORDED["exchanges"][index]
+def test_exchange_has_the_recorded_bytes(results, index):
+    assert results[index] == RECORDED["exchanges"][index]
 
 
-def test_discovery_is_asked_as_recorded(played):
-    assert played[-1] == RECORDED["exchanges"][-1]
+def test_request_to_discovery_has_the_recorded_bytes(results):
+    assert results[-1] == RECORDED["exchanges"][-1]
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -1,6 +1,6 @@
-"""Every message and record of the program, held against bytes recorded before the renames.
+"""Messages and stored records have the recorded bytes, fields and defaults.
 
-MESSAGES maps the name that a message had then to the type that it has now.
+This guards against renames and other changes that peers, clients or stored files would notice.
 """
 
 from __future__ import annotations
@@ -131,44 +131,46 @@
     "fleet.members.roll.Claim": table.MemberRecord,
     "fleet.members.seen.Met": reachability.NodeContact,
 }
+"""Type of each message by the name under which it was recorded."""
+
 RECORDED = golden.load("messages")
-CASES = [pytest.param(one, id=f"{one['message']}-{one['case']}") for one in RECORDED]
+CASES = [pytest.param(case, id=f"{case['message']}-{case['case']}") for case in RECORDED]
 
 
 def test_every_recorded_message_has_its_type():
-    assert {one["message"] for one in RECORDED} == set(MESSAGES)
+    assert {case["message"] for case in RECORDED} == set(MESSAGES)
 
 
-@pytest.mark.parametrize("one", CASES)
-def test_bytes_are_read_back_as_recorded(one):
-    kind = MESSAGES[one["message"]]
-    assert golden.plain(msgspec.msgpack.decode(bytes.fromhex(one["msgpack"]), type=kind)) == one["value"]
-    assert golden.plain(msgspec.json.decode(one["json"], type=kind)) == one["value"]
+@pytest.mark.parametrize("case", CASES)
+def test_bytes_are_read_back_as_recorded(case):
+    kind = MESSAGES[case["message"]]
+    assert golden.plain(msgspec.msgpack.decode(bytes.fromhex(case["msgpack"]), type=kind)) == case["value"]
+    assert golden.plain(msgspec.json.decode(case["json"], type=kind)) == case["value"]
 
 
-@pytest.mark.parametrize("one", CASES)
-def test_values_are_written_anew_as_recorded(one):
-    value = msgspec.convert(one["value"], MESSAGES[one["message"]])
-    assert msgspec.msgpack.encode(value).hex() == one["msgpack"]
-    assert msgspec.json.encode(value).decode() == one["json"]
+@pytest.mark.parametrize("case", CASES)
+def test_values_are_written_as_recorded(case):
+    value = msgspec.convert(case["value"], MESSAGES[case["message"]])
+    assert msgspec.msgpack.encode(value).hex() == case["msgpack"]
+    assert msgspec.json.encode(value).decode() == case["json"]
 
 
-@pytest.mark.parametrize("one", [case for case in CASES if case.values[0]["case"] == "least"])
-def test_fields_left_out_take_the_recorded_defaults(one):
-    kind = MESSAGES[one["message"]]
+@pytest.mark.parametrize("case", [param for param in CASES if param.values[0]["case"] == "least"])
+def test_omitted_fields_take_the_recorded_defaults(case):
+    kind = MESSAGES[case["message"]]
     config = kind.__struct_config__
     required = [name for name, default in defaults(kind).items() if default is msgspec.NODEFAULT]
-    value = one["value"]
+    value = case["value"]
     if isinstance(value, list):
-        short: Any = value[: len(required) + (config.tag is not None)]
+        shortened: Any = value[: len(required) + (config.tag is not None)]
     else:
-        short = {name: value[name] for name in [*required, *([config.tag_field] if config.tag else [])]}
-    assert golden.plain(msgspec.convert(short, kind)) == value
+        shortened = {name: value[name] for name in [*required, *([config.tag_field] if config.tag else [])]}
+    assert golden.plain(msgspec.convert(shortened, kind)) == value
 
 
 def defaults(kind: Any) -> dict[str, Any]:
-    """Field names, in order, with NODEFAULT where a field has to be given."""
+    """Return the default of each field, in order; NODEFAULT for a required field."""
     return {
-        one.encode_name: msgspec.NODEFAULT if one.required else one.default
-        for one in msgspec.structs.fields(kind)
+        field.encode_name: msgspec.NODEFAULT if field.required else field.default
+        for field in msgspec.structs.fields(kind)
     }
--- a/tests/golden/test_settings.py
+++ b/tests/golden/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings, start messages and the configuration of the platform: keys, defaults and what is read of them."""
+"""Settings, start messages and the platform's configuration give the recorded values and defaults."""
 
 from __future__ import annotations
 
@@ -21,18 +21,20 @@
 RECORDED = golden.load("settings")
 
 
-def start_values(pairs: StartSettings) -> dict[str, Any]:
+def start_values(settings: StartSettings) -> dict[str, Any]:
+    """Return all values that a start message gives, in the form of the recorded ones."""
     return {
-        "workloads": positional(pairs.workloads()),
-        "plans": positional(pairs.plans()),
-        "cold": positional(pairs.slow_start()),
-        "budget": positional(pairs.retry_budget()),
-        "earnings": positional(pairs.utility()),
-        "permits": positional(pairs.policy()),
+        "workloads": positional(settings.workloads()),
+        "plans": positional(settings.plans()),
+        "cold": positional(settings.slow_start()),
+        "budget": positional(settings.retry_budget()),
+        "earnings": positional(settings.utility()),
+        "permits": positional(settings.policy()),
     }
 
 
 def platform_values() -> Any:
+    """Return the values of the platform's example configuration."""
     config = read_config({"BALANCER_CONFIG": str(ROOT / "deploy/platform-example.json")})
     known = [config.sockets, config.memory_mb, config.known_endpoints]
     return positional(
@@ -57,24 +59,27 @@
 
 
 @pytest.mark.parametrize("name", FILES)
-def test_fleet_sees_the_recorded_mark_of_shared_settings(name):
-    """Members tell each other this mark: it must not change with the names of classes and fields."""
+def test_digest_of_shared_settings_is_the_recorded_one(name):
+    """Members compare this digest by gossip, so it must not change with the names of classes and fields."""
     assert origin_of(read_site(FILES[name])).settings == RECORDED["marks"][name]
 
 
-def test_start_message_without_pairs_has_the_recorded_defaults():
+def test_start_message_without_settings_has_the_recorded_defaults():
     assert json.loads(json.dumps(start_values(StartSettings([])))) == RECORDED["start"]["empty"]
 
 
 def test_start_message_gives_the_recorded_values():
-    pairs = StartSettings(RECORDED["start"]["pairs"])
-    assert json.loads(json.dumps(start_values(pairs))) == RECORDED["start"]["full"]
+    settings = StartSettings(RECORDED["start"]["pairs"])
+    assert json.loads(json.dumps(start_values(settings))) == RECORDED["start"]["full"]
 
 
-def test_start_message_sets_up_the_module_as_recorded():
-    seen: dict[str, Any] = {}
-    StartSettings(RECORDED["start"]["pairs"]).create_scheduler(lambda **given: seen.update(given), 5)
-    assert json.loads(json.dumps([positional(one) for one in seen.values()])) == RECORDED["start"]["module"]
+def test_start_message_creates_the_scheduler_with_the_recorded_arguments():
+    arguments: dict[str, Any] = {}
+    StartSettings(RECORDED["start"]["pairs"]).create_scheduler(lambda **given: arguments.update(given), 5)
+    assert (
+        json.loads(json.dumps([positional(value) for value in arguments.values()]))
+        == RECORDED["start"]["module"]
+    )
 
 
 def test_platform_configuration_gives_the_recorded_values():
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -1,7 +1,7 @@
-"""Files that were recorded on the commit before the renames, and how values are held against them.
+"""Reads recorded values, and converts values of the program to the form of the recorded ones.
 
-Values are compared by place, not by name: a renamed class or field stays equal, one that was moved, added,
-dropped or given another default does not.
+The values were recorded before classes and fields were renamed. They are compared by position, not by name: a
+renamed class or field compares as equal, but not one that was moved, added, removed or given another default.
 """
 
 from __future__ import annotations
@@ -16,26 +16,27 @@
 import msgspec
 
 FOLDER = Path(__file__).parents[1] / "golden"
+"""Folder of the recorded files."""
 
 
 def load(name: str) -> Any:
-    """The recorded value of `name`.json."""
+    """Return the recorded value of `name`.json."""
     return json.loads((FOLDER / f"{name}.json").read_text())
 
 
 def positional(value: Any) -> Any:
-    """Plain lists and values of a tree of dataclasses; a mapping becomes its pairs in order."""
+    """Convert a tree of dataclasses to lists of plain values; a mapping becomes a list of its pairs."""
     if is_dataclass(value) and not isinstance(value, type):
-        return [positional(getattr(value, one.name)) for one in fields(value)]
+        return [positional(getattr(value, member.name)) for member in fields(value)]
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, Mapping):
-        return [[key, positional(one)] for key, one in value.items()]
+        return [[key, positional(member)] for key, member in value.items()]
     if isinstance(value, list | tuple):
-        return [positional(one) for one in value]
+        return [positional(member) for member in value]
     return value
 
 
 def plain(value: Any) -> Any:
-    """A message as it stands in the recorded files: JSON's types alone."""
+    """Convert a message to JSON's types, as the recorded files hold it."""
     return json.loads(json.dumps(msgspec.to_builtins(value)))
