--- a/cherrygrade/scheduling/load_gossip.py
+++ b/cherrygrade/scheduling/load_gossip.py
@@ -92,7 +92,7 @@
     Attributes:
         busy_units: units that the node works on at once; units in flight beyond them wait.
         sends: time (ms) and units of the attempts in flight, as reported. A report on the end of an attempt
-            removes it, and those that were sent OVERTAKEN_MS or more before it.
+            removes it. If the attempt succeeded, those sent OVERTAKEN_MS or more before it are removed too.
         answered_units: units of the attempts that succeeded since the last step.
         units_per_ms: rate at which a busy node answers, moving average; 0 before the first busy step.
         waiting_ms: how long a new attempt waits at the node, up to MAX_WAITING_MS.
@@ -225,7 +225,7 @@
     def _receive_report(
         self, peer: int, kind: int, node_hash: int, units: int, value: int, now: float
     ) -> bool:
-        """Apply one report; whether it came from the node's aggregator or was sent to it."""
+        """Apply a report; return False if it neither came from the node's aggregator nor was sent to it."""
         queue = self.queues_by_hash.get(node_hash)
         aggregator = self.peers.aggregator(node_hash)
         if kind == WAITING and aggregator == peer:
--- a/cherrygrade/scheduling/node_queue.py
+++ b/cherrygrade/scheduling/node_queue.py
@@ -134,8 +134,8 @@
         return [self.pressed, self.batch] if self.batch_debt <= 0.0 else [self.batch, self.pressed]
 
     def _batch_may_take_a_slot(self, slots: int) -> bool:
-        # Pressed requests of other dispatchers are visible here only as waiting at the node. Batch yields to
-        # them too.
+        # Pressed requests of other dispatchers are visible here only as waiting at the node, and batch yields
+        # to them as well.
         crowding_ms = CROWDED_WAITING * self.tightest_objective_ms
         if self.limit.window < SMALL_WINDOW and self.latency.waiting_ms > crowding_ms:
             return False
--- a/cherrygrade/scheduling/outlier.py
+++ b/cherrygrade/scheduling/outlier.py
@@ -59,9 +59,8 @@
 
         Args:
             now: the time, ms.
-            first_interval_ms: interval before a health check after the second failure. After the first
-            failure
-                a health check may follow at once; the interval about doubles with each further failure.
+            first_interval_ms: interval before a health check after the second failure. After the first one a
+                health check may follow at once, and with each further one the interval about doubles.
         """
         if not self.consecutive_failures:
             self.first_failure_ms = now
--- a/cherrygrade/scheduling/scheduler.py
+++ b/cherrygrade/scheduling/scheduler.py
@@ -48,7 +48,7 @@
 
 
 class Scheduler:
-    """All decisions of one dispatcher.
+    """Takes all scheduling decisions of one dispatcher.
 
     Attributes:
         settings: the settings in force.
--- a/tests/scheduling/test_compiled.py
+++ b/tests/scheduling/test_compiled.py
@@ -143,6 +143,7 @@
 
 
 def test_no_module_is_longer_than_400_lines_or_wider_than_110_columns():
+    """Modules of decisions are to stay short enough to be read as a whole."""
     for module in Path(scheduler.__file__).parent.glob("*.py"):
         lines = module.read_text().splitlines()
         assert len(lines) <= 400, module.name
--- a/tests/scheduling/test_failures.py
+++ b/tests/scheduling/test_failures.py
@@ -24,6 +24,7 @@
 
 
 def test_lost_attempt_releases_its_slot_before_the_deadline():
+    """A message is lost on its way; without this the slot would stay occupied until the deadline."""
     host = FakeHost()
     host.take(host.rpc(), host.rpc())
     assert len(host.sent) == 2
@@ -33,6 +34,7 @@
 
 
 def test_silent_node_gets_health_checks_only_and_new_objects_go_to_another():
+    """A node stops answering; without ejection requests would keep waiting at it until they fail."""
     host = FakeHost(nodes=2)
     for _ in range(200):
         host.take(host.rpc(), host.rpc(shard=-1))
@@ -47,6 +49,7 @@
 
 
 def test_node_that_was_down_counts_as_cold_before_the_list_shows_its_restart():
+    """A node restarts faster than the endpoint list is updated, and would be overloaded while it is cold."""
     slow_start = SlowStartSettings(
         base_units=4.0, cold_capacity=0.25, overload_multiple=2.0, window_ms=1000.0, warm_up_ms=10000.0
     )
@@ -66,6 +69,7 @@
 
 @pytest.mark.parametrize("dispatchers", [1, 3, 200, 1000])
 def test_all_dispatchers_together_stay_within_the_limit_of_a_cold_node(dispatchers):
+    """Dispatchers do not coordinate, so the sum of their quotas has to stay within what the node can take."""
     slow_start = SlowStartSettings(
         base_units=12.0, cold_capacity=0.25, overload_multiple=2.0, window_ms=1000.0, warm_up_ms=10000.0
     )
@@ -98,6 +102,7 @@
 
 
 def test_new_object_taken_over_by_a_node_that_cannot_start_it_is_answered_in_time():
+    """A node queue that takes over an unplaced request and cannot start it must still check it in time."""
     host = FakeHost()
     queue = host.dispatcher.node_queues[host.nodes[0]]
     queue.limit.window = 1.0
@@ -113,6 +118,7 @@
 
 
 def test_pressed_request_that_misses_its_objective_is_rejected_early():
+    """Late pressed requests earn little, and would take slots from those that can still be in time."""
     host = FakeHost()
     host.take(*[host.rpc() for _ in range(10)])
     host.pass_time(READ.latency_objective_ms + 30.0)
@@ -120,6 +126,7 @@
 
 
 def test_use_through_other_dispatchers_is_charged_to_the_volume():
+    """A volume could otherwise use its full quota through each of the dispatchers."""
     host = FakeHost(earnings=UtilityModel(within_quota=0.5, beyond_quota=0.1, reports_use_elsewhere=True))
     host.take(host.rpc(volume="a"), host.rpc(volume="b"))
     host.answer(host.sent[0], units_elsewhere=500.0)
@@ -128,6 +135,7 @@
 
 
 def test_requests_beyond_their_volumes_quota_wait_behind_those_within_theirs():
+    """One busy volume could otherwise delay the requests of all others."""
     host = FakeHost()
     plan = ServicePlan("plan", usual_rate=4.0)
     host.take(*[host.rpc(plan=plan, volume="loud") for _ in range(20)])
@@ -139,6 +147,7 @@
 
 
 def test_window_does_not_grow_unused_and_shrinks_when_attempts_wait_at_the_node():
+    """A window that grew while unused would let a later burst overload the node."""
     host = FakeHost()
     queue = host.dispatcher.node_queues[host.nodes[0]]
     for latency_ms in [10.0] * 40 + [190.0] * 40:
@@ -151,6 +160,7 @@
 
 
 def test_share_moves_to_the_pressed_queue_while_it_misses_its_objective_and_batch_waits():
+    """Batch requests could otherwise keep pressed ones from meeting their latency objective."""
     host = FakeHost()
     queue = host.dispatcher.node_queues[host.nodes[0]]
     for _ in range(60):
@@ -161,6 +171,7 @@
 
 
 def test_batch_waits_while_other_dispatchers_crowd_the_node():
+    """The pressed requests of other dispatchers are not visible here, and batch would delay them."""
     host = FakeHost()
     queue = host.dispatcher.node_queues[host.nodes[0]]
     for latency_ms in [10.0] * 10 + [180.0] * 30:
@@ -175,6 +186,7 @@
 
 
 def test_one_more_request_on_the_newest_key_starts_beyond_the_window():
+    """A node needs little work for it, but only one may exceed the window, or a hot key would evade it."""
     host = FakeHost()
     same_key = [host.rpc(key="k") for _ in range(4)]
     host.take(host.rpc(key="other"), *same_key)
@@ -182,6 +194,7 @@
 
 
 def test_resets_alone_do_not_eject_a_node():
+    """A reset may affect one connection only; ejecting the node for it would waste most of its capacity."""
     slow_start = SlowStartSettings(
         base_units=4.0, cold_capacity=0.2, overload_multiple=2.0, window_ms=1000.0, warm_up_ms=17000.0
     )
@@ -195,6 +208,7 @@
 
 
 def test_late_client_retry_waits_behind_requests_that_are_in_time():
+    """A retry that cannot be in time any more would otherwise delay requests that can."""
     host = FakeHost()
     host.take(host.rpc(key="k", shard=9))
     host.pass_time(500.0)
@@ -234,6 +248,7 @@
 
 
 def test_early_rejections_are_forgotten_after_a_while():
+    """The tables of rejected requests would otherwise grow without bound."""
     host = FakeHost()
     for n in range(50):
         host.take(host.rpc(key=f"k{n}", shard=9))
@@ -243,6 +258,7 @@
 
 
 def test_reserved_slots_are_lent_to_batch_while_no_pressed_request_waits_or_is_in_flight():
+    """Reserved slots would otherwise stay unused while only batch requests arrive."""
     host = FakeHost()
     queue = host.dispatcher.node_queues[host.nodes[0]]
     queue.limit.window, queue.controller.reserved_slots = 3.0, 2
@@ -255,6 +271,7 @@
 
 
 def test_node_that_is_removed_and_listed_again_serves_the_waiting_request():
+    """A request that waits for a shard without a node must start once the node is listed again."""
     host = FakeHost()
     host.nodes[0].state = NodeState.GONE
     host.round(endpoint_changes=host.nodes)
@@ -267,6 +284,7 @@
 
 
 def test_unanswered_attempt_raises_the_estimated_wait():
+    """A node that slows down does not answer for a while, and would still be treated as a fast one."""
     host = FakeHost()
     host.take(host.rpc(units=1.0))
     host.now += 20.0
@@ -280,6 +298,7 @@
 
 
 def test_slow_first_answer_does_not_set_the_unit_time_of_a_rarely_used_node():
+    """An answer that is slow because of waiting would make the node look too slow for larger requests."""
     host = FakeHost(nodes=2)
     for _ in range(5):
         host.take(host.rpc(shard=1))
@@ -295,6 +314,7 @@
 
 @pytest.mark.parametrize("answers_earlier", [True, False])
 def test_node_that_answers_an_attempt_from_before_its_failures_is_slow_not_restarted(answers_earlier):
+    """A slow node would otherwise be limited by slow start as if it had restarted."""
     slow_start = SlowStartSettings(
         base_units=4.0, cold_capacity=0.2, overload_multiple=2.0, window_ms=1000.0, warm_up_ms=17000.0
     )
@@ -310,6 +330,7 @@
 
 
 def test_pause_of_the_dispatcher_is_neither_silence_nor_waiting_of_the_nodes():
+    """After a pause of the process all attempts look overdue, although the nodes have answered in time."""
     host = FakeHost(nodes=2)
     host.pass_time(10.0)
     host.take(host.rpc(), host.rpc(shard=1))
@@ -332,6 +353,7 @@
 @pytest.mark.parametrize("dispatchers", [1, 1000])
 @pytest.mark.parametrize("started_ms", [0.0, 1e9])
 def test_every_request_is_answered_despite_odd_node_starts_and_pauses_of_seconds(dispatchers, started_ms):
+    """Start times of nodes may be unknown or in the future, and a process may pause for seconds."""
     slow_start = SlowStartSettings(
         base_units=12.0, cold_capacity=0.25, overload_multiple=2.0, window_ms=1000.0, warm_up_ms=10000.0
     )
@@ -347,6 +369,7 @@
 
 
 def test_unit_time_set_too_high_by_the_first_answer_falls_within_a_few_answers():
+    """Requests would otherwise be rejected early for long because the node looks slow."""
     host = FakeHost()
     for latency_ms in [150.0, 20.0, 20.0, 20.0, 20.0, 20.0]:
         host.take(host.rpc())
@@ -356,6 +379,7 @@
 
 
 def test_polls_of_many_dispatchers_for_the_endpoint_list_are_spread():
+    """Discovery would be overloaded if all dispatchers polled at the same time."""
     polls_ms = []
     for seed in range(20):
         host = FakeHost(
--- a/tests/scheduling/test_load_gossip.py
+++ b/tests/scheduling/test_load_gossip.py
@@ -71,6 +71,7 @@
 
 
 def test_dispatcher_learns_of_waiting_at_a_node_that_only_another_one_uses():
+    """Without reports a dispatcher would send to a full node because it has observed nothing there."""
     fleet = GossipingFleet(3)
     aggregator = next(iter(fleet.hosts[0].dispatcher.node_queues.values())).node_hash % 3
     sender, other = (number for number in range(3) if number != aggregator)
@@ -96,6 +97,7 @@
 
 
 def test_without_a_living_aggregator_a_dispatcher_uses_its_own_observations():
+    """The aggregator has died: messages to it are lost, and requests must go on being answered."""
     fleet = GossipingFleet(2)
     aggregator = next(iter(fleet.hosts[0].dispatcher.node_queues.values())).node_hash % 2
     fleet.dead.add(aggregator)
@@ -106,6 +108,7 @@
 
 
 def test_aggregator_forgets_attempts_whose_end_a_dead_dispatcher_never_reported():
+    """The attempts of a dispatcher that died would otherwise count as in flight for ever."""
     fleet = GossipingFleet(2)
     aggregator = next(iter(fleet.hosts[0].dispatcher.node_queues.values())).node_hash % 2
     host, aggregating = fleet.hosts[1 - aggregator], fleet.hosts[aggregator]
@@ -133,6 +136,7 @@
 
 
 def test_without_gossip_no_load_report_is_sent():
+    """A site that does not allow gossip must not receive any message."""
     host = FakeHost()  # sending would fail, since this host has no `send_gossip`
     for _ in range(20):
         host.take(host.rpc())
@@ -144,6 +148,7 @@
 
 @pytest.mark.parametrize("message", [b"", b"\x03", b"\xff" * 256, b"\x00" * 6, b"\x03" + b"\xff" * 5])
 def test_malformed_message_changes_no_decision(message):
+    """A defective or newer dispatcher may send messages that cannot be read."""
     host = FakeHost(permits=GOSSIP_POLICY, dispatchers=2)
     host.send_gossip = lambda peer, payload: None
     host.round(gossip=[(1, message)])
@@ -166,6 +171,7 @@
 
 
 def test_last_of_the_reports_received_after_a_pause_counts():
+    """Reports that queued up while the process paused are read in one round; only the last is current."""
     node_hash = next(iter(FakeHost().dispatcher.node_queues.values())).node_hash
     host = FakeHost(permits=GOSSIP_POLICY, dispatchers=2, number=1 - node_hash % 2)
     host.send_gossip = lambda peer, payload: None
@@ -212,6 +218,7 @@
 
 
 def test_reports_go_to_the_present_aggregator():
+    """Reports to an aggregator that died would be lost after another has taken over."""
     peers = FixedAggregator(3)
     host = FakeHost(dispatchers=3, permits=GOSSIP_POLICY, company=peers)
     receivers = []
@@ -223,6 +230,7 @@
 
 
 def test_new_aggregator_collects_reports_before_it_publishes():
+    """A new aggregator knows of no attempts yet, and would report a full node as empty."""
     peers = FixedAggregator(3)
     peers.aggregator_seat, peers.may_publish = 0, False
     host = FakeHost(dispatchers=3, permits=GOSSIP_POLICY, company=peers)
@@ -240,6 +248,7 @@
 
 
 def test_dispatcher_that_forfeits_its_quota_uses_neither_limits_nor_cold_nodes():
+    """Its seat may belong to another dispatcher by now, and both would use the same quota."""
     peers = FixedAggregator(3)
     slow_start = SlowStartSettings(
         base_units=12.0, cold_capacity=0.25, overload_multiple=3.0, window_ms=1000.0, warm_up_ms=4000.0
@@ -277,6 +286,7 @@
 
 
 def test_unmarked_request_that_waited_while_the_dispatcher_paused_is_late():
+    """The request has lain in the socket during the pause, so its client has waited that long already."""
     host = FakeHost(permits=MARKED_RETRIES_POLICY)
     host.take(host.rpc(EXPORT), host.rpc(key="b"))
     for attempt in [*host.sent]:
@@ -316,6 +326,7 @@
 
 
 def test_last_request_of_a_volume_far_over_its_usual_rate_is_beyond_it():
+    """A volume that sends more than its plan is meant for must not earn the full value for all of it."""
     host = FakeHost(earnings=UtilityModel(within_quota=1.0, beyond_quota=0.1))
     plan = ServicePlan("loud", usual_rate=10.0)
     requests = [Request(EXPORT, plan, "v", 4, "", 0, 2.0, host.now + 5000.0) for _ in range(6)]
@@ -334,6 +345,7 @@
 
 
 def test_new_objects_go_to_the_node_with_the_lower_expected_latency():
+    """New objects would otherwise wait at a slow node while a fast one is free."""
     host = FakeHost(nodes=2)
     slow, fast = (host.dispatcher.node_queues[node] for node in host.nodes)
     slow.latency.unit_ms, fast.latency.unit_ms = 200.0, 10.0
@@ -347,6 +359,7 @@
 
 
 def test_index_by_node_hash_follows_the_endpoint_list():
+    """Reports on a node that was added later would otherwise be ignored."""
     host = FakeHost(permits=GOSSIP_POLICY, dispatchers=2)
     host.send_gossip = lambda peer, payload: None
     host.round(endpoint_changes=[Node("10.0.9.9:1", shard=3)])
--- a/tests/scheduling/test_rules.py
+++ b/tests/scheduling/test_rules.py
@@ -17,6 +17,7 @@
 
 @pytest.mark.parametrize("workload", [READ, EXPORT, ORDERED, ONCE, MARKED])
 def test_request_that_no_node_can_serve_is_rejected_once_by_its_deadline(workload):
+    """Rule 1: no node is listed, and nothing but time can end the request."""
     host = FakeHost(nodes=0)
     request = host.rpc(workload)
     host.take(request)
@@ -25,6 +26,7 @@
 
 
 def test_request_past_its_deadline_is_rejected_at_once():
+    """Rule 1: the deadline has passed when the request arrives."""
     host = FakeHost()
     host.take(host.rpc(gives_up=0.0))
     assert len(host.rejected) == 1 and not host.sent
@@ -32,6 +34,7 @@
 
 @pytest.mark.parametrize("outcome", list(Outcome)[1:])
 def test_non_idempotent_request_is_retried_only_if_it_never_ran(outcome):
+    """Rule 2: a retry after any other outcome could take effect a second time."""
     host = FakeHost()
     request = host.rpc(ONCE)
     host.take(request)
@@ -42,6 +45,7 @@
 
 
 def test_request_with_idempotency_key_is_retried_only_within_scope_and_window():
+    """Rule 2: outside of scope and window nodes do not recognize the repeat."""
     host = FakeHost(nodes=2)
     host.nodes[1].zone = "other"
     host.take(host.rpc(MARKED, shard=-1))
@@ -66,6 +70,7 @@
 
 @pytest.mark.parametrize("state", [NodeState.DRAINING, NodeState.GONE])
 def test_no_attempt_goes_to_a_node_that_is_draining_or_gone(state):
+    """Rule 3: the state changes while the dispatcher still knows the node."""
     host = FakeHost()
     dispatcher, queue = host.dispatcher, host.dispatcher.node_queues[host.nodes[0]]
     host.nodes[0].state = state
@@ -78,6 +83,7 @@
 
 
 def test_cold_node_gets_an_even_part_of_its_base_units():
+    """Rule 4: each of four dispatchers may send only a quarter of what the node can take."""
     cold = SlowStartSettings(
         base_units=12.0, cold_capacity=0.25, overload_multiple=2.0, window_ms=1000.0, warm_up_ms=10000.0
     )
@@ -95,6 +101,7 @@
 
 
 def test_ordered_requests_run_one_after_another_with_a_cool_down_after_a_reset():
+    """Rule 5: after a reset the node may still run the first request."""
     host = FakeHost()
     first, second = host.rpc(ORDERED, key="k"), host.rpc(ORDERED, key="k")
     host.take(first, second)
@@ -111,6 +118,7 @@
 
 
 def test_retries_stay_within_the_budget():
+    """Rule 6: every attempt fails, and retries would multiply the load."""
     host = FakeHost(budget=RetryBudgetSettings(min_retries=2.0, retry_ratio=0.5, window_ms=5000.0))
     for _ in range(4):
         host.take(host.rpc())
@@ -122,6 +130,7 @@
 
 
 def test_limit_is_refilled_while_no_request_of_the_volume_arrives_or_ends():
+    """Rule 7: the limit is refilled by time."""
     # If only arrivals and outcomes refilled the limit, the only request of a volume would wait for units that
     # have been earned already, until it is rejected.
     host = FakeHost()
@@ -132,6 +141,7 @@
 
 
 def test_plan_limit_is_divided_evenly_among_the_dispatchers_of_a_volume():
+    """Rule 7: dispatchers do not coordinate, so each must use only its part of the limit."""
     host = FakeHost()
     plan = ServicePlan("limited", usual_rate=1000.0, limit_rate=20.0, limit_burst=8.0)
     for _ in range(100):
