--- a/cherrygrade/inflight.py
+++ b/cherrygrade/inflight.py
@@ -99,17 +99,17 @@
             now: when the message was received, ms.
         """
 
-    def reserve_small_read(self, held: InflightRequest, workload: str) -> bool:
+    def reserve_small_read(self, request: InflightRequest, workload: str) -> bool:
         """Reserve memory for the answer of a small read from a claim that the client's small reads share.
 
         Returns:
             Whether the memory was reserved; otherwise the read needs a claim of its own.
         """
 
-    def memory_granted(self, held: InflightRequest) -> None:
+    def memory_granted(self, request: InflightRequest) -> None:
         """Take in that memory for the request's bytes was granted."""
 
-    def memory_refused(self, held: InflightRequest) -> None:
+    def memory_refused(self, request: InflightRequest) -> None:
         """Take in that memory for the request's bytes was not granted in time."""
 
     def send_message(self, message: Ok | Rejected | Errored | Part, body: Body, claim: Claim | None) -> None:
--- a/cherrygrade/scheduling/early_rejection.py
+++ b/cherrygrade/scheduling/early_rejection.py
@@ -21,7 +21,7 @@
 
     Attributes:
         settings: the settings in force.
-        utility: tells what a request still earns.
+        utility: decides whether a request is beyond its volume's quota.
     """
 
     def __init__(self, settings: EffectiveSettings, utility: UtilityRules, unplaced: NodeQueue) -> None:
@@ -58,8 +58,8 @@
     def may_retry(self, queued: QueuedRequest, attempt: Attempt, now: float) -> bool:
         """Whether a request whose attempt failed is queued for a retry.
 
-        It is while its latency objective has not passed and an attempt is left to it. The retry budget is
-        checked later, when the attempt starts (`Admission.earliest_start_ms`).
+        The request must have an attempt left, and the end of its latency objective must be ahead. The retry
+        budget is checked later, when the attempt starts (`Admission.earliest_start_ms`).
         """
         request = queued.request
         if len(request.attempts) >= self.settings.policy.max_attempts:
--- a/cherrygrade/scheduling/placement.py
+++ b/cherrygrade/scheduling/placement.py
@@ -27,7 +27,7 @@
     """Indexes the node queues, and chooses one for each request.
 
     Attributes:
-        admission: tells whether a node is still warming up.
+        admission: decides whether a node is still warming up.
         queues: one queue per node; removed once the node is gone and has no attempt or waiting request.
         by_shard: queues of the nodes that hold a shard; rebuilt with each endpoint list.
         unplaced: queue of the requests that no listed node can take: new objects while no node has credit,
--- a/cherrygrade/scheduling/quota.py
+++ b/cherrygrade/scheduling/quota.py
@@ -15,7 +15,7 @@
 The bucket of the usual rate is refilled at this fraction of the rate, and holds one second of it.
 """
 
-RESERVE_HELD_BACK = 0.5
+RESERVE_FOR_OTHERS = 0.5
 """Fraction of the reserve's capacity that a workload of weight 0 would leave to the others."""
 
 
@@ -79,8 +79,8 @@
         Returns:
             Whether the units fitted and were taken.
         """
-        held_back = self.reserve_capacity * (1.0 - relative_weight) * RESERVE_HELD_BACK
-        fits = self.plan.reserve_rate > 0.0 and self.reserve_tokens >= units + held_back
+        for_others = self.reserve_capacity * (1.0 - relative_weight) * RESERVE_FOR_OTHERS
+        fits = self.plan.reserve_rate > 0.0 and self.reserve_tokens >= units + for_others
         if fits:
             self.reserve_tokens -= units
         return fits
--- a/cherrygrade/scheduling/retries.py
+++ b/cherrygrade/scheduling/retries.py
@@ -40,7 +40,7 @@
 
 
 def may_reject(request: Request) -> bool:
-    """Whether the request may be rejected, which tells the client that it can retry without a second effect.
+    """Whether the request may be rejected: the client can then retry it without a second effect.
 
     It may if no node can have run an attempt, or if a repeat has no second effect on any node.
     """
--- a/cherrygrade/scheduling/share_controller.py
+++ b/cherrygrade/scheduling/share_controller.py
@@ -13,7 +13,7 @@
 """Time over which latencies count for the percentile."""
 
 MAX_LATENCIES = 512
-"""Number of latencies that are stored."""
+"""Number of the newest latencies that are stored."""
 
 PERCENTILE = 0.99
 """Percentile of the normalized latencies that is controlled, 0 to 1."""
@@ -96,7 +96,7 @@
             self.share -= change
 
     def fit_reserved_slots(self, window_slots: int) -> None:
-        """Return reserved slots that the window no longer leaves, and set the share to 1 in exchange."""
+        """Leave a slot of a smaller window unreserved; the share becomes 1 if slots are taken back."""
         if self.reserved_slots >= window_slots:
             self.reserved_slots = window_slots - 1
             self.share = 1.0
--- a/cherrygrade/wirehost/host.py
+++ b/cherrygrade/wirehost/host.py
@@ -109,7 +109,7 @@
         scheduler: the scheduler of the dispatcher.
         settings: the settings of the start message.
         requests: requests by id; removed once they are finished and have no attempt in flight.
-        nodes: the nodes that the instance was told of.
+        nodes: the nodes that an endpoint list named to the instance.
         inputs: inputs of the next round.
         ended_ids: ids of the requests that an input of this batch may have ended.
         has_input: whether a line of this batch was addressed to the instance.
--- a/tests/golden/test_command_line.py
+++ b/tests/golden/test_command_line.py
@@ -36,9 +36,9 @@
     return found
 
 
-def exit_code(words: list[str], folder: Path) -> int:
+def exit_code(arguments: list[str], folder: Path) -> int:
     """Run the command line in a process of its own, and return the exit code."""
-    filled = [word.format(root=ROOT, folder=folder, golden=golden.FOLDER) for word in words]
+    filled = [argument.format(root=ROOT, folder=folder, golden=golden.FOLDER) for argument in arguments]
     done = subprocess.run(
         [sys.executable, "-m", "cherrygrade", *filled],
         cwd=ROOT,
--- a/tests/golden/test_framing.py
+++ b/tests/golden/test_framing.py
@@ -48,9 +48,9 @@
     )
     data = bytes.fromhex(case["head"]) + BODY
     while data:
-        place = reader.place()
-        count = min(len(place), len(data))
-        place[:count] = data[:count]
+        buffer = reader.place()
+        count = min(len(buffer), len(data))
+        buffer[:count] = data[:count]
         reader.filled(count)
         data = data[count:]
     assert found == [(value_of(case), BODY)]
