--- a/cherrygrade/fleet/config/errors.py
+++ b/cherrygrade/fleet/config/errors.py
@@ -4,7 +4,8 @@
 
 
 class ConfigContentError(ValueError):
-    """The content received is not the version that was asked for; nothing of it is used.
+    """Received content is not the version that was requested, and none of it is used.
 
-    The fetch is repeated at another member; an operator need not do anything unless it happens at all.
+    The fetch is repeated from another member. An operator need not act on a single error; errors that persist
+    are reported in the dispatcher's status.
     """
--- a/cherrygrade/fleet/config/joint_phase.py
+++ b/cherrygrade/fleet/config/joint_phase.py
@@ -1,10 +1,12 @@
-"""The joint phase of a version that divides quotas anew: shrinking parts first, growing ones once it is safe.
+"""The joint phase of a version that divides quotas anew: parts shrink first, and grow once that is safe.
 
-After Raft's joint consensus (Ongaro, Ousterhout 2014, section 6): while a version is joint, each dispatcher
-uses the smaller of its two parts. The leader settles it once every seat of the larger count has said
-first-hand that it is on that stage or later, or has left by its own message. Silence is no proof.
+The joint phase follows Raft's joint consensus (Ongaro, Ousterhout 2014, section 6): while a version is in it,
+each dispatcher uses the smaller of its old and new quota parts. The council's leader settles the version once
+each seat of the larger fleet is proven: the member at the seat has reported directly that it is on that stage
+or a later one, or has announced that it leaves the fleet. A member that does not answer proves nothing.
 
-Free of I/O and clock; times are in ms of one clock.
+A seat is a dispatcher's number in the fleet, from 0. Free of I/O and clock; times are in ms of
+one monotonic clock.
 """
 
 from __future__ import annotations
@@ -17,26 +19,27 @@
 from cherrygrade.fleet.config.replica_messages import ConfigQuestion
 from cherrygrade.fleet.config.versions import QuotaDivisors
 
-MAX_QUESTIONS_PER_S = 50.0
-"""That the leader sends."""
-QUESTIONS_PER_TICK = 5
+MAX_QUESTIONS_PER_SECOND = 50.0
+"""Queries that the leader sends."""
+MAX_QUESTIONS_PER_TICK = 5
 REPEAT_MS = 1000.0
-"""Before a member that has not answered is asked again."""
+"""Time after which a member that has not answered is queried again."""
 REQUIRED_ROUNDS = 2
-"""Times that all seats have to prove their stage."""
-NEVER = 1e15
-"""A time in ms that is never reached."""
+"""How many times all seats have to be proven."""
+NEVER_MS = 1e15
+"""A time that is never reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaParts:
-    """What one dispatcher may use.
+    """The quota parts of one dispatcher.
 
     Attributes:
-        dispatcher_counts: By how many dispatchers a cold node's room is divided, sorted; of several the
-            smallest room counts, each reckoned as if it were the only one.
-        hosts: By volume, what its limit is divided by.
-        has_parts: False where this seat has no part at all, of cold nodes or limits.
+        dispatcher_counts: Among how many dispatchers a cold node's quota is divided, sorted. If
+            there are several counts, the part is computed for each as if it were the only one, and
+            the smallest applies.
+        hosts: By volume, the number that its limit is divided by.
+        has_parts: Whether the dispatcher has any quota part, be it of cold nodes or of limits.
     """
 
     dispatcher_counts: tuple[int, ...]
@@ -47,13 +50,15 @@
 def quota_parts(
     seat: int, divisors: QuotaDivisors, old_divisors: QuotaDivisors | None = None, is_certain: bool = True
 ) -> QuotaParts:
-    """The parts of a seat under a version.
+    """Return the quota parts of a seat under a version.
 
     Args:
         seat: The seat; negative for none.
-        divisors: Those of the version.
-        old_divisors: What its parts move away from while it is joint (an even stage), else None.
-        is_certain: Whether the dispatcher knows the fleet's version (`ConfigReplica.is_certain`).
+        divisors: The divisors of the version.
+        old_divisors: The divisors that quotas move away from, if the version is in the joint phase (an even
+            stage); else None.
+        is_certain: Whether the dispatcher knows the fleet's version (`ConfigReplica.is_certain`); without it,
+            there are no parts.
     """
     hosts = dict(divisors.hosts)
     counts: tuple[int, ...] = (divisors.dispatchers,)
@@ -66,54 +71,61 @@
 
 
 def seat_count(divisors: QuotaDivisors, old_divisors: QuotaDivisors) -> int:
-    """How many seats a move concerns."""
+    """Return the number of seats that a quota move concerns: those of the larger fleet."""
     return max(divisors.dispatchers, old_divisors.dispatchers)
 
 
 @dataclass(frozen=True, slots=True)
 class SeatedMember:
-    """One claim of a seat, as the membership table has it or had it last.
+    """A member's claim to a seat, as last known to the membership table.
 
     Attributes:
         seat: The seat.
         name: The member.
-        birth: Identifies the life of its process.
-        is_living: It is not known to be dead.
-        has_left: It left by its own message.
+        incarnation: Which incarnation of the member's process claims the seat; a later one is larger.
+        is_living: Whether the member is not known to be dead.
+        has_left: Whether the member announced that it leaves the fleet.
     """
 
     seat: int
     name: str
-    birth: int
+    incarnation: int
     is_living: bool
     has_left: bool = False
 
 
 class PendingQuestion(NamedTuple):
-    """The nonce of a question, and when it was asked in ms."""
+    """An unanswered query.
+
+    Attributes:
+        nonce: The nonce of the query.
+        sent_at_ms: When the query was sent.
+    """
 
     nonce: int
-    asked_at: float
+    sent_at_ms: float
 
 
-NO_QUESTION = PendingQuestion(0, -NEVER)
+NO_QUESTION = PendingQuestion(0, -NEVER_MS)
+"""Stands for a member that was not queried."""
 
 
 class JointPhase:
-    """The leader's search for proof that a move may be settled.
+    """The leader's collection of proof that a quota move may be settled.
 
-    All seats have to prove their stage twice: once all have, all are asked again, and nothing said before
-    counts. Otherwise a member that said it and was restarted without what it had stored could have become
-    certain by the word of another that had not said it yet. Each leader begins anew: what another one learned
-    proves nothing to it.
+    All seats have to be proven in two rounds: once all are, all members are queried again, and earlier
+    answers no longer count. With a single round, a member could answer, lose its disk in a restart, and
+    become certain of the old stage through a member that had not answered yet. Each leader begins anew, and
+    does not rely on the answers that another leader received.
 
     Attributes:
-        stage: What each seat has to reach: twice the number of the version with which the move began.
-        seats: How many seats the move concerns.
-        seed: Of the nonces.
-        stages: By name and birth, the highest stage said in this round; goes with the claims.
-        pending: By name, the question without an answer; goes with the claims.
-        completed_rounds: At most REQUIRED_ROUNDS; never decreases.
+        stage: The stage to reach: twice the number of the version with which the move began.
+        seats: The number of seats that the move concerns.
+        seed: The seed of the nonces.
+        stages: By name and incarnation, the highest stage that the member reported in this round. Entries are
+            dropped with the member's claim.
+        pending: The unanswered queries by name, dropped with the member's claim.
+        completed_rounds: The number of completed rounds; at most REQUIRED_ROUNDS, and it never decreases.
     """
 
     def __init__(self, stage: int, seats: int, seed: int, now: float) -> None:
@@ -123,23 +135,26 @@
         self.stages: dict[tuple[str, int], int] = {}
         self.pending: dict[str, PendingQuestion] = {}
         self.completed_rounds = 0
-        # No two leaderships draw the same nonces.
+        # The start time makes the nonces of each leadership different.
         self._nonces_drawn = crc32(f"{seed}:{stage}:{now!r}".encode())
-        self._next_at = now
+        self._next_tick_ms = now
 
-    def receive_answer(self, name: str, birth: int, stage: int, nonce: int) -> None:
-        """Note an answer that came from the address that the membership table has for the name.
+    def receive_answer(self, name: str, incarnation: int, stage: int, nonce: int) -> None:
+        """Process an answer sent from the address that the membership table has for the member.
 
-        It counts only with the nonce of the question, and once.
+        An answer counts only with the nonce of the pending query, and only once.
         """
         question = self.pending.get(name, NO_QUESTION)
         if question.nonce and question.nonce == nonce:
             del self.pending[name]
-            life = (name, birth)
-            self.stages[life] = max(stage, self.stages.get(life, 0))
+            member = (name, incarnation)
+            self.stages[member] = max(stage, self.stages.get(member, 0))
 
     def is_complete(self, claims: Iterable[SeatedMember]) -> bool:
-        """Whether the move may be settled now; ends a round. To be asked after answers, with fresh claims."""
+        """Return whether the move may be settled now, and complete a round if all its seats are proven.
+
+        It is to be called after each answer, with the current claims.
+        """
         if self.completed_rounds < REQUIRED_ROUNDS and not self.missing(claims):
             self.completed_rounds += 1
             if self.completed_rounds < REQUIRED_ROUNDS:
@@ -148,47 +163,48 @@
         return self.completed_rounds >= REQUIRED_ROUNDS
 
     def missing(self, claims: Iterable[SeatedMember]) -> dict[int, str]:
-        """The seats that lack proof in this round, and why, as a text for people.
+        """Return the seats that lack proof in this round, each with the reason, for operators.
 
-        A seat is proven by its last holder and by all that claim it and live: a member that leaves proves
-        nothing of one that took its seat since, nor an earlier life of a later one.
+        A seat is proven if the last member that claimed it is, and all living members that claim it are. So a
+        member that left does not stand for a member that took its seat later, nor an earlier incarnation of a
+        process for a later one.
         """
         by_seat: dict[int, list[SeatedMember]] = {}
         for claim in claims:
             if 0 <= claim.seat < self.seats:
                 by_seat.setdefault(claim.seat, []).append(claim)
-        reasons = {seat: self._why_unproven(by_seat.get(seat, [])) for seat in range(self.seats)}
+        reasons = {seat: self._unproven_reason(by_seat.get(seat, [])) for seat in range(self.seats)}
         return {seat: reason for seat, reason in reasons.items() if reason}
 
     def next_deadline(self) -> float:
-        """The time in ms at which `tick` is to be called."""
-        return self._next_at
+        """Return the time in ms at which `tick` is to be called."""
+        return self._next_tick_ms
 
     def tick(self, claims: Iterable[SeatedMember], now: float) -> list[ConfigQuestion]:
-        """The questions that are due now."""
-        if now < self._next_at:
+        """Return the queries to send now, and drop the answers of members that no longer claim a seat."""
+        if now < self._next_tick_ms:
             return []
         seated = [claim for claim in claims if 0 <= claim.seat < self.seats]
-        lives = {(claim.name, claim.birth) for claim in seated}
-        self.stages = {life: stage for life, stage in self.stages.items() if life in lives}
+        incarnations = {(claim.name, claim.incarnation) for claim in seated}
+        self.stages = {member: stage for member, stage in self.stages.items() if member in incarnations}
         unproven = {claim.name for claim in seated if claim.is_living and not self.is_proven(claim)}
         self.pending = {name: question for name, question in self.pending.items() if name in unproven}
-        due = [name for name in unproven if now - self._asked_at(name) >= REPEAT_MS]
-        # Who was asked longest ago comes first, so that nobody is passed over for ever.
-        due.sort(key=lambda name: (self._asked_at(name), name))
-        questions = [self._question(name, now) for name in due[:QUESTIONS_PER_TICK]]
-        self._next_at = now + QUESTIONS_PER_TICK * 1000.0 / MAX_QUESTIONS_PER_S
+        due = [name for name in unproven if now - self._last_query_ms(name) >= REPEAT_MS]
+        # The member queried longest ago comes first, so that each member is queried eventually.
+        due.sort(key=lambda name: (self._last_query_ms(name), name))
+        questions = [self._question(name, now) for name in due[:MAX_QUESTIONS_PER_TICK]]
+        self._next_tick_ms = now + MAX_QUESTIONS_PER_TICK * 1000.0 / MAX_QUESTIONS_PER_SECOND
         return questions
 
     def is_proven(self, claim: SeatedMember) -> bool:
-        """Whether this member has left, or has said in this round that it is on the stage."""
-        return claim.has_left or self.stages.get((claim.name, claim.birth), -1) >= self.stage
+        """Return whether this member has left, or has reported the stage or a later one in this round."""
+        return claim.has_left or self.stages.get((claim.name, claim.incarnation), -1) >= self.stage
 
-    def _why_unproven(self, claims: list[SeatedMember]) -> str:
-        """Why a seat with these claims lacks proof; "" where it does not."""
-        last = max(claims, key=lambda claim: (claim.birth, claim.name), default=None)
+    def _unproven_reason(self, claims: list[SeatedMember]) -> str:
+        """Return why a seat with these claims lacks proof; "" if it does not."""
+        last = max(claims, key=lambda claim: (claim.incarnation, claim.name), default=None)
         if last is None:
-            return "nobody is known to have held it"
+            return "no member is known to have claimed this seat"
         lacking = [
             claim for claim in claims if (claim is last or claim.is_living) and not self.is_proven(claim)
         ]
@@ -196,12 +212,12 @@
             return ""
         claim = lacking[0]
         if not claim.is_living:
-            return f"{claim.name} failed, and has not left"
-        stage = self.stages.get((claim.name, claim.birth))
+            return f"{claim.name} failed without leaving the fleet"
+        stage = self.stages.get((claim.name, claim.incarnation))
         return f"{claim.name} has not answered" if stage is None else f"{claim.name} is on stage {stage}"
 
-    def _asked_at(self, name: str) -> float:
-        return self.pending.get(name, NO_QUESTION).asked_at
+    def _last_query_ms(self, name: str) -> float:
+        return self.pending.get(name, NO_QUESTION).sent_at_ms
 
     def _question(self, name: str, now: float) -> ConfigQuestion:
         self._nonces_drawn += 1
--- a/cherrygrade/fleet/config/live_changes.py
+++ b/cherrygrade/fleet/config/live_changes.py
@@ -1,8 +1,8 @@
 """Which settings may change while a dispatcher runs, which need a restart, and which divide quotas.
 
-LIVE_SETTINGS names all that may change; anything else needs a restart and refuses the version, with its key:
-a setting that is new to the program is not live by accident. docs/config-design.md gives the reason for each.
-Free of I/O and clock.
+LIVE_SETTINGS lists the settings that may change while a dispatcher runs. A version that changes any other
+setting is refused with that setting's key, so that a new setting of the program needs a restart unless it is
+listed here. docs/config-design.md gives the reason for each. Free of I/O and clock.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from dataclasses import dataclass, is_dataclass
 from typing import Any
 
-from cherrygrade.fleet.config.versions import QuotaDivisors, moves
+from cherrygrade.fleet.config.versions import QuotaDivisors, replaced_divisors
 from cherrygrade.records.frozen_names import record_keys
 from cherrygrade.settings import SiteSettings
 
 LIVE_SETTINGS = {
-    # Read anew for each RPC or round, and bounding what this dispatcher alone does: the larger of two
-    # versions is the most that any mix of them lets through.
+    # These are read for each request or round, and bound this dispatcher alone. While dispatchers are on two
+    # different versions, together they allow no more than the larger of the two would.
     "plans": {
         "weight",
         "price",
@@ -32,25 +32,25 @@
     "budget": {"spare", "share", "span_ms"},
     "permits": {"most_sends", "copies", "cancel", "marks_repeats", "come_back_ms"},
     "bounds": {"most_held", "answer_ms", "leave_ms"},
-    # Divide quotas: these need the joint phase.
+    # These divide quotas, so that a change of them goes through the joint phase.
     "place": {"dispatchers"},
     "volumes": {"plan", "hosts"},
 }
-"""By part of the record, the settings that may change while a dispatcher runs."""
+"""The settings that may change while a dispatcher runs, by the section of the settings file."""
 ABSENT = "(none)"
-"""Stands for the value of a key that only one of two sites has."""
+"""Stands for the value of a key that only one of two settings files has."""
 DERIVED_PERMIT_KEYS = ("join_length", "join_most", "unit_length", "least_units")
-"""Computed from other settings of the record."""
+"""Keys of `permits` whose values are computed from other settings."""
 
 
 @dataclass(frozen=True, slots=True)
 class LiveChanges:
-    """What differs between two sites. Keys are as in the record (`plans.gold.limit_rate`), sorted.
+    """The differences between two settings files. Keys are sorted and dotted, as in `plans.gold.limit_rate`.
 
     Attributes:
-        live_keys: Keys that may change while a dispatcher runs.
-        restart_keys: Keys that need a restart; any of them refuses the version.
-        old_divisors: What quota parts move away from; None where none move.
+        live_keys: The changed keys that may change while a dispatcher runs.
+        restart_keys: The changed keys that need a restart; a version with any of them is refused.
+        old_divisors: The divisors that quotas move away from; None if no quotas move.
     """
 
     live_keys: list[str]
@@ -59,13 +59,13 @@
 
 
 def quota_divisors(site: SiteSettings) -> QuotaDivisors:
-    """By what a site divides quotas."""
+    """Return among how many dispatchers a settings file divides quotas."""
     volumes = sorted(site.trade.volumes.items())
     return QuotaDivisors(site.place.dispatchers, tuple((name, volume.hosts) for name, volume in volumes))
 
 
 def setting_changes(old: SiteSettings, new: SiteSettings) -> LiveChanges:
-    """What differs, by what has to be done about it."""
+    """Return the differences between two settings files, by whether they need a restart."""
     live: list[str] = []
     restart: list[str] = []
     old_values = setting_values(old)
@@ -78,13 +78,13 @@
             live.append(key)
         else:
             restart.append(key)
-    return LiveChanges(live, restart, moves(quota_divisors(old), quota_divisors(new)))
+    return LiveChanges(live, restart, replaced_divisors(quota_divisors(old), quota_divisors(new)))
 
 
 def setting_values(site: SiteSettings) -> dict[str, Any]:
-    """All values of the record by key; values that are computed from others are left out."""
+    """Return all values of a settings file by key; values computed from other ones are left out."""
     values: dict[str, Any] = {}
-    bearings = site.bearings
+    scheduling = site.bearings
     for name, workload in site.trade.workloads.items():
         _add_record(values, f"workloads.{name}", workload)
     for name, volume in site.trade.volumes.items():
@@ -93,14 +93,14 @@
         _add_record(values, f"plans.{volume.plan.name}", volume.plan)
     _add_record(values, "place", site.place)
     _add_record(values, "measure", site.trade.measure)
-    _add_record(values, "earnings", bearings.earnings)
-    _add_record(values, "cold", bearings.cold)
-    if bearings.budget is not None:
-        _add_record(values, "budget", bearings.budget)
-    _add_record(values, "permits", bearings.permits)
+    _add_record(values, "earnings", scheduling.earnings)
+    _add_record(values, "cold", scheduling.cold)
+    if scheduling.budget is not None:
+        _add_record(values, "budget", scheduling.budget)
+    _add_record(values, "permits", scheduling.permits)
     for derived in DERIVED_PERMIT_KEYS:
         del values[f"permits.{derived}"]
-    values["key_rest_ms"] = bearings.key_rest_ms
+    values["key_rest_ms"] = scheduling.key_rest_ms
     _add_record(values, "bounds", site.bounds)
     _add_record(values, "lines", site.lines)
     _add_record(values, "extents", site.cuts)
@@ -115,13 +115,13 @@
     part, _, rest = key.partition(".")
     name, _, setting = rest.rpartition(".")
     if part in ("plans", "workloads", "volumes"):
-        # Nobody was promised anything of one that is added or removed.
+        # Nothing depends yet on a plan, workload or volume that is added, nor any longer on a removed one.
         return not in_both or setting in LIVE_SETTINGS[part]
     return not name and setting in LIVE_SETTINGS.get(part, ())
 
 
 def _add_record(values: dict[str, Any], prefix: str, record: Any) -> None:
-    """Add the values of a settings dataclass; record keys differ between its types."""
+    """Add the values of a settings dataclass, nested ones included, under the keys of the settings file."""
     for key, name in record_keys(type(record)):
         value = getattr(record, name)
         if is_dataclass(value):
--- a/cherrygrade/fleet/config/replica.py
+++ b/cherrygrade/fleet/config/replica.py
@@ -1,10 +1,11 @@
-"""One dispatcher's replica of the configuration: what is in force, what is believed, what is fetched.
+"""One dispatcher's replica of the configuration: the version in force, the one believed, and its fetch.
 
-A version comes into force only once its stage is believed (`witnesses.py`) and its content fits the digest
-that witnesses said, and only if the stage is higher than the one in force.
+A version comes into force only once its stage is believed, which means confirmed by witnesses
+(`witnesses.py`); its content has to match the digest that the witnesses reported, and its stage has to be
+higher than the one in force.
 
-Free of I/O, clock and chance: calls in, a `ReplicaEffects` out. Times are milliseconds of any one clock;
-chance follows from the seed.
+The replica has no I/O and no clock: each call returns the `ReplicaEffects` that the caller has to carry out.
+Times are in ms of one monotonic clock. Random choices depend on the seed alone.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
     StageDigest,
     StoredConfig,
 )
-from cherrygrade.fleet.config.seeded_chance import SeededChance
+from cherrygrade.fleet.config.seeded_random import SeededRandom
 from cherrygrade.fleet.config.stage_seats import StageSeats
 from cherrygrade.fleet.config.version_content import verified_version
 from cherrygrade.fleet.config.version_fetch import VersionFetch
@@ -33,25 +34,26 @@
 from cherrygrade.fleet.config.witnesses import Witnesses
 
 MAX_PUSHES = 3
-"""Members that a new stage is pushed to, once: one at least of another zone."""
-NEVER = 1e15
-"""A time in ms that is never reached."""
+"""Members that a new stage is pushed to once; at least one of them is in another zone, if there is any."""
+NEVER_MS = 1e15
+"""A time that is never reached."""
 
 
 class ConfigReplica:
     """The replica of one dispatcher.
 
     Attributes:
-        name: This dispatcher.
-        zone: Its zone.
-        stage: The stage in force here; 0 for the own file; never decreases.
-        version: The version in force here; None for the own file.
-        refusal: Why a newer version was refused here, as a text for people; "" for none.
-        witnesses: What other members said.
-        questions: Whom this member asks.
-        fetch: The fetch of what is believed.
-        store: The versions held in memory.
-        seats: Which seats are known to be on the stage in force here; for people.
+        name: This dispatcher's name.
+        zone: This dispatcher's zone.
+        stage: The stage in force here; 0 while only the dispatcher's own file is in force.
+            It never decreases.
+        version: The version in force here; None while only the dispatcher's own file is in force.
+        refusal: For operators, why a newer version was refused here; "" for none.
+        witnesses: What other members reported.
+        questions: The queries to other members.
+        fetch: The fetch of the believed version.
+        store: The versions in memory.
+        seats: Which seats are known to be on the stage in force here, for operators.
     """
 
     def __init__(
@@ -68,15 +70,17 @@
         """Begin with what was read from disk.
 
         Args:
-            name: This dispatcher.
-            zone: Its zone.
-            seat: Its seat; negative for none.
-            seats: The seats of the fleet of record.
+            name: This dispatcher's name.
+            zone: This dispatcher's zone.
+            seat: This dispatcher's seat; negative for none.
+            seats: The number of seats of the fleet of record.
             voters: The names of the council's voters.
-            seed: Of all chance.
-            now: In ms; tells this life's nonces from another's.
-            stored: What is on disk: the caller brings it into force, and says so with `apply_finished`
-                before anything else. None: nothing usable was there, and the own file is in force.
+            seed: The seed of all random choices.
+            now: The current time in ms. It is part of the seed of the nonces, so that an answer to a query of
+                an earlier incarnation of this process is not taken for an answer to a query of this one.
+            stored: The configuration on disk. The caller brings it into force and reports that with
+                `apply_finished` before any other call. None if there was none that can be used; the
+                dispatcher's own file is in force then.
         """
         self.name = name
         self.zone = zone
@@ -86,9 +90,9 @@
         self.witnesses = Witnesses([voter for voter in voters if voter != name])
         self.store = VersionStore()
         self.seats = StageSeats(seat, seats)
-        self._chance = SeededChance(seed, crc32(f"{seed}:{name}:{now!r}".encode()))
-        self.questions = WitnessQuestions(zone, self.witnesses, self._chance, now)
-        self.fetch = VersionFetch(zone, self._chance)
+        self._rng = SeededRandom(seed, crc32(f"{seed}:{name}:{now!r}".encode()))
+        self.questions = WitnessQuestions(zone, self.witnesses, self._rng, now)
+        self.fetch = VersionFetch(zone, self._rng)
         self._is_certain = False
         self._refused_number = 0
         self._starting_with = stored
@@ -101,46 +105,54 @@
 
     @property
     def digest_prefix(self) -> int:
-        """Of the version in force here; 0 for the own file."""
+        """The digest prefix of the version in force here; 0 for none."""
         return self.version.digest_prefix if self.version is not None else 0
 
     @property
     def is_certain(self) -> bool:
-        """Whether it knows, or knew in this life, the fleet's version.
+        """Whether this process knows, or has known since its start, the fleet's version.
 
-        That is so once what it stored is in force, or it came to what witnesses said. Until then it serves on
-        its own file and has no quota parts (`joint_phase.quota_parts`): the fleet may have divided them anew.
-        A voter's own log does not make it certain, it may lag.
+        It does once the stored version is in force, or the stage that witnesses confirmed. Until then
+        the dispatcher serves on its own file and has no quota parts (`joint_phase.quota_parts`), because
+        the fleet may have divided quotas anew. A voter's own log does not make the voter certain,
+        because it may lag.
         """
         return self._is_certain
 
     @property
     def believed(self) -> StageDigest:
-        """The highest stage with witnesses; in force or not yet."""
+        """The highest stage that witnesses confirmed, whether it is in force here yet or not."""
         return self.witnesses.believed
 
     def status(self) -> str:
-        """For people: "" where all is well, else "refused: KEY", "can't fetch: WHY" or "late"."""
+        """Return, for operators, why the fleet's version is not in force here; "" if it is.
+
+        Returns:
+            "", "refused: " or "can't fetch: " with the reason, or a text that says that the version is not
+            yet confirmed or not yet in force.
+        """
         if self.refusal and self._refused_number >= self.believed.number:
             return f"refused: {self.refusal}"
         if self.believed.stage <= self.stage:
-            return "" if self.is_certain else "not sure what the fleet is on"
-        return f"can't fetch: {self.fetch.error}" if self.fetch.error else "late"
+            return "" if self.is_certain else "the fleet's version is not confirmed yet"
+        return (
+            f"can't fetch: {self.fetch.error}" if self.fetch.error else "a newer version is not in force yet"
+        )
 
     def own_advert(self) -> OwnAdvert:
-        """What this member says of itself."""
+        """Return what this member reports of its own configuration."""
         if not self.is_certain:
             return OwnAdvert(*UNCERTAIN)
         bits = self.seats.to_send() if self.stage else b""
         return OwnAdvert(self.stage, self.digest_prefix, bits)
 
     def next_deadline(self) -> float:
-        """The time in ms at which `tick` is to be called."""
+        """Return the time in ms at which `tick` is to be called."""
         if self._tick_now:
             return 0.0
-        deadline = NEVER
+        deadline = NEVER_MS
         if self.wants_version and self.fetch.current is None and self._applying is None:
-            deadline = self.fetch.begin_at
+            deadline = self.fetch.next_start_ms
         if self.fetch.current is not None:
             deadline = min(deadline, self.fetch.next_deadline())
         has_members = bool(self._members)
@@ -149,13 +161,21 @@
 
     @property
     def wants_version(self) -> bool:
-        """Whether a later version is believed, and was not refused here."""
+        """Whether a later stage than the one in force is believed, and its version was not refused here."""
         return self.believed.stage > self.stage and self.believed.number > self._refused_number
 
     def receive_advert(
         self, name: str, stage: int, digest_prefix: int, now: float, bits: bytes = b""
     ) -> ReplicaEffects:
-        """Handle what any message of a living member told of its stage."""
+        """Process the stage that any message of a living member reports.
+
+        Args:
+            name: The member.
+            stage: The stage that it reports.
+            digest_prefix: The digest prefix of the member's version.
+            now: The current time in ms.
+            bits: The seats that the member knows to be on its stage; b"" for no bitmap.
+        """
         self._merge_seats(stage, digest_prefix, bits, now)
         is_newer = stage > self.stage and name != self.name
         if is_newer and self.witnesses.add_advert(name, StageDigest(stage, digest_prefix)):
@@ -165,22 +185,22 @@
     def receive_statement(
         self, name: str, stage: int, digest_prefix: int, now: float, nonce: int = 0, bits: bytes = b""
     ) -> ReplicaEffects:
-        """Handle what a member said first-hand, from the address that the membership table has for it.
+        """Process a member's direct report, sent from the address that the membership table has for it.
 
         Args:
             name: The member.
-            stage: The stage that it says it is on.
-            digest_prefix: Of its version.
-            now: In ms.
-            nonce: Of the question that it answers; 0 for the answer to this member's own probe, as the
+            stage: The stage that it reports.
+            digest_prefix: The digest prefix of the member's version.
+            now: The current time in ms.
+            nonce: The nonce of the query that it answers; 0 if it answers this member's own probe, as the
                 caller has checked.
-            bits: The seats that it knows to be on its stage.
+            bits: The seats that the member knows to be on its stage; b"" for no bitmap.
         """
-        if nonce and not self.questions.is_asked(name, nonce):
+        if nonce and not self.questions.is_pending(name, nonce):
             return self.receive_advert(name, stage, digest_prefix, now, bits)
         statement = StageDigest(stage, digest_prefix)
         if nonce:
-            self.questions.answered(name, nonce, statement, now)
+            self.questions.receive_answer(name, nonce, statement, now)
             self._tick_now = True
         self._merge_seats(stage, digest_prefix, bits, now)
         if statement == UNCERTAIN or (self.is_certain and stage <= self.stage):
@@ -193,15 +213,16 @@
     def learn_committed(
         self, version: ConfigVersion | None, stage: int, now: float, leader_confirmed: bool = False
     ) -> ReplicaEffects:
-        """Handle what this voter's own log has committed.
+        """Process what this voter's own log has committed.
 
         Args:
-            version: The newest version; None where there is none.
-            stage: Its stage.
-            now: In ms.
-            leader_confirmed: This voter leads and has applied all that was committed before its term: it is
-                certain of the fleet's version. To be told once at least, also where there is no version: all
-                others become certain by its word. A follower's own log may lag.
+            version: The newest committed version; None if there is none.
+            stage: The stage of that version.
+            now: The current time in ms.
+            leader_confirmed: Whether this voter leads and has applied all entries committed before its term,
+                which makes it certain of the fleet's version. A leader has to report it at least once, even
+                if there is no version, because all other members become certain through the leader's
+                statements. A follower's own log may lag.
         """
         if version is not None and stage > self.believed.stage:
             self.store.add(version)
@@ -212,22 +233,22 @@
         return self._apply_believed()
 
     def respond_to_fetch(self, request: FetchRequest) -> FetchResponse:
-        """Serve another member; where content is given, `response_ended` has to follow."""
+        """Serve another member. If the response has content, `response_ended` has to follow."""
         return self.store.respond(request)
 
     def response_ended(self) -> None:
-        """A fetch that was given content has ended."""
+        """Note that a fetch whose response had content has ended."""
         self.store.response_ended()
 
     def fetch_finished(self, name: str, response: FetchResponse, now: float) -> ReplicaEffects:
-        """Handle the response of a member; one to a fetch that was given up is ignored."""
+        """Process a member's response to a fetch; it is ignored if that fetch has already ended."""
         fetch = self.fetch.end(name)
         if fetch is None:
             return ReplicaEffects()
         if response.content is None:
             self.fetch.tried.add(name)
             if response.reason != "busy":
-                # It does not have the version (any more), though it told of the stage.
+                # The member does not have the version in memory, though it sent an advert of the stage.
                 self.witnesses.adverts.pop(name, None)
             return self._apply_believed()
         wanted = fetch.wanted
@@ -238,18 +259,25 @@
             return ReplicaEffects()
         self.store.add(version)
         self.fetch.succeed()
-        # Even if a later one is believed by now: a member that is always behind would never apply any.
+        # The version is applied even if a later one is believed by now: otherwise a member that is always
+        # behind would never apply any.
         effects = self.apply(version, wanted.stage)
         return effects if effects.apply is not None else self._apply_believed()
 
     def fetch_failed(self, name: str, reason: str, now: float) -> ReplicaEffects:
-        """Handle that there is no connection to a member, or that it broke."""
+        """Process the failure of a fetch: the connection to the member could not be made, or it broke."""
         if self.fetch.end(name) is not None:
             self.fetch.fail(name, f"{name}: {reason}", now)
         return ReplicaEffects()
 
     def apply_finished(self, stage: int, refusal: str, now: float) -> ReplicaEffects:
-        """Handle how `ReplicaEffects.apply` ended: in force (""), or why it is refused here."""
+        """Process the result of `ReplicaEffects.apply`.
+
+        Args:
+            stage: The stage that was to come into force; a result for any other is ignored.
+            refusal: Why the version is refused here; "" if it is in force.
+            now: The current time in ms.
+        """
         if self._applying is None or self._applying.stage != stage:
             return ReplicaEffects()
         version = self._applying.version
@@ -277,23 +305,32 @@
         return self._apply_believed()
 
     def tick(self, living: list[ReachableMember], now: float) -> ReplicaEffects:
-        """Do what is due; `living`: the members that can be reached now."""
+        """Time out queries and the fetch, and return all effects that are due now.
+
+        Args:
+            living: The members that can be reached now; this one may be among them.
+            now: The current time in ms.
+        """
         self._tick_now = False
         self._members = {member.name: member for member in living if member.name != self.name}
-        self.witnesses.keep_only({*self._members})
+        self.witnesses.drop_departed({*self._members})
         self.questions.expire(now)
         self.seats.expire(now)
         effects = self._apply_believed()
-        self.fetch.give_up_late(now)
+        self.fetch.expire(now)
         if self._push_pending and self.is_certain and self._members:
             self._push_pending = False
             effects.push_to = self._draw_push_targets()
-        effects.questions += self.questions.ask(self.stage, self.is_certain, self._members, now)
+        effects.questions += self.questions.due_questions(self.stage, self.is_certain, self._members, now)
         self._begin_fetch(effects, now)
         return effects
 
     def apply(self, version: ConfigVersion, stage: int) -> ReplicaEffects:
-        """Bring a version into force, if it is above what is and nothing else is being applied."""
+        """Return the effects that bring a version into force.
+
+        There are none if the stage is not above the one in force, the version or a later one was refused
+        here, or another version is being applied.
+        """
         stage = version.stage(settled=bool(stage & 1))
         refused = version.number <= self._refused_number
         if self._applying is not None or stage <= self.stage or refused:
@@ -312,7 +349,7 @@
         self.refusal = refusal
         self._refused_number = version.number
         if started_with is not None and started_with.previous is not None:
-            # What was stored may not have been in force before the restart: what it replaced was.
+            # The stored version may not have come into force before the restart, but the one before it had.
             self._applying = ApplyVersion(started_with.previous, started_with.previous_stage)
             return ReplicaEffects(apply=self._applying)
         effects = self._apply_believed()
@@ -321,9 +358,10 @@
         return effects
 
     def _update_belief(self, statement: StageDigest) -> None:
-        """Believe the stage that was just said, if it now has its witnesses.
+        """Believe the stage that a member just stated, if it now has enough witnesses.
 
-        A member that says a later stage of a version confirms the earlier one too, not the other way round.
+        A member that states the settled stage of a version also confirms the joint stage, but not the
+        other way round.
         """
         digest_prefix = statement.digest_prefix
         joint_stage = statement.stage & ~1
@@ -349,7 +387,7 @@
     def _begin_fetch(self, effects: ReplicaEffects, now: float) -> None:
         if not self.wants_version or self.fetch.current is not None or self._applying is not None:
             return
-        if now < self.fetch.begin_at:
+        if now < self.fetch.next_start_ms:
             return
         believed = self.believed
         if self.store.find(believed.number, believed.digest_prefix) is not None:
@@ -361,7 +399,7 @@
             self.seats.merge(bits, now)
 
     def _draw_push_targets(self) -> list[str]:
-        """MAX_PUSHES of the living: most of the own zone, one of another."""
+        """Draw MAX_PUSHES living members at random: most from the own zone, one from another."""
         in_zone = [name for name, member in self._members.items() if member.zone == self.zone]
         elsewhere = [name for name, member in self._members.items() if member.zone != self.zone]
         drawn: list[str] = []
@@ -370,7 +408,7 @@
             (in_zone, MAX_PUSHES),
             (elsewhere, MAX_PUSHES),
         ):
-            left = [name for name in names if name not in drawn]
-            for _ in range(min(limit, MAX_PUSHES - len(drawn), len(left))):
-                drawn.append(left.pop(self._chance.index(len(left))))
+            remaining = [name for name in names if name not in drawn]
+            for _ in range(min(limit, MAX_PUSHES - len(drawn), len(remaining))):
+                drawn.append(remaining.pop(self._rng.index(len(remaining))))
         return drawn
--- a/cherrygrade/fleet/config/replica_messages.py
+++ b/cherrygrade/fleet/config/replica_messages.py
@@ -1,4 +1,10 @@
-"""Records, messages and effects of a replica of the configuration."""
+"""Records, messages and effects of a replica of the configuration.
+
+A dispatcher's seat is its number in the fleet, from 0. The fleet of record is the set of seats that the
+configuration divides quotas by. A version's stage is twice its number while it is being introduced (the
+joint phase) and one more once it is settled. A digest prefix is the first 8 bytes of a version's digest,
+as an integer.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +17,11 @@
 from cherrygrade.fleet.config.versions import ConfigVersion
 
 UNCERTAIN_DIGEST_PREFIX = 1
-"""Beside stage 0: this member does not know the fleet's version, and is no witness of anything."""
+"""With stage 0: the sender does not know the fleet's version, so its message confirms nothing."""
 
 
 class StageDigest(NamedTuple):
-    """A version at a stage, as members name it; (0, 0) for no configuration."""
+    """A version at a stage, as members name it; (0, 0) stands for no shared configuration."""
 
     stage: int
     digest_prefix: int
@@ -27,16 +33,18 @@
 
 
 UNCERTAIN = StageDigest(0, UNCERTAIN_DIGEST_PREFIX)
+"""What a member reports while it does not know the fleet's version."""
 
 
 class StoredConfig(msgspec.Struct, array_like=True, frozen=True):
-    """What is on disk; positional there.
+    """The configuration as one dispatcher stores it on disk, where fields are positional.
 
     Attributes:
         stage: The stage of `version`.
-        version: What is in force, or was about to be.
+        version: The version in force, or one that was stored just before it would have come into force.
         previous_stage: The stage of `previous`.
-        previous: What was in force before, in case `version` is refused here; None for the own file.
+        previous: The version in force before `version`, used if `version` is refused here; None if the
+            dispatcher used only its own file before.
     """
 
     stage: int
@@ -46,7 +54,13 @@
 
 
 class ReachableMember(msgspec.Struct, frozen=True):
-    """A living member that can be reached, as the membership table has it."""
+    """A living member whose address is in the membership table.
+
+    Attributes:
+        name: The member's name.
+        zone: The member's zone.
+        seat: The member's seat; negative for none.
+    """
 
     name: str
     zone: str
@@ -54,12 +68,13 @@
 
 
 class OwnAdvert(msgspec.Struct, frozen=True, rename={"digest_prefix": "mark"}):
-    """What this member says of itself; `UNCERTAIN` while it does not know the fleet's version.
+    """What this member reports of its own configuration; `UNCERTAIN` until it knows the fleet's version.
 
     Attributes:
         stage: The stage in force here.
-        digest_prefix: Of the version in force here.
-        bits: Which seats are known to be on that stage, little end first; b"" where all are, or none is.
+        digest_prefix: The digest prefix of the version in force here.
+        bits: A bitmap of the seats known to be on that stage, little-endian. It is b"" once all seats have
+            been known for a while, and while no stage is in force.
     """
 
     stage: int
@@ -68,13 +83,14 @@
 
 
 class FetchRequest(msgspec.Struct, array_like=True, frozen=True):
-    """A request for a version's content; positional on the wire.
+    """A request for a version's content; fields are positional on the wire.
 
     Attributes:
-        number: The version.
-        digest_prefix: The version's.
-        base_number: The version in force at the requester, which a difference may be against; 0 for none.
-        base_digest_prefix: That version's.
+        number: The number of the requested version.
+        digest_prefix: The digest prefix of the requested version.
+        base_number: The number of the version in force at the requester, which the content may be a
+            difference against; 0 for none.
+        base_digest_prefix: The digest prefix of that version.
     """
 
     number: int
@@ -84,11 +100,12 @@
 
 
 class FetchResponse(msgspec.Struct, array_like=True, frozen=True):
-    """The response to a `FetchRequest`; positional on the wire.
+    """The response to a `FetchRequest`; fields are positional on the wire.
 
     Attributes:
-        content: The content; None where it is not given.
-        reason: Why not: "busy" (another member may), or "gone" (not stored here, any more or yet).
+        content: The content; None if this member does not send it.
+        reason: Why there is no content: "busy" (too many fetches are being served; another member may serve
+            it) or "gone" (the version is not in memory here: not yet, or no longer).
     """
 
     content: VersionContent | None = None
@@ -96,21 +113,21 @@
 
 
 class ApplyVersion(NamedTuple):
-    """A version that is to come into force, at this stage."""
+    """A version that is to come into force, and the stage that it comes into force at."""
 
     version: ConfigVersion
     stage: int
 
 
 class ConfigQuestion(NamedTuple):
-    """A member that is asked for its version, and the nonce that its answer has to bring back."""
+    """A query to a member for its stage, and the nonce that the member's answer has to repeat."""
 
     name: str
     nonce: int
 
 
 class FetchFrom(NamedTuple):
-    """A member and the request for content that it gets."""
+    """A member, and the request for content that is sent to it."""
 
     name: str
     request: FetchRequest
@@ -118,17 +135,18 @@
 
 @dataclass(slots=True)
 class ReplicaEffects:
-    """What a call to `ConfigReplica` asks its caller to do.
+    """What a call to `ConfigReplica` requires its caller to do, in the order of the attributes.
 
-    Order: first write `store` to disk and sync it. Then bring `apply` into force, unless an older version
-    could be neither replaced nor removed on disk. Then send `questions` and `push_to`, and begin `fetch`.
+    `apply` waits until `store` is synced to disk. If `store` cannot be written, the version is applied all
+    the same, unless an older version remains on disk that could be neither replaced nor removed.
 
     Attributes:
-        store: To be stored in place of what is on disk; None for no change.
-        apply: To be brought into force; the caller answers with `ConfigReplica.apply_finished`.
-        questions: Members that are asked for their version.
-        push_to: Members that this one's stage and digest prefix are sent to.
-        fetch: A fetch to begin; the caller answers with `fetch_finished` or `fetch_failed`.
+        store: The configuration that replaces the one on disk; None for no change.
+        apply: The version to bring into force. The caller reports the result with
+            `ConfigReplica.apply_finished`.
+        questions: Queries to send to members for their stage.
+        push_to: The names of the members to send this member's stage and digest prefix to.
+        fetch: A fetch to begin. The caller reports its end with `fetch_finished` or `fetch_failed`.
     """
 
     store: StoredConfig | None = None
--- a/cherrygrade/fleet/config/seeded_chance.py
+++ b/cherrygrade/fleet/config/seeded_random.py
@@ -1,16 +1,16 @@
-"""Chance that follows from a seed alone, so that a run can be repeated."""
+"""A pseudo-random source that depends on its seed alone, so that a run can be repeated."""
 
 from __future__ import annotations
 
 from zlib import crc32
 
 
-class SeededChance:
-    """A sequence of numbers by crc32.
+class SeededRandom:
+    """A pseudo-random sequence: the crc32 of the seed and a counter.
 
     Attributes:
-        seed: Of the sequence.
-        count: Where the sequence stands; increases with each draw.
+        seed: The seed of the sequence.
+        count: The counter of the last draw; it increases by 1 with each draw.
     """
 
     def __init__(self, seed: int, first_count: int) -> None:
@@ -18,23 +18,26 @@
         self.count = first_count
 
     def fraction(self) -> float:
-        """The next number, from 0 to below 1."""
+        """Draw a number from 0 to below 1."""
         self.count += 1
         return crc32(f"{self.seed}:{self.count}".encode()) / 2.0**32
 
     def index(self, length: int) -> int:
-        """An index into a sequence of this length."""
+        """Draw an index into a sequence of this length."""
         return int(self.fraction() * length)
 
     def pick(self, names: list[str]) -> str:
-        """One of the names."""
+        """Draw one of the names."""
         return names[self.index(len(names))]
 
     def jittered(self, interval_ms: float) -> float:
-        """An interval from three to five quarters of this one."""
+        """Draw a duration between 0.75 and 1.25 times the interval, in ms."""
         return interval_ms * (0.75 + 0.5 * self.fraction())
 
     def nonce(self) -> int:
-        """A number that no other draw gives soon; never 0."""
+        """Draw a number that is never 0.
+
+        The low 20 bits are the counter, so that nonces differ for 2**20 draws.
+        """
         nonce = int(self.fraction() * 2**32) << 20 | self.count & 0xFFFFF
         return nonce or 1
--- a/cherrygrade/fleet/config/text_diff.py
+++ b/cherrygrade/fleet/config/text_diff.py
@@ -1,4 +1,4 @@
-"""Differences between two texts of the configuration, by lines. Free of I/O."""
+"""Line differences between two texts of the configuration. Free of I/O."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from cherrygrade.fleet.config.errors import ConfigContentError
 
 MAX_COMPARED_LINES = 2000
-"""Lines between the common ends that are compared one by one; more become a single hunk."""
+"""Lines of both texts, without those common at their beginnings and ends, that are compared one by one. A
+larger change becomes a single hunk."""
 
 
 class DiffHunk(msgspec.Struct, array_like=True, frozen=True):
-    """Some lines replaced by others; positional on the wire and on disk.
+    """Some lines of a text replaced by others; fields are positional on the wire and on disk.
 
     Attributes:
-        first_line: The first line that is replaced, of the old text; counts from 0.
-        dropped: How many lines are replaced.
-        lines: The new lines, with their ends.
+        first_line: The index in the old text of the first line replaced, from 0.
+        dropped: The number of lines replaced.
+        lines: The new lines, with their line ends.
     """
 
     first_line: int
@@ -27,7 +28,7 @@
 
 
 def difference(old: str, new: str) -> tuple[DiffHunk, ...]:
-    """The hunks that make the new text of the old one, in order."""
+    """Return the hunks that turn the old text into the new one, in the order of the old text."""
     old_lines = old.splitlines(keepends=True)
     new_lines = new.splitlines(keepends=True)
     head = _common_head(old_lines, new_lines)
@@ -47,10 +48,10 @@
 
 
 def apply_hunks(old: str, hunks: tuple[DiffHunk, ...]) -> str:
-    """The new text.
+    """Return the new text.
 
     Raises:
-        ConfigContentError: The hunks do not fit the old text.
+        ConfigContentError: The hunks overlap, are not in order, or reach beyond the end of the old text.
     """
     old_lines = old.splitlines(keepends=True)
     next_line = 0
@@ -58,6 +59,7 @@
     for hunk in hunks:
         end = hunk.first_line + hunk.dropped
         if hunk.first_line < next_line or hunk.dropped < 0 or end > len(old_lines):
+            # The council's log stores this text as the reason of a refusal, so it is the same on every voter.
             raise ConfigContentError("a difference that does not fit what it is against")
         lines += old_lines[next_line : hunk.first_line]
         lines += hunk.lines
@@ -66,7 +68,7 @@
 
 
 def _common_head(old_lines: list[str], new_lines: list[str]) -> int:
-    """How many lines at the beginning are the same."""
+    """Return how many lines at the beginning are the same."""
     count = 0
     for old_line, new_line in zip(old_lines, new_lines, strict=False):
         if old_line != new_line:
--- a/cherrygrade/fleet/config/version_log.py
+++ b/cherrygrade/fleet/config/version_log.py
@@ -1,7 +1,10 @@
-"""The one order of the configuration's versions, as the council's log makes it.
+"""The configuration's versions, in the order in which the council's log commits them.
 
-The same entries lead to the same versions on every voter, whatever program it runs: texts are judged before
-they are proposed, never here. Free of I/O, clock and chance; times are the leaders', in ms.
+The same entries lead to the same state on every voter, even if voters run different versions of the program.
+So texts are validated before they are proposed, never here, and the wording of refusals stays: the outcomes
+of requests are part of the state.
+
+Free of I/O, clock and random sources. Times are those of the council's leaders, in ms.
 """
 
 from __future__ import annotations
@@ -21,22 +24,22 @@
     QuotaDivisors,
     SettleVersion,
     decode,
-    moves,
+    replaced_divisors,
     text_digest,
 )
 
 MAX_STORED_VERSIONS = 32
-"""Versions that are stored whole;"""
+"""Versions that are stored with their full text."""
 MAX_STORED_BYTES = 2_097_152
-"""and bytes of their texts. The newest is always stored."""
+"""Bytes of all stored texts in UTF-8. The newest version is always stored."""
 MAX_REMOVED_VOLUMES = 4096
-"""Volumes that were removed and may still be in use by members that were cut off."""
+"""Removed volumes whose quota parts may still be in use by members that are partitioned away."""
 MAX_ANSWERED_REQUESTS = 256
-"""Outcomes that are remembered for requests that are repeated."""
+"""Outcomes that are stored to answer repeated requests."""
 
 
 class VersionLogState(msgspec.Struct, array_like=True):
-    """The whole state, for a snapshot; the fields are those of `VersionLog`."""
+    """The full state for a snapshot. Fields are positional, and described at `VersionLog`."""
 
     now: float
     versions: list[ConfigVersion]
@@ -50,13 +53,15 @@
     """The versions of the configuration.
 
     Attributes:
-        now: The leaders' time in ms, as of the newest entry; never goes back.
-        versions: By number, the newest ones within the limits, the newest last.
-        settled_number: The newest version whose quota parts are settled, with all before it.
-        divisors: Those of the newest version and, in addition, of the removed volumes; None before the first.
-        removed_volumes: By volume, the version that removed it. A member that was cut off since may still
-            use its part, so that a volume that is added again moves from there. They are forgotten once a
-            later move is settled, which proves that nobody uses such a version.
+        now: The leader's time of the newest entry, in ms; never decreases.
+        versions: By number, the newest versions within the limits, the newest last.
+        settled_number: The number of the newest version whose quota move is settled; so are all moves before.
+        divisors: The divisors of the newest version and of the volumes in `removed_volumes`; None before
+            the first version.
+        removed_volumes: By volume, the number of the version that removed it. A member that has been
+            partitioned away since may still use its quota part of the volume, so that a volume that is added
+            again moves from its old divisor. An entry is dropped once a later move is settled, which proves
+            that no member uses the removed volume any more.
         answered_requests: By request id, the last MAX_ANSWERED_REQUESTS outcomes, the oldest first.
     """
 
@@ -70,39 +75,46 @@
 
     @property
     def newest(self) -> ConfigVersion | None:
-        """The newest version; None where there is no configuration."""
+        """The newest version; None if there is no configuration."""
         return next(reversed(self.versions.values()), None)
 
     @property
     def newest_number(self) -> int:
-        """The number of the newest version; 0 where there is no configuration."""
+        """The number of the newest version; 0 if there is no configuration."""
         newest = self.newest
         return newest.number if newest is not None else 0
 
     @property
     def stage(self) -> int:
-        """The stage of the newest version; 0 where there is no configuration."""
+        """The stage of the newest version; 0 if there is no configuration."""
         newest = self.newest
         return newest.stage(newest.number <= self.settled_number) if newest is not None else 0
 
     @property
     def moving_number(self) -> int:
-        """The version with which an unsettled move of quota parts began; 0 for none."""
+        """The number of the version with which the unsettled quota move began; 0 for none."""
         newest = self.newest
         if newest is None or newest.number <= self.settled_number:
             return 0
         return newest.move_started
 
     def apply(self, index: int, payload: bytes) -> PutOutcome:
-        """Apply one committed entry, without the prefix.
+        """Apply one committed entry.
+
+        An entry that can't be decoded changes nothing, on every voter alike.
+
+        Args:
+            index: The entry's index in the council's log.
+            payload: The encoded command, without the prefix that tells kinds of entries apart.
 
-        One that can't be read changes nothing, on every voter alike.
+        Returns:
+            The outcome; that of the first time, if the request was repeated.
         """
         try:
             command = decode(payload)
         except (msgspec.MsgspecError, UnicodeDecodeError):
             return PutOutcome(refusal="an entry that can't be read")
-        self.now = max(self.now, command.at)
+        self.now = max(self.now, command.leader_time_ms)
         if isinstance(command, SettleVersion):
             return self._settle(command)
         if command.id not in self.answered_requests:
@@ -112,7 +124,7 @@
         return self.answered_requests[command.id]
 
     def state(self) -> VersionLogState:
-        """The whole state."""
+        """Return the full state."""
         return VersionLogState(
             self.now,
             [*self.versions.values()],
@@ -123,7 +135,7 @@
         )
 
     def restore(self, state: VersionLogState) -> None:
-        """Replace the state."""
+        """Replace the full state."""
         self.now = state.now
         self.settled_number = state.settled_number
         self.divisors = state.divisors
@@ -132,14 +144,14 @@
         self.answered_requests = OrderedDict(state.answered_requests)
 
     def snapshot(self) -> bytes:
-        """The whole state, encoded."""
+        """Return the full state, encoded."""
         return msgspec.msgpack.encode(self.state())
 
     def restore_bytes(self, data: bytes) -> None:
-        """Replace the state by an encoded one.
+        """Replace the full state by an encoded one.
 
         Raises:
-            msgspec.ValidationError: It is no snapshot.
+            msgspec.ValidationError: The data is no snapshot.
         """
         self.restore(msgspec.msgpack.decode(data, type=VersionLogState))
 
@@ -150,7 +162,7 @@
                 refusal=f"{newest_number} is the newest, not {command.based_on}: look at it, then put again"
             )
         try:
-            text = self._text_of(command)
+            text = self._full_text(command)
         except ConfigContentError as error:
             return PutOutcome(refusal=str(error))
         if text_digest(text) != command.digest:
@@ -158,21 +170,21 @@
         if len(text.encode()) > MAX_TEXT_BYTES:
             return PutOutcome(refusal=f"more than {MAX_TEXT_BYTES} bytes")
         current = self.divisors or command.old_divisors
-        old_divisors = moves(current, command.divisors) if current is not None else None
+        old_divisors = replaced_divisors(current, command.divisors) if current is not None else None
         move_started = newest_number + 1
         if old_divisors is not None and self.moving_number:
             return PutOutcome(refusal=f"parts still move: wait {newest_number}")
         if old_divisors is None:
-            # A version that moves nothing itself stays joint while an earlier move is not settled.
+            # A version without a move of its own stays in the joint phase until an earlier move is settled.
             old_divisors, move_started = self._current_move()
-        removed = self._removed_by(command, current)
+        removed = self._removed_volumes(command, current)
         if len(removed) > MAX_REMOVED_VOLUMES:
             return PutOutcome(
                 refusal=f"more than {MAX_REMOVED_VOLUMES} volumes went since parts were settled last"
             )
         return self._append(command, text, old_divisors, move_started, removed)
 
-    def _text_of(self, command: PutVersion) -> str:
+    def _full_text(self, command: PutVersion) -> str:
         if command.text is not None:
             return command.text
         newest = self.newest
@@ -184,8 +196,8 @@
             return None, 0
         return newest.old_divisors, newest.move_started
 
-    def _removed_by(self, command: PutVersion, current: QuotaDivisors | None) -> list[tuple[str, int]]:
-        """The volumes, with their counts, that the new version does not have (any more)."""
+    def _removed_volumes(self, command: PutVersion, current: QuotaDivisors | None) -> list[tuple[str, int]]:
+        """Return the current volumes that the new version does not have, with their divisors."""
         if current is None:
             return []
         present = {volume for volume, _ in command.divisors.hosts}
--- a/cherrygrade/fleet/config/version_store.py
+++ b/cherrygrade/fleet/config/version_store.py
@@ -1,4 +1,4 @@
-"""Versions that this member holds, and the content that it gives to others."""
+"""The versions that this member has in memory, and the content that it serves to other members."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from cherrygrade.fleet.config.versions import ConfigVersion
 
 MAX_CONCURRENT_RESPONSES = 8
-"""Fetches that are served at once; further ones are told "busy"."""
-MAX_HELD_VERSIONS = 8
-"""Versions that are held, for others to fetch or as the base of a difference,"""
-MAX_HELD_CHARACTERS = 1_048_576
-"""and characters of their texts. The newest one held stays always."""
+"""Fetches that are served at the same time; further ones get the reason "busy"."""
+MAX_CACHED_VERSIONS = 8
+"""Versions in memory, which others fetch or which serve as the base of a difference."""
+MAX_CACHED_CHARACTERS = 1_048_576
+"""Characters of the texts of the versions in memory. The version added last always stays."""
 
 
 class VersionStore:
-    """The versions held in memory.
+    """The versions in memory.
 
     Attributes:
-        versions: By number, the last one added last.
-        responses: Fetches that are being served; at most MAX_CONCURRENT_RESPONSES.
+        versions: Versions by number, in the order in which they were added last.
+        responses: The number of fetches that are being served; at most MAX_CONCURRENT_RESPONSES.
     """
 
     def __init__(self) -> None:
@@ -30,25 +30,25 @@
         self._differences: OrderedDict[tuple[int, int], VersionContent] = OrderedDict()
 
     def add(self, version: ConfigVersion) -> None:
-        """Hold a version, and drop others beyond the limits."""
+        """Add a version, and drop the oldest ones beyond the limits."""
         self.versions[version.number] = version
         self.versions.move_to_end(version.number)
-        length = sum(len(held.text) for held in self.versions.values())
+        length = sum(len(cached.text) for cached in self.versions.values())
         while len(self.versions) > 1 and (
-            len(self.versions) > MAX_HELD_VERSIONS or length > MAX_HELD_CHARACTERS
+            len(self.versions) > MAX_CACHED_VERSIONS or length > MAX_CACHED_CHARACTERS
         ):
             _, dropped = self.versions.popitem(last=False)
             length -= len(dropped.text)
 
     def find(self, number: int, digest_prefix: int) -> ConfigVersion | None:
-        """The version of this number and digest prefix, if it is held."""
+        """Return the version with this number and digest prefix; None if it is not in memory."""
         version = self.versions.get(number)
         if version is None or version.digest_prefix != digest_prefix:
             return None
         return version
 
     def respond(self, request: FetchRequest) -> FetchResponse:
-        """Serve a fetch; where content is given, `response_ended` has to follow."""
+        """Serve a fetch. If the response has content, `response_ended` has to follow."""
         version = self.find(request.number, request.digest_prefix)
         if version is None:
             return FetchResponse(None, "gone")
@@ -61,10 +61,10 @@
         key = (version.number, base.number)
         if key not in self._differences:
             self._differences[key] = content_for(version, base)
-            while len(self._differences) > MAX_HELD_VERSIONS:
+            while len(self._differences) > MAX_CACHED_VERSIONS:
                 self._differences.popitem(last=False)
         return FetchResponse(self._differences[key])
 
     def response_ended(self) -> None:
-        """A fetch that was given content has ended."""
+        """Note that a fetch whose response had content has ended."""
         self.responses = max(0, self.responses - 1)
--- a/cherrygrade/fleet/config/versions.py
+++ b/cherrygrade/fleet/config/versions.py
@@ -1,9 +1,14 @@
-"""Records of the configuration's versions, and the commands of the log that make them.
+"""Records of the configuration's versions, and the log commands that create and settle them.
 
-A version's digest is a chain: over the digest before it, its number, its text and the quota parts that it
-moves. Members name a version by its stage and digest prefix. The stage is twice the number while quota parts
-still move (the joint phase), and one more once they are settled; a version that moves none is settled at
-once. Free of I/O, clock and chance; times are the leaders', in ms.
+A version's digest chains to the one before it: it covers the previous digest, the version's number, text,
+author and time, and the quota move that the version is part of. Members name a version by its stage and the
+first bytes of its digest.
+
+A quota part is a dispatcher's share of a volume's limit or of what a cold node may get. Quotas move when a
+version divides them among another number of dispatchers. The stage is twice the version's number while such a
+move is not settled (the joint phase), and one more once it is. A version without a move is settled at once.
+
+Free of I/O, clock and random sources. Times are those of the council's leaders, in ms.
 """
 
 from __future__ import annotations
@@ -16,34 +21,36 @@
 from cherrygrade.fleet.config.text_diff import DiffHunk
 
 MAX_TEXT_BYTES = 262_144
-"""Of a version's text, UTF-8."""
+"""The maximum length of a version's text in UTF-8."""
 NO_DIGEST = bytes(32)
-"""What the first version has for the digest before it."""
+"""The previous digest of the first version."""
 DIGEST_PREFIX_BYTES = 8
 
 
 class QuotaDivisors(msgspec.Struct, array_like=True, frozen=True):
-    """Among how many dispatchers quotas are divided; positional on the wire and on disk.
+    """Among how many dispatchers quotas are divided; fields are positional on the wire and on disk.
 
     Attributes:
-        dispatchers: The seats of the fleet of record.
-        hosts: By volume, sorted by name, the dispatchers that its requests come through.
+        dispatchers: The number of seats of the fleet of record; cold nodes' quotas are divided by it.
+        hosts: For each volume, sorted by name, the number of dispatchers that its requests come through; the
+            volume's limit is divided by it.
     """
 
     dispatchers: int
     hosts: tuple[tuple[str, int], ...] = ()
 
     def of(self, volume: str) -> int:
-        """The dispatchers of a volume; 0 for an unknown one."""
+        """Return the number of dispatchers of a volume; 0 for an unknown one."""
         return dict(self.hosts).get(volume, 0)
 
 
-def moves(old: QuotaDivisors, new: QuotaDivisors) -> QuotaDivisors | None:
-    """The divisors that quota parts move away from.
+def replaced_divisors(old: QuotaDivisors, new: QuotaDivisors) -> QuotaDivisors | None:
+    """Return the old divisors that the new ones replace.
 
     Returns:
-        Of `old` the seats, and the volumes that both have with different counts; None where nothing moves. A
-        volume that is new has no parts yet, one that is removed has none any more.
+        The seats of `old`, and the volumes that both have with different counts; None if nothing changes. A
+        volume that was added or removed is left out: an added one has no quota parts yet, and a removed one
+        has none any longer.
     """
     new_counts = dict(new.hosts)
     hosts = tuple((volume, count) for volume, count in old.hosts if new_counts.get(volume, count) != count)
@@ -51,27 +58,27 @@
 
 
 class ConfigCommand(msgspec.Struct, array_like=True, frozen=True, tag_field="op", tag="Op"):
-    """Base of the commands in the log; positional on the wire and on disk.
+    """Base of the commands in the log; fields are positional on the wire and on disk.
 
     Attributes:
-        at: The clock of whoever led, in ms.
+        leader_time_ms: The time of the leader that proposed the command, in ms.
     """
 
-    at: float
+    leader_time_ms: float
 
 
 class PutVersion(ConfigCommand, frozen=True, tag="v"):
-    """Makes a new version.
+    """Creates a new version.
 
     Attributes:
-        id: Chosen by the client, so that a repeated request makes one version.
-        based_on: The number of the newest version that the author saw; 0 for the first one.
-        text: The whole text; None where it comes as a difference.
-        hunks: The difference from the text of `based_on`.
-        digest: The SHA-256 of the whole text.
-        author: Who made it.
+        id: The request's id, chosen by the client, so that a repeated request creates a single version.
+        based_on: The number of the newest version that the author saw; 0 if there was none.
+        text: The full text; None if it is given as a difference.
+        hunks: The difference from the text of version `based_on`.
+        digest: The SHA-256 of the full text.
+        author: Who requested the version.
         divisors: The quota divisors of the new text.
-        old_divisors: Those of the site before it; counts for the first version only.
+        old_divisors: The quota divisors before this version; used for the first version only.
     """
 
     id: str
@@ -85,26 +92,31 @@
 
 
 class SettleVersion(ConfigCommand, frozen=True, tag="s"):
-    """Ends the move of quota parts that began with this version: all members use the smaller parts."""
+    """Ends a quota move, because all members use the smaller of their old and new parts.
+
+    Attributes:
+        number: The number of the version with which the move began.
+    """
 
     number: int
 
 
 AnyConfigCommand = PutVersion | SettleVersion
-"""Every command of this part of the log."""
+"""Every configuration command of the log."""
 
 
 class ConfigVersion(msgspec.Struct, array_like=True, frozen=True, dict=True):
-    """One version of the configuration; positional on the wire and on disk.
+    """One version of the configuration; fields are positional on the wire and on disk.
 
     Attributes:
-        number: Counts from 1.
+        number: The version's number, from 1.
         previous_digest: The digest of the version before it.
-        text: The whole text.
-        author: Who made it.
-        created_at: The leaders' time when it was made, in ms.
-        old_divisors: What quota parts move away from, as of `moves`; None where none move.
-        move_started: The version with which that move began; 0 where none move.
+        text: The full text.
+        author: Who requested the version.
+        created_at: When the version was created, by the leader's clock, in ms.
+        old_divisors: The divisors that quotas move away from, as of `replaced_divisors`; None if
+            no quotas move.
+        move_started: The number of the version with which that move began; 0 if no quotas move.
     """
 
     number: int
@@ -117,7 +129,7 @@
 
     @cached_property
     def digest(self) -> bytes:
-        """The SHA-256 over all of it and the digest before."""
+        """The SHA-256 of the previous digest and all other fields."""
         fields = (
             self.number,
             self.text,
@@ -130,22 +142,27 @@
 
     @property
     def digest_prefix(self) -> int:
-        """The first 8 bytes of the digest, as members tell each other."""
+        """The first 8 bytes of the digest as an integer, as members exchange it."""
         return int.from_bytes(self.digest[:DIGEST_PREFIX_BYTES], "big")
 
     def stage(self, settled: bool) -> int:
-        """Its stage; `settled`: whether its quota parts, if it moves any, are settled."""
+        """Return the version's stage.
+
+        Args:
+            settled: Whether the quota move that the version is part of is settled. A version without a move
+                is always settled.
+        """
         return 2 * self.number + (settled or self.old_divisors is None)
 
 
 class PutOutcome(msgspec.Struct, array_like=True, frozen=True):
-    """What a command came to; positional on the wire.
+    """The result of a command; fields are positional on the wire and on disk.
 
     Attributes:
-        number: The version's number; 0 where there is none.
+        number: The number of the version that was created or settled; 0 for none.
         stage: The stage of the newest version.
-        digest_prefix: The version's.
-        refusal: Why nothing was changed, as a text for people; "" where it was.
+        digest_prefix: The digest prefix of that version.
+        refusal: For operators, why the command changed nothing; "" if it was carried out.
     """
 
     number: int = 0
@@ -155,12 +172,12 @@
 
 
 def text_digest(text: str) -> bytes:
-    """The digest for `PutVersion.digest`."""
+    """Return the SHA-256 of a text, as in `PutVersion.digest`."""
     return hashlib.sha256(text.encode()).digest()
 
 
 def encode(command: AnyConfigCommand) -> bytes:
-    """A command as the log has it, without the prefix."""
+    """Return a command as the log stores it, without the prefix that tells kinds of entries apart."""
     return msgspec.msgpack.encode(command)
 
 
@@ -168,11 +185,11 @@
 
 
 def decode(payload: bytes) -> AnyConfigCommand:
-    """A command of the log, without the prefix.
+    """Return the command of a log entry, given without the prefix that tells kinds of entries apart.
 
     Raises:
-        msgspec.MsgspecError: It can't be read.
-        UnicodeDecodeError: Likewise.
+        msgspec.MsgspecError: The payload is no valid command.
+        UnicodeDecodeError: A text in the payload is not valid UTF-8.
     """
     command: AnyConfigCommand = _decoder.decode(payload)
     return command
--- a/cherrygrade/fleet/config/witnesses.py
+++ b/cherrygrade/fleet/config/witnesses.py
@@ -1,8 +1,9 @@
-"""Which version the fleet is on, by what witnesses said.
+"""Which stage the fleet is on, as confirmed by witnesses.
 
-An advert of a higher stage only starts questions. A stage is believed once a voter of the council said it, or
-two different living members did, each first-hand: in an answer with a nonce drawn here, from the address that
-the membership table has for that name.
+An advert is the stage that any message of a member reports; an advert of a higher stage only starts queries.
+A statement is a member's direct report: its answer to this member's own query or probe, matched by the nonce
+drawn here, from the address that the membership table has for that member. A stage is believed once a voter
+of the council has stated it, or two different living members have; these members are its witnesses.
 """
 
 from __future__ import annotations
@@ -12,26 +13,27 @@
 from cherrygrade.fleet.config.replica_messages import StageDigest
 
 REQUIRED_WITNESSES = 2
-"""Members that have to say the same; a voter alone suffices."""
+"""Members that have to state the same stage. A voter alone suffices."""
 MAX_STATEMENTS_PER_MEMBER = 4
 MAX_ADVERTS = 64
 DOUBT_MS = 500.0
-"""After an advert that nobody confirmed its member's adverts start no question; doubled each time,"""
+"""Time for which a member's adverts start no queries after an advert that no other member confirmed. It
+doubles with each such advert."""
 MAX_DOUBT_MS = 60_000.0
-"""up to this."""
+"""The longest time for which a member's adverts start no queries."""
 
 
 class Witnesses:
-    """What living members said, and what is believed of it.
+    """The reports of living members, and the stage that they confirm.
 
     Attributes:
         voters: The names of the other voters of the council.
-        statements: By member, what it said first-hand that is above the stage in force here, the last
-            MAX_STATEMENTS_PER_MEMBER, the newest last.
-        adverts: By member, the highest that its adverts told above the stage in force here; MAX_ADVERTS at
-            most.
-        believed: The highest stage with witnesses; its stage never decreases.
-        has_confirmation: Whether witnesses told any stage, be it that there is no configuration.
+        statements: By member, its statements above the stage in force here, the newest last; at
+            most MAX_STATEMENTS_PER_MEMBER each.
+        adverts: By member, its highest advert above the stage in force here; at most MAX_ADVERTS.
+        believed: The highest stage that witnesses confirmed, with its digest prefix; its
+            stage never decreases.
+        has_confirmation: Whether witnesses have confirmed any stage, stage 0 (no configuration) included.
     """
 
     def __init__(self, voters: list[str]) -> None:
@@ -40,10 +42,11 @@
         self.adverts: OrderedDict[str, StageDigest] = OrderedDict()
         self.believed = StageDigest(0, 0)
         self.has_confirmation = False
-        self._doubts: dict[str, tuple[int, float]] = {}  # by member: times in a row, and until when
+        # By member, the number of unconfirmed adverts in a row, and the time in ms until which it is doubted.
+        self._doubts: dict[str, tuple[int, float]] = {}
 
     def add_advert(self, name: str, advert: StageDigest) -> bool:
-        """Note an advert; whether it tells more than those before it."""
+        """Store an advert; return whether its stage is higher than that of the member's earlier adverts."""
         known = self.adverts.get(name)
         if known is not None and known.stage >= advert.stage:
             return False
@@ -53,14 +56,17 @@
         return True
 
     def add_statement(self, name: str, statement: StageDigest) -> None:
-        """Note what a member said first-hand."""
+        """Store a statement."""
         statements = self.statements.setdefault(name, [])
         if statement not in statements:
             statements.append(statement)
             del statements[:-MAX_STATEMENTS_PER_MEMBER]
 
     def supporters(self, stage: int, digest_prefix: int) -> list[str]:
-        """Who said this stage, or a later one of the same version: that confirms the earlier one too."""
+        """Return the members that stated this stage or a later one of the same version.
+
+        The later stage confirms the earlier one, too.
+        """
         return [
             name
             for name, statements in self.statements.items()
@@ -73,22 +79,22 @@
         ]
 
     def suffice(self, names: list[str]) -> bool:
-        """Whether these members are witnesses enough."""
+        """Return whether these members are enough witnesses."""
         return len(names) >= REQUIRED_WITNESSES or any(name in self.voters for name in names)
 
     def believe(self, stage: int, digest_prefix: int, names: list[str]) -> None:
-        """These members were right."""
+        """Take a stage as confirmed by these members, and no longer doubt their adverts."""
         self.believed = StageDigest(stage, digest_prefix)
         for name in names:
             self._doubts.pop(name, None)
 
     def doubt(self, name: str, now: float) -> None:
-        """Nobody confirmed this member's advert."""
+        """Ignore a member's adverts for a while, because no other member confirmed its advert."""
         times, _ = self._doubts.get(name, (0, 0.0))
         self._doubts[name] = (times + 1, now + min(MAX_DOUBT_MS, DOUBT_MS * 2.0**times))
 
     def open_adverts(self, above: int, now: float) -> dict[str, StageDigest]:
-        """Adverts above a stage, of members that are not doubted now."""
+        """Return, by member, the adverts above a stage; those of members doubted now are left out."""
         return {
             name: advert
             for name, advert in self.adverts.items()
@@ -96,13 +102,13 @@
         }
 
     def sources(self, number: int) -> list[str]:
-        """Who told of this version or a later one, each once."""
+        """Return the members that reported this version or a later one, each once."""
         names = [name for name, advert in self.adverts.items() if advert.number >= number]
         names += [name for name, statements in self.statements.items() if statements[-1].number >= number]
         return list(dict.fromkeys(names))
 
     def drop_statements(self, stage: int) -> None:
-        """Forget what is not above the stage in force."""
+        """Drop the statements that are not above a stage."""
         above = {
             name: [statement for statement in statements if statement.stage > stage]
             for name, statements in self.statements.items()
@@ -110,13 +116,13 @@
         self.statements = {name: statements for name, statements in above.items() if statements}
 
     def drop_adverts(self, stage: int) -> None:
-        """Forget adverts that are not above the stage in force."""
+        """Drop the adverts that are not above a stage."""
         self.adverts = OrderedDict(
             (name, advert) for name, advert in self.adverts.items() if advert.stage > stage
         )
 
-    def keep_only(self, living: set[str]) -> None:
-        """Forget members that are not alive."""
+    def drop_departed(self, living: set[str]) -> None:
+        """Drop everything about members that are not alive."""
         for name in [name for name in self.statements if name not in living]:
             del self.statements[name]
         for name in [name for name in self.adverts if name not in living]:
--- a/tests/fleet/config/test_config_versions.py
+++ b/tests/fleet/config/test_config_versions.py
@@ -273,8 +273,8 @@
 
 def test_of_a_move_only_what_differs_is_told() -> None:
     old = QuotaDivisors(9, (("a", 1), ("b", 2), ("c", 3)))
-    assert versions.moves(old, QuotaDivisors(9, (("b", 2), ("c", 4), ("d", 5)))) == QuotaDivisors(
+    assert versions.replaced_divisors(old, QuotaDivisors(9, (("b", 2), ("c", 4), ("d", 5)))) == QuotaDivisors(
         9, (("c", 3),)
     )
-    assert versions.moves(old, QuotaDivisors(9, (("d", 5),))) is None
-    assert versions.moves(old, QuotaDivisors(10, old.hosts)) == QuotaDivisors(9)
+    assert versions.replaced_divisors(old, QuotaDivisors(9, (("d", 5),))) is None
+    assert versions.replaced_divisors(old, QuotaDivisors(10, old.hosts)) == QuotaDivisors(9)
--- a/tests/fleet/config/test_joint_phase.py
+++ b/tests/fleet/config/test_joint_phase.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from cherrygrade.fleet.config.joint_phase import (
-    MAX_QUESTIONS_PER_S,
+    MAX_QUESTIONS_PER_SECOND,
     REPEAT_MS,
     JointPhase,
     QuotaParts,
@@ -15,7 +15,7 @@
     quota_parts,
     seat_count,
 )
-from cherrygrade.fleet.config.versions import QuotaDivisors, moves
+from cherrygrade.fleet.config.versions import QuotaDivisors, replaced_divisors
 
 OLD, JOINT, NEW = "old", "joint", "new"
 
@@ -37,7 +37,7 @@
 
 
 def use(seat: int, on: str, old: QuotaDivisors, now: QuotaDivisors) -> QuotaParts:
-    away = moves(old, now)
+    away = replaced_divisors(old, now)
     if on == OLD:
         return quota_parts(seat, old)
     return quota_parts(seat, now, away if on == JOINT else None)
@@ -98,11 +98,11 @@
 
 def test_joint_parts_are_the_smaller_and_new_seats_have_none() -> None:
     old, now = QuotaDivisors(9, (("v", 9), ("w", 2))), QuotaDivisors(12, (("v", 12), ("w", 2), ("x", 4)))
-    away = moves(old, now)
+    away = replaced_divisors(old, now)
     assert quota_parts(8, now, away) == QuotaParts((9, 12), {"v": 12, "w": 2, "x": 4}, True)
     assert not quota_parts(9, now, away).has_parts and quota_parts(9, now).has_parts
     assert not quota_parts(12, now).has_parts and not quota_parts(-1, now).has_parts
-    back = moves(now, old)
+    back = replaced_divisors(now, old)
     assert quota_parts(8, old, back) == QuotaParts((9, 12), {"v": 12, "w": 2}, True)
     assert not quota_parts(9, old, back).has_parts
     assert not quota_parts(3, now, is_certain=False).has_parts
@@ -119,7 +119,7 @@
 
     def run(self, on: dict[str, int], ms: float, claims: Iterable[SeatedMember] | None = None) -> bool:
         claims = self.claims if claims is None else [*claims]
-        births = {one.name: one.birth for one in claims if one.is_living}
+        births = {one.name: one.incarnation for one in claims if one.is_living}
         ends = self.now + ms
         while self.now < ends:
             for name, nonce in self.settling.tick(claims, self.now):
@@ -152,7 +152,7 @@
     gone = [*fleet(2), SeatedMember(2, "d2", 1, False)]
     assert not asked.run({"d0": 6, "d1": 6}, 20_000.0, gone)
     assert asked.settling.completed_rounds == 1
-    assert asked.settling.missing(gone) == {2: "d2 failed, and has not left"}
+    assert asked.settling.missing(gone) == {2: "d2 failed without leaving the fleet"}
 
 
 def test_silence_and_failure_are_no_proof_but_leaving_is() -> None:
@@ -180,7 +180,7 @@
 def test_a_seat_that_nobody_held_is_missing() -> None:
     asked = Asked(fleet(2), 3)
     assert not asked.run({"d0": 6, "d1": 6}, 9000.0)
-    assert asked.settling.missing(asked.claims) == {2: "nobody is known to have held it"}
+    assert asked.settling.missing(asked.claims) == {2: "no member is known to have claimed this seat"}
 
 
 def test_seats_beyond_both_counts_are_not_asked() -> None:
@@ -210,6 +210,6 @@
     assert not asked.run(on, 40_000.0)
     assert asked.settling.missing(asked.claims) == {77: "d77 has not answered"}
     for at in range(0, 40_000, 1000):
-        assert sum(at <= time < at + 1000.0 for time in asked.times) <= MAX_QUESTIONS_PER_S
+        assert sum(at <= time < at + 1000.0 for time in asked.times) <= MAX_QUESTIONS_PER_SECOND
     on["d77"] = 6
     assert asked.run(on, 15_000.0)
