--- a/tests/fleet/config/test_explore_config.py
+++ b/tests/fleet/config/test_explore_config.py
@@ -1,5 +1,8 @@
-"""Every state that a version of the configuration that moves parts can come to, within bounds, and broken
-variants that have to be found. `lab explore config` goes through more."""
+"""Exhaustive search, within bounds, of the states that a version which moves quotas can lead to.
+
+The search has to find no fault in the program, and one in each variant with a planted fault. `lab explore
+config` searches more states.
+"""
 
 from dataclasses import replace
 
@@ -8,11 +11,11 @@
 from cherrygrade.lab.exploration.config import NARROW, Bounds, Config, Planted
 from cherrygrade.lab.exploration.explore import explore
 
-MOST = 60_000
+MAX_STATES = 60_000
 
 
 @pytest.mark.parametrize(
-    "bounds, states",
+    "bounds, min_states",
     [
         (Bounds(asks=1, crashes=0, losses=0), 15_000),
         (Bounds(asks=1, proofs=3, crashes=1, losses=0, who="ac", askers="c"), 5_000),
@@ -22,17 +25,17 @@
     ],
     ids=["calm", "crash", "liar", "lost", "raised"],
 )
-def test_nothing_wrong_is_found(bounds: Bounds, states: int) -> None:
-    found = explore(Config(bounds), MOST)
-    assert found.whole and not found.breach, found
-    assert found.states >= states
+def test_no_state_breaks_a_rule(bounds: Bounds, min_states: int) -> None:
+    result = explore(Config(bounds), MAX_STATES)
+    assert result.whole and not result.breach, result
+    assert result.states >= min_states
 
 
 CALM = Bounds(asks=2, proofs=0, crashes=0, losses=0)
 
 
 @pytest.mark.parametrize(
-    "bounds, planted, told",
+    "bounds, planted, breach",
     [
         (CALM, Planted(goes_back=True), "goes back"),
         (CALM, Planted(undigested=True), "what nobody put in force"),
@@ -44,16 +47,16 @@
         (NARROW, Planted(sure_at_once=True), "limits are in use"),
     ],
     ids=[
-        "a number that goes back",
-        "content without digest",
-        "parts that grow before others shrank",
-        "and where they are dealt to more",
-        "one member's word",
+        "stage decreases",
+        "content without digest check",
+        "parts grow before others shrank",
+        "parts grow before others shrank, more dispatchers",
+        "one member suffices as witness",
         "one round",
-        "a late answer",
-        "sure without its disk",
+        "late answer counts",
+        "certain without its disk",
     ],
 )
-def test_a_broken_one_is_convicted(bounds: Bounds, planted: Planted, told: str) -> None:
-    found = explore(Config(bounds, planted), MOST)
-    assert told in found.breach, found
+def test_a_planted_fault_is_found(bounds: Bounds, planted: Planted, breach: str) -> None:
+    result = explore(Config(bounds, planted), MAX_STATES)
+    assert breach in result.breach, result
--- a/tests/fleet/config/test_live_changes.py
+++ b/tests/fleet/config/test_live_changes.py
@@ -1,4 +1,8 @@
-"""What may change while a dispatcher runs: a setting that is new is not live unseen."""
+"""Which settings may change while a dispatcher runs.
+
+The tests guard against a new setting that is not compared, so that a version of the configuration changes it
+at run time although the program does not support that.
+"""
 
 from dataclasses import fields, is_dataclass
 from pathlib import Path
@@ -31,20 +35,20 @@
 
 @pytest.fixture
 def file(tmp_path: Path) -> Path:
-    found = tmp_path / "a.rec"
-    found.write_text(TEXT)
-    return found
+    settings_file = tmp_path / "a.rec"
+    settings_file.write_text(TEXT)
+    return settings_file
 
 
-def differ(file: Path, extra: str) -> LiveChanges:
+def changes(file: Path, extra: str) -> LiveChanges:
     return setting_changes(read_site(file), read_site(file, extra))
 
 
 @pytest.mark.parametrize(
-    "extra, live",
+    "extra, keys",
     [
         ("plans: gold: limit_rate: 1000", ["plans.gold.limit_rate"]),
-        ("plans: iron: limit_rate: 1000", []),  # no volume has it
+        ("plans: iron: limit_rate: 1000", []),  # no volume uses the plan
         ("workloads: read: soft_ms: 90", ["workloads.read.soft_ms"]),
         ("cold: units: 3", ["cold.units"]),
         ("budget: {spare: 5, share: 0.1, span_ms: 1000}", ["budget.spare"]),
@@ -54,8 +58,8 @@
         ("volumes: x: {plan: plans.gold, hosts: 2}", ["volumes.x.hosts", "volumes.x.plan"]),
     ],
 )
-def test_live(file: Path, extra: str, live: list[str]) -> None:
-    assert differ(file, extra) == LiveChanges(live, [], None)
+def test_settings_that_change_at_run_time(file: Path, extra: str, keys: list[str]) -> None:
+    assert changes(file, extra) == LiveChanges(keys, [], None)
 
 
 @pytest.mark.parametrize(
@@ -80,50 +84,50 @@
         ('fleet: council: voters: ["c"]', "fleet.council.voters"),
     ],
 )
-def test_needs_a_restart(file: Path, extra: str, key: str) -> None:
-    assert differ(file, extra).restart_keys == [key]
+def test_settings_that_need_a_restart(file: Path, extra: str, key: str) -> None:
+    assert changes(file, extra).restart_keys == [key]
 
 
-def test_budget_that_comes_is_live(file: Path, tmp_path: Path) -> None:
+def test_an_added_budget_takes_effect_at_run_time(file: Path, tmp_path: Path) -> None:
     other = tmp_path / "b.rec"
     other.write_text(TEXT.replace("budget: {spare: 4, share: 0.1, span_ms: 1000}", ""))
-    found = setting_changes(read_site(other), read_site(file))
-    assert found.live_keys == ["budget.share", "budget.span_ms", "budget.spare"] and not found.restart_keys
+    added = setting_changes(read_site(other), read_site(file))
+    assert added.live_keys == ["budget.share", "budget.span_ms", "budget.spare"] and not added.restart_keys
 
 
-def test_divisors_move(file: Path) -> None:
+def test_changed_divisors_are_reported(file: Path) -> None:
     assert quota_divisors(read_site(file)) == QuotaDivisors(9, (("v", 9), ("w", 3)))
-    more = differ(file, "place: dispatchers: 12")
+    more = changes(file, "place: dispatchers: 12")
     assert more.live_keys == ["place.dispatchers", "volumes.v.hosts"] and not more.restart_keys
     assert more.old_divisors == QuotaDivisors(9, (("v", 9),))
-    assert differ(file, "volumes: w: hosts: 2").old_divisors == QuotaDivisors(9, (("w", 3),))
-    assert differ(file, "volumes: x: {plan: plans.gold, hosts: 2}").old_divisors is None
+    assert changes(file, "volumes: w: hosts: 2").old_divisors == QuotaDivisors(9, (("w", 3),))
+    assert changes(file, "volumes: x: {plan: plans.gold, hosts: 2}").old_divisors is None
 
 
-def test_every_setting_is_looked_at(file: Path) -> None:
-    """A field that is added to a site's parts is a key here, or one of those known to hang on others."""
+def test_every_setting_is_compared(file: Path) -> None:
+    """Each field of the settings has a key in `setting_values`, unless it is derived from other fields."""
     keys = {key.rpartition(".")[2] for key in setting_values(read_site(file))}
 
-    def all_of(made: type) -> set[str]:
+    def keys_of(settings_type: type) -> set[str]:
         found: set[str] = set()
-        for key, _ in record_keys(made):
+        for key, _ in record_keys(settings_type):
             found.add(key)
         return found
 
     site = read_site(file)
     derived = {"join_length", "join_most", "unit_length", "least_units"}
     parts = [site.place, site.bounds, site.lines, site.cuts, site.pace, site.words, site.fleet]
-    bearings = [getattr(site.bearings, one.name) for one in fields(site.bearings)]
+    scheduling = [getattr(site.bearings, field.name) for field in fields(site.bearings)]
     trade = [site.trade.measure, *site.trade.workloads.values(), site.trade.volumes["v"].plan]
-    for part in [*parts, *bearings, *trade]:
+    for part in [*parts, *scheduling, *trade]:
         if is_dataclass(part):
-            assert all_of(type(part)) - keys <= derived | {"council"}
-    assert {one.name for one in fields(SiteSettings)} == {
+            assert keys_of(type(part)) - keys <= derived | {"council"}
+    assert {field.name for field in fields(SiteSettings)} == {
         "place", "trade", "bearings", "bounds", "lines", "cuts", "pace", "words", "fleet",
     }  # fmt: skip
 
 
-def test_the_table_names_settings_that_there_are(file: Path) -> None:
+def test_all_listed_settings_exist(file: Path) -> None:
     keys = setting_values(read_site(file))
     for part, names in LIVE_SETTINGS.items():
         for name in names:
--- a/tests/support/configured_fleet.py
+++ b/tests/support/configured_fleet.py
@@ -1,5 +1,8 @@
-"""A fleet of dispatchers as processes that take one configuration, all ways between them through the test's
-own, which lose, cut and rewrite as a story says."""
+"""A fleet of dispatcher processes with a shared configuration.
+
+All traffic between them passes through a network of the test, which drops, cuts or rewrites it as
+a scenario asks.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,7 @@
 
 VOTERS = ["d0", "d1", "d2"]
 FLEET = "configured"
-MAX_SPREAD_S = 6.0  # the goal, and what stories hold it to
+MAX_SPREAD_S = 6.0  # the objective for a version to be in force at all members, and the scenarios' bound
 SITE = """
 place: {{name: "d{n}", listen: "127.0.0.1:0", register: "{register}", number: {n}, dispatchers: {count}}}
 workloads: {{
@@ -47,33 +50,41 @@
 
 
 def limit_text(rate: int) -> str:
-    """A version's text."""
+    """Return the text of a version that sets a volume's limit."""
     return f"plans: plan: {{usual_rate: 1000, limit_rate: {rate}, limit_depth: 100}}\n"
 
 
 def free_ports(count: int) -> list[int]:
-    """That nobody has on any address of loopback, for streams and datagrams alike, bound together so that
-    they differ."""
-    holds, found = list[socket.socket](), list[int]()
+    """Return ports that are free on all loopback addresses, for TCP and UDP alike.
+
+    All sockets are bound at the same time, so that the ports differ.
+    """
+    sockets, found = list[socket.socket](), list[int]()
     while len(found) < count:
         stream = socket.create_server(("0.0.0.0", 0))
-        word = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        holds += [stream, word]
+        datagrams = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        sockets += [stream, datagrams]
         port = int(stream.getsockname()[1])
         try:
-            word.bind(("0.0.0.0", port))
+            datagrams.bind(("0.0.0.0", port))
         except OSError:
             continue
         found.append(port)
-    for hold in holds:
-        hold.close()
+    for bound in sockets:
+        bound.close()
     return found
 
 
 class FaultyNetwork(Ways):
-    """What passes between the dispatchers, by number. `datagrams_lost_from`: whose datagrams all are lost;
-    `streams_refused_from`: whose streams are broken off at once; `advert_rewriters`: what they say of their
-    configuration is replaced."""
+    """The network between the dispatchers, which are named by their numbers.
+
+    Attributes:
+        datagrams_lost_from: The dispatchers whose datagrams are all lost.
+        streams_refused_from: The dispatchers whose streams are reset at once.
+        advert_rewriters: By dispatcher, the function that replaces the configuration adverts
+            in its datagrams.
+        bytes_of: By dispatcher, the bytes of the datagrams that it has sent.
+    """
 
     def __init__(self, count: int, port: int, bound: int) -> None:
         super().__init__(count, port, bound, FLEET, 1, None)
@@ -86,12 +97,12 @@
         self.bytes_of[source] = self.bytes_of.get(source, 0) + len(data)
         if source in self.datagrams_lost_from:
             return
-        lies = self.advert_rewriters.get(source)
-        if lies is not None:
-            page = self.book.read(data)
-            config = getattr(page, "config", None)
-            if page is not None and config is not None:
-                data = self.book.write(msgspec.structs.replace(page, config=lies(config)))
+        rewrite = self.advert_rewriters.get(source)
+        if rewrite is not None:
+            message = self.book.read(data)
+            config = getattr(message, "config", None)
+            if message is not None and config is not None:
+                data = self.book.write(msgspec.structs.replace(message, config=rewrite(config)))
         super()._came(data, source, to)
 
     async def _stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -102,7 +113,19 @@
 
 
 class Fleet:
-    """`running` by number; ended by id."""
+    """A fleet of dispatcher processes, which are named by their numbers.
+
+    Attributes:
+        folder: Where each dispatcher's files and log are.
+        register: The address of the discovery service.
+        count: The number of dispatchers.
+        port: The port of the addresses that dispatchers announce to each other; they lead to `ways`.
+        bound: The port that dispatchers listen on.
+        ways: The network between the dispatchers.
+        running: The running processes by number.
+        code_before_start: By number, Python code that a dispatcher runs before the program starts; it stands
+            for another version of the program.
+    """
 
     def __init__(self, folder: Path, register: str, count: int) -> None:
         self.folder, self.register, self.count = folder, register, count
@@ -110,11 +133,10 @@
         self.port, self.bound = ports
         self.ways = FaultyNetwork(count, *ports)
         self.running: dict[int, asyncio.subprocess.Process] = {}
-        self.code_before_start: dict[
-            int, str
-        ] = {}  # of those that run another one: Python text before the command
+        self.code_before_start: dict[int, str] = {}
 
     async def open(self) -> None:
+        """Start all dispatchers, and wait until the council has a leader."""
         await self.ways.start("127.0.0.1:0")
         for name in VOTERS:
             create_founding_store(self.folder / name, FLEET, name, VOTERS)
@@ -122,6 +144,7 @@
         await self.wait_for_leader()
 
     async def start(self, number: int) -> None:
+        """Start a dispatcher, and wait until it listens."""
         contacts = [f"{host(TOLD, at)}:{self.port}" for at in (0, 1)]
         text = SITE.format(
             n=number,
@@ -150,28 +173,43 @@
         assert b"listening" in await process.stdout.readline(), (self.folder / f"d{number}.log").read_text()
 
     async def kill(self, number: int) -> None:
+        """Kill a dispatcher with SIGKILL."""
         process = self.running.pop(number)
         process.kill()
         await process.wait()
 
-    def signal(self, number: int, what: signal.Signals) -> None:
-        self.running[number].send_signal(what)
+    def signal(self, number: int, sent: signal.Signals) -> None:
+        """Send a signal to a dispatcher."""
+        self.running[number].send_signal(sent)
 
     async def close(self) -> None:
+        """Kill all dispatchers that run, and close the network."""
         for process in self.running.values():
             process.kill()
             await process.wait()
         self.ways.close()
 
-    # What an operator does.
+    # Requests of an operator.
 
     def admin_address(self, number: int) -> str:
-        """Where people reach it: past the ways."""
+        """Return the address at which operators reach a dispatcher; it bypasses the test's network."""
         return f"{host(BOUND, number)}:{self.bound}"
 
     async def put(self, text: str, via: int = 0, based_on: int = -1, within_s: float = 10.0) -> int:
-        """Asked again under its id while the council elects somebody: a machine that is busy costs elections.
-        ConfigUnreached where nobody leads for all that time."""
+        """Put a version, and return its number.
+
+        The request is repeated with the same id while the council has no leader: on a busy machine, elections
+        occur during the test.
+
+        Args:
+            text: The text of the version.
+            via: The dispatcher that the request is sent to.
+            based_on: The number of the version that the text is a change of; -1 for the newest.
+            within_s: How long the request is repeated.
+
+        Raises:
+            ConfigUnreachableError: No dispatcher led the council for `within_s`.
+        """
         loop, request = asyncio.get_running_loop(), PutRequest(new_request_id(), text, "a story", based_on)
         ends = loop.time() + within_s
         while True:
@@ -184,104 +222,133 @@
                 await asyncio.sleep(0.1)
 
     async def show(self, number: int = 0, via: int = 0) -> dict[str, Any]:
+        """Return what `fleet config show` shows: the versions, and the text of one of them."""
         return await send_admin_request(self.admin_address(via), ShowRequest(number), 5.0)
 
     async def missing(self, number: int, via: int = 0) -> dict[str, str]:
-        told = await send_admin_request(self.admin_address(via), MissingRequest(number), 5.0)
-        return {one["name"] or f"seat {one['seat']}": one["why"] for one in told["missing"]}
+        """Return the members (or seats) that do not have a version in force, each with the reason."""
+        answer = await send_admin_request(self.admin_address(via), MissingRequest(number), 5.0)
+        return {one["name"] or f"seat {one['seat']}": one["why"] for one in answer["missing"]}
 
-    # What is seen of it.
+    # Observations.
 
     async def status(self, number: int) -> dict[str, Any]:
+        """Return the configuration's part of a dispatcher's status."""
         found: dict[str, Any] = (await query_status(self.admin_address(number)))["config"]
         return found
 
     async def version_numbers(self, *excluding: int) -> dict[int, int]:
-        """Which version is in force at each that runs."""
-        on = [number for number in self.running if number not in excluding]
-        told = await asyncio.gather(*(self.status(number) for number in on))
-        return {number: one["number"] for number, one in zip(on, told, strict=True)}
+        """Return, by dispatcher that runs, the number of the version in force there."""
+        numbers = [number for number in self.running if number not in excluding]
+        statuses = await asyncio.gather(*(self.status(number) for number in numbers))
+        return {number: one["number"] for number, one in zip(numbers, statuses, strict=True)}
 
     async def wait_for_version(
         self, number: int, within_s: float = MAX_SPREAD_S, excluding: tuple[int, ...] = ()
     ) -> float:
-        """Seconds until it is in force at all others that run, with one digest."""
+        """Wait until a version is in force, with the same digest, at all dispatchers that run.
+
+        Args:
+            number: The number of the version.
+            within_s: The longest wait before the assertion fails.
+            excluding: The dispatchers that are left out.
+
+        Returns:
+            The seconds that it took.
+        """
         loop = asyncio.get_running_loop()
-        begun = loop.time()
+        started = loop.time()
 
-        async def holds() -> bool:
-            on = [one for one in self.running if one not in excluding]
-            told = await asyncio.gather(*(self.status(one) for one in on))
-            digests = {one["digest"] for one in told}
-            return {one["number"] for one in told} == {number} and len(digests) == 1
+        async def in_force() -> bool:
+            dispatchers = [one for one in self.running if one not in excluding]
+            statuses = await asyncio.gather(*(self.status(one) for one in dispatchers))
+            digests = {one["digest"] for one in statuses}
+            return {one["number"] for one in statuses} == {number} and len(digests) == 1
 
-        await self.wait_until(holds, within_s)
-        return loop.time() - begun
+        await self.wait_until(in_force, within_s)
+        return loop.time() - started
 
     async def has_leader(self) -> bool:
+        """Return whether all running voters name the same leader."""
         return await self._leader() >= 0
 
     async def wait_for_leader(self) -> int:
-        """By what the voters say; waits for an election's end."""
+        """Wait until all running voters name the same leader, and return its number."""
         await self.wait_until(self.has_leader, 10.0)
         return await self._leader()
 
     async def _leader(self) -> int:
-        told = [
+        """Return the number of the leader; -1 if the running voters do not agree on one."""
+        councils = [
             (await query_status(self.admin_address(number)))["council"]
             for number in self.running
             if number < len(VOTERS)
         ]
-        named = {one["leader"] for one in told}
-        return int(named.pop()[1:]) if len(named) == 1 and named != {""} else -1
+        leaders = {one["leader"] for one in councils}
+        return int(leaders.pop()[1:]) if len(leaders) == 1 and leaders != {""} else -1
 
-    async def wait_until(self, holds: Callable[[], Coroutine[Any, Any, bool]], within_s: float) -> None:
+    async def wait_until(self, condition: Callable[[], Coroutine[Any, Any, bool]], within_s: float) -> None:
+        """Wait until a condition holds; the assertion fails if it does not within `within_s`."""
         loop = asyncio.get_running_loop()
         ends = loop.time() + within_s
-        while not await holds():
-            assert loop.time() < ends, f"not within {within_s} s\n{await self._told()}"
+        while not await condition():
+            assert loop.time() < ends, f"not within {within_s} s\n{await self._statuses()}"
             await asyncio.sleep(0.05)
 
-    async def _told(self) -> str:
+    async def _statuses(self) -> str:
         lines = []
         for number in self.running:
             try:
                 lines.append(f"d{number}: {await asyncio.wait_for(self.status(number), 1.0)}")
-            except (OSError, TimeoutError) as wrong:
-                lines.append(f"d{number}: {wrong!r}")
+            except (OSError, TimeoutError) as error:
+                lines.append(f"d{number}: {error!r}")
         return "\n".join(lines)
 
     def log_lines(self, number: int, event: str) -> list[dict[str, Any]]:
+        """Return a dispatcher's log lines of one event."""
         lines = (self.folder / f"d{number}.log").read_text().splitlines()
-        read = [json.loads(line) for line in lines if line.startswith("{")]
-        return [one for one in read if one["event"] == event]
+        parsed = [json.loads(line) for line in lines if line.startswith("{")]
+        return [one for one in parsed if one["event"] == event]
 
     def stages_in_force(self, number: int) -> list[int]:
-        """Stages that came into force there, over all its lives; a start puts the kept one in force again."""
+        """Return the stages that came into force at a dispatcher, over all its incarnations.
+
+        A start puts the stored stage in force again.
+        """
         return [one["stage"] for one in self.log_lines(number, "configuration in force")]
 
     def assert_stages_never_decrease(self) -> None:
+        """Assert that at no dispatcher a stage came into force after a higher one."""
         for number in range(self.count):
             stages = self.stages_in_force(number)
             assert stages == sorted(stages), (number, stages)
 
 
 def run_scenario(
-    story: Callable[[Fleet], Coroutine[Any, Any, None]],
+    scenario: Callable[[Fleet], Coroutine[Any, Any, None]],
     folder: Path,
     count: int = 5,
     code_before_start: dict[int, str] | None = None,
 ) -> None:
-    async def whole(house: GatewaySite) -> None:
-        await house.node(0)
-        await house.register.start()
-        fleet = Fleet(folder, house.register.address, count)
+    """Run a scenario with a fleet, and check that no stage decreased.
+
+    Args:
+        scenario: The test, which gets the fleet once its council has a leader.
+        folder: Where the dispatchers' files are.
+        count: The number of dispatchers.
+        code_before_start: By number, Python code that a dispatcher runs before the program starts.
+    """
+
+    async def with_site(site: GatewaySite) -> None:
+        await site.node(0)
+        await site.register.start()
+        fleet = Fleet(folder, site.register.address, count)
         fleet.code_before_start |= code_before_start or {}
         try:
             await fleet.open()
-            await story(fleet)
+            await scenario(fleet)
             fleet.assert_stages_never_decrease()
         finally:
             await fleet.close()
 
-    run(whole, 90.0)
+    run(with_site, 90.0)
