--- a/cherrygrade/fleet/config/joint_phase.py
+++ b/cherrygrade/fleet/config/joint_phase.py
@@ -217,9 +217,11 @@
         return f"{claim.name} has not answered" if stage is None else f"{claim.name} is on stage {stage}"
 
     def _last_query_ms(self, name: str) -> float:
+        """Return when a member was last queried; long ago if no query to it is pending."""
         return self.pending.get(name, NO_QUESTION).sent_at_ms
 
     def _question(self, name: str, now: float) -> ConfigQuestion:
+        """Return a query to a member, and remember it as pending in place of any earlier one."""
         self._nonces_drawn += 1
         nonce = crc32(f"{self.seed}:{self._nonces_drawn}".encode()) | 1
         self.pending[name] = PendingQuestion(nonce, now)
--- a/cherrygrade/fleet/config/live_changes.py
+++ b/cherrygrade/fleet/config/live_changes.py
@@ -112,6 +112,12 @@
 
 
 def _may_change_live(key: str, in_both: bool) -> bool:
+    """Return whether a key may change while a dispatcher runs.
+
+    Args:
+        key: The changed key.
+        in_both: Whether both settings files have the key.
+    """
     part, _, rest = key.partition(".")
     name, _, setting = rest.rpartition(".")
     if part in ("plans", "workloads", "volumes"):
--- a/cherrygrade/fleet/config/replica.py
+++ b/cherrygrade/fleet/config/replica.py
@@ -340,12 +340,20 @@
         return ReplicaEffects(store=stored, apply=self._applying)
 
     def _apply_believed(self) -> ReplicaEffects:
+        """Return the effects that bring the believed version into force, if it is in memory."""
         version = self.store.find(self.believed.number, self.believed.digest_prefix)
         return self.apply(version, self.believed.stage) if version is not None else ReplicaEffects()
 
     def _apply_refused(
         self, version: ConfigVersion, refusal: str, started_with: StoredConfig | None
     ) -> ReplicaEffects:
+        """Return the effects that follow the refusal of a version.
+
+        Args:
+            version: The refused version.
+            refusal: Why it was refused.
+            started_with: The stored configuration, if this was the first version applied after the start.
+        """
         self.refusal = refusal
         self._refused_number = version.number
         if started_with is not None and started_with.previous is not None:
@@ -353,6 +361,7 @@
             self._applying = ApplyVersion(started_with.previous, started_with.previous_stage)
             return ReplicaEffects(apply=self._applying)
         effects = self._apply_believed()
+        # The refused version was stored before it was applied, so the one in force is stored again.
         if effects.store is None and started_with is None and self.version is not None:
             effects.store = StoredConfig(self.stage, self.version)
         return effects
@@ -379,12 +388,14 @@
             self._update_certainty()
 
     def _update_certainty(self) -> None:
+        """Become certain once the stage in force is at least the one that witnesses confirmed."""
         if not self._is_certain and self.witnesses.has_confirmation and self.stage >= self.believed.stage:
             self._is_certain = True
             self._tick_now = True
             self.witnesses.drop_statements(self.stage)
 
     def _begin_fetch(self, effects: ReplicaEffects, now: float) -> None:
+        """Add a fetch of the believed version to the effects, unless one is in progress or not needed."""
         if not self.wants_version or self.fetch.current is not None or self._applying is not None:
             return
         if now < self.fetch.next_start_ms:
@@ -395,6 +406,7 @@
         effects.fetch = self.fetch.begin(believed, self.version, self._members, self.witnesses, now)
 
     def _merge_seats(self, stage: int, digest_prefix: int, bits: bytes, now: float) -> None:
+        """Merge the bitmap of a member that is on the stage in force here; ignore that of any other."""
         if self.stage and (stage, digest_prefix) == (self.stage, self.digest_prefix):
             self.seats.merge(bits, now)
 
--- a/cherrygrade/fleet/config/version_fetch.py
+++ b/cherrygrade/fleet/config/version_fetch.py
@@ -142,5 +142,6 @@
         return in_zone or sources or voters
 
     def _wait(self, now: float) -> None:
+        """Let no fetch begin until the backoff has passed, and double the backoff."""
         self.next_start_ms = now + self._rng.jittered(self._retry_ms)
         self._retry_ms = min(MAX_RETRY_MS, 2.0 * self._retry_ms)
--- a/cherrygrade/fleet/config/version_log.py
+++ b/cherrygrade/fleet/config/version_log.py
@@ -156,6 +156,7 @@
         self.restore(msgspec.msgpack.decode(data, type=VersionLogState))
 
     def _put(self, command: PutVersion) -> PutOutcome:
+        """Append a version, or refuse it and change nothing."""
         newest_number = self.newest_number
         if command.based_on != newest_number:
             return PutOutcome(
@@ -191,6 +192,7 @@
         return apply_hunks(newest.text if newest else "", command.hunks)
 
     def _current_move(self) -> tuple[QuotaDivisors | None, int]:
+        """Return the old divisors and the first version of the unsettled move; None and 0 without one."""
         newest = self.newest
         if newest is None or not self.moving_number:
             return None, 0
@@ -227,6 +229,7 @@
         return self._outcome(version)
 
     def _settle(self, command: SettleVersion) -> PutOutcome:
+        """Settle the quota move, and drop the volumes that were removed no later than the move began."""
         newest = self.newest
         if newest is None or not self.moving_number or self.moving_number != command.number:
             return PutOutcome(refusal=f"no parts move since {command.number}")
--- a/cherrygrade/fleet/config/witness_questions.py
+++ b/cherrygrade/fleet/config/witness_questions.py
@@ -169,6 +169,7 @@
         members: dict[str, ReachableMember],
         now: float,
     ) -> list[ConfigQuestion]:
+        """Return the queries of the search that are due now."""
         questions: list[ConfigQuestion] = []
         # The members that sent the adverts are queried first, each once.
         for name in adverts:
@@ -229,6 +230,7 @@
         return questions
 
     def _question(self, name: str, now: float) -> ConfigQuestion:
+        """Return a query to a member, and remember it as pending."""
         nonce = self._rng.nonce()
         self.pending[nonce] = PendingQuestion(name, now)
         if name in self._witnesses.voters:
