--- a/cherrygrade/fleet/__init__.py
+++ b/cherrygrade/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""Dispatchers that know each other: who is there, who failed, who left, what each does while they disagree.
+"""The fleet of dispatchers: membership, replicated configuration, consensus of the council, and leases.
 
-What is decided stands in modules free of I/O, clock and chance (docs/fleet-design.md); agent.py alone has
-sockets.
+The packages `membership`, `config`, `consensus` and `leases` contain the decisions and do no I/O, read no
+clock and have no random source (docs/fleet-design.md). `runtime` has the sockets and files.
 """
--- a/cherrygrade/fleet/membership/__init__.py
+++ b/cherrygrade/fleet/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of the fleet: who is alive, who holds which seat, and what gossip says of nodes."""
+"""Membership of the fleet: living members, their seats, and the storage nodes that they reach."""
--- a/cherrygrade/fleet/membership/effects.py
+++ b/cherrygrade/fleet/membership/effects.py
@@ -1,4 +1,4 @@
-"""What a call to `Membership` asks its caller to do."""
+"""Actions that a call to `Membership` requests from its caller."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 @dataclass(slots=True)
 class MemberConfigReport:
-    """What a living member reports of its configuration.
+    """The configuration that a living member reports to have.
 
     Attributes:
-        name: The member.
-        incarnation: Its incarnation.
-        seat: Its seat; -1 where it has none.
-        config: What it holds.
-        direct: It answers a probe or a query that this dispatcher sent to the member's address.
-        nonce: Nonce of the `ConfigQuery` that it answers; else 0.
-        refusal: Why it refuses what is newer; empty where it does not.
+        name: Name of the member.
+        incarnation: The member's incarnation.
+        seat: The member's seat; -1 where it has none.
+        config: The member's configuration.
+        direct: Whether the report answers a probe or query that this dispatcher sent to the member's address.
+        nonce: Nonce of the `ConfigQuery` that the report answers; 0 where it answers none.
+        refusal: Why the member refuses a newer configuration; empty where it does not.
     """
 
     name: str
@@ -33,21 +33,21 @@
 
 
 class OutgoingMessage(NamedTuple):
-    """A datagram to send, and its host:port."""
+    """A message to send as a datagram, and the receiver's host:port."""
 
     address: str
     message: AnyMessage
 
 
 class TableExchange(NamedTuple):
-    """A member to exchange whole tables with, over a stream to its host:port."""
+    """A member to exchange full membership tables with, over a stream to its host:port."""
 
     name: str
     address: str
 
 
 class ReceivedPayload(NamedTuple):
-    """A message from the scheduler of the dispatcher that holds the seat."""
+    """A message from the scheduler of the dispatcher that has the seat."""
 
     seat: int
     payload: bytes
@@ -55,16 +55,16 @@
 
 @dataclass(slots=True)
 class Effects:
-    """All that a call asks for.
+    """All actions that a call requests.
 
     The caller carries the lists out in the order of these attributes, each list from first to last.
 
     Attributes:
-        messages: Datagrams to send.
-        replies: Datagrams that go back to the source of the datagram that was received.
-        table_exchanges: Streams to open.
-        scheduler_messages: What to hand to the scheduler.
-        config_reports: What to hand to the configuration exchange.
+        messages: Messages to send as datagrams.
+        replies: Messages to send to the source of the datagram that was received.
+        table_exchanges: Exchanges of membership tables to begin.
+        scheduler_messages: Received messages to pass to the scheduler.
+        config_reports: Reports to pass to the configuration exchange.
     """
 
     messages: list[OutgoingMessage] = field(default_factory=list)
@@ -78,6 +78,6 @@
         self.messages.append(OutgoingMessage(address, message))
 
     def send_to(self, member: Member, message: AnyMessage) -> None:
-        """Send a datagram to a member; nothing where its address is not known yet."""
+        """Send a datagram to a member; do nothing where its address is not known yet."""
         if member.info is not None:
             self.send(member.info.address, message)
--- a/cherrygrade/fleet/membership/inbound_budget.py
+++ b/cherrygrade/fleet/membership/inbound_budget.py
@@ -1,12 +1,12 @@
-"""How many of the fleet's messages one dispatcher processes in a second, whatever happens to the fleet.
+"""Limits how many of the fleet's messages one dispatcher processes in a second.
 
-Messages cost by their length, since what they hold is what takes time. What comes beyond the budget waits,
-the most useful first: acks of one's own probes, then what others need an answer to, then gossip, which comes
-again anyhow. What waits for too long is of no use to anybody. Guards against a fleet whose processes starve
-being kept there by its own messages: when most of a large fleet comes back at once, each member gets many
-times the messages of a fleet at rest.
+The cost of a message grows with its length, because processing time depends mostly on its contents. Messages
+beyond the budget wait and are processed by priority: acks of the dispatcher's own probes first, then messages
+that other members need an answer to, then gossip, which is repeated anyway. A message that has waited too
+long is dropped. Without the limit, members that are short of CPU time would be kept so by the messages of the
+fleet: when most of a large fleet returns at once, each member receives many times its usual messages.
 
-Free of I/O and clock.
+The module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -18,63 +18,76 @@
 T = TypeVar("T")
 
 UNITS_PER_SECOND = 60.0
-"""Of the budget; at rest a member of two hundred uses some 8."""
+"""Rate of the budget. In a fleet of two hundred without changes a member uses about 8 units a second."""
 
 BURST_UNITS = 120.0
+"""Units that the budget accumulates at most."""
 
 UNIT_BYTES = 1024.0
 """Length of a message that costs one unit beyond `MIN_COST_UNITS`."""
 
 MIN_COST_UNITS = 0.5
-"""Of any message, however short."""
+"""Cost of any message, however short; scheduler messages are exempt."""
 
 URGENT_OVERDRAFT_UNITS = 60.0
-"""Beyond the budget, for acks, probes and scheduler messages: who does not answer is declared failed."""
+"""Units by which acks, probes and scheduler messages may exceed the budget, because a member that does not
+answer is declared failed."""
 
-OVER_BUDGET_SHARE = 0.25
-"""With less of the burst left, the dispatcher counts as over budget."""
+OVER_BUDGET_FRACTION = 0.25
+"""With less than this part of the burst available, the dispatcher counts as over budget."""
 
-MAX_WAITING = 96
-"""Messages that wait, of all priorities."""
+MAX_WAITING_MESSAGES = 96
+"""Messages of all priorities that may wait."""
 
-STALE_MS = 1500.0
-"""A prober has asked helpers, or probed again, by then."""
+MAX_WAIT_MS = 1500.0
+"""Time after which a waiting message is dropped; by then its sender has asked helpers or probed again."""
 
-PRIORITIES = {b"a": 0, b"c": 0, b"h": 0, b"p": 1, b"w": 1, b"q": 2, b"v": 2, b"n": 3}
-"""By the tag of a message, 0 the highest: acks, results and replies; probes and scheduler messages; requests
-and queries; gossip."""
+PRIORITY_BY_TAG = {b"a": 0, b"c": 0, b"h": 0, b"p": 1, b"w": 1, b"q": 2, b"v": 2, b"n": 3}
+"""Priority of each message tag, 0 being the highest: 0 for acks, results of relayed probes and configuration
+replies, 1 for probes and scheduler messages, 2 for requests to helpers and configuration queries, 3 for
+gossip."""
 
 MAX_URGENT_PRIORITY = 1
-"""Up to this priority the overdraft may be used."""
+"""Lowest priority, that is the highest number, for which the overdraft may be used."""
 
 SCHEDULER_TAG = b"w"
+"""Tag of `SchedulerMessage`."""
 
 UNCHARGED_TAGS = frozenset((b"a", b"c", b"h", b"w"))
-"""Messages whose sending costs nothing: answers are paid for by what they answer, and scheduler messages by
-the scheduler. Else an aggregator that sends to all would not answer probes for seconds."""
+"""Tags of messages that cost nothing to send.
+
+The cost of an answer is covered by the message that it answers, and the scheduler limits its own messages. If
+those were charged, a load aggregator that sends to all members would not answer probes for seconds.
+"""
 
 
-def cost(tag: bytes, length: int) -> float:
-    """Units that a message of the tag and length in bytes costs; scheduler messages are short work."""
-    return length / UNIT_BYTES if tag == SCHEDULER_TAG else MIN_COST_UNITS + length / UNIT_BYTES
+def cost_units(tag: bytes, length_bytes: int) -> float:
+    """Return the units that a message costs; scheduler messages take little time and have no minimum cost."""
+    return length_bytes / UNIT_BYTES if tag == SCHEDULER_TAG else MIN_COST_UNITS + length_bytes / UNIT_BYTES
 
 
 @dataclass(slots=True)
 class _Waiting(Generic[T]):
-    """A message that waits: when it came, ms; what it costs, units; the message."""
+    """A message that waits.
+
+    Attributes:
+        arrived_ms: When the message arrived, ms.
+        cost: Cost of the message, units.
+        message: The message.
+    """
 
-    arrived_at: float
-    units: float
+    arrived_ms: float
+    cost: float
     message: T
 
 
 class InboundBudget(Generic[T]):
-    """A token bucket over messages that wait by priority.
+    """A token bucket with queues of waiting messages by priority.
 
     Attributes:
         units_per_second: Rate at which the bucket fills.
-        burst_units: Its size.
-        dropped: Messages that found no room or waited for too long.
+        burst_units: Capacity of the bucket.
+        dropped: Messages that were dropped because too many waited or they waited too long, in total.
     """
 
     def __init__(
@@ -83,66 +96,77 @@
         self.units_per_second = units_per_second
         self.burst_units = burst_units
         self.dropped = 0
-        self._queues: list[deque[_Waiting[T]]] = [deque() for _ in range(1 + max(PRIORITIES.values()))]
-        self._units = burst_units  # down to -URGENT_OVERDRAFT_UNITS and one message more
-        self._filled_at = now
+        self._queues: list[deque[_Waiting[T]]] = [deque() for _ in range(1 + max(PRIORITY_BY_TAG.values()))]
+        self._units = burst_units  # may fall one message below -URGENT_OVERDRAFT_UNITS
+        self._filled_ms = now
 
     @property
     def over_budget(self) -> bool:
-        """More came than can be processed: the dispatcher sends the least that keeps it known."""
-        return self._units < OVER_BUDGET_SHARE * self.burst_units
+        """Whether more messages arrive than can be processed.
+
+        The dispatcher then sends only as much as it has to for staying a living member.
+        """
+        return self._units < OVER_BUDGET_FRACTION * self.burst_units
 
     @property
     def waiting(self) -> int:
-        """Messages that wait, at most `MAX_WAITING`."""
+        """Number of messages that wait, at most `MAX_WAITING_MESSAGES`."""
         return sum(map(len, self._queues))
 
-    def arrived(self, tag: bytes, length: int, message: T, now: float) -> None:
-        """A message came; an unknown tag has the lowest priority."""
-        priority = PRIORITIES.get(tag, len(self._queues) - 1)
-        self._queues[priority].append(_Waiting(now, cost(tag, length), message))
-        if self.waiting > MAX_WAITING:
+    def arrived(self, tag: bytes, length_bytes: int, message: T, now: float) -> None:
+        """Add a message that arrived; drop a waiting one of the lowest priority where too many wait.
+
+        Args:
+            tag: Tag of the message; an unknown tag has the lowest priority.
+            length_bytes: Length of its datagram.
+            message: The message.
+            now: The current time, ms.
+        """
+        priority = PRIORITY_BY_TAG.get(tag, len(self._queues) - 1)
+        self._queues[priority].append(_Waiting(now, cost_units(tag, length_bytes), message))
+        if self.waiting > MAX_WAITING_MESSAGES:
             lowest = next(queue for queue in reversed(self._queues) if queue)
             lowest.popleft()
             self.dropped += 1
 
-    def sent(self, tag: bytes, length: int, now: float) -> None:
-        """A message of this dispatcher was sent, which is work too."""
+    def sent(self, tag: bytes, length_bytes: int, now: float) -> None:
+        """Charge a message that this dispatcher sent, because sending takes processing time too."""
         if tag not in UNCHARGED_TAGS:
             self._fill(now)
-            self._units = max(self._units - cost(tag, length), -URGENT_OVERDRAFT_UNITS)
+            self._units = max(self._units - cost_units(tag, length_bytes), -URGENT_OVERDRAFT_UNITS)
 
     def next(self, now: float) -> T | None:
-        """The message to process now; None where none waits or the budget is used up."""
+        """Take the message to process now; None where none waits or the budget is used up."""
         self._fill(now)
         for priority, queue in enumerate(self._queues):
             while queue:
                 first = queue[0]
-                if now - first.arrived_at > STALE_MS:
+                if now - first.arrived_ms > MAX_WAIT_MS:
                     queue.popleft()
                     self.dropped += 1
                     continue
                 if self._units < _min_units(priority):
                     return None
                 queue.popleft()
-                self._units -= first.units
+                self._units -= first.cost
                 return first.message
         return None
 
     def next_ready_ms(self, now: float) -> float | None:
-        """When the next message may be processed, ms; None where none waits."""
+        """Return when the next message may be processed, ms; None where none waits."""
         priority = next((priority for priority, queue in enumerate(self._queues) if queue), None)
         if priority is None:
             return None
         self._fill(now)
-        lacking = max(0.0, _min_units(priority) - self._units)
-        return now + lacking / self.units_per_second * 1000.0
+        missing_units = max(0.0, _min_units(priority) - self._units)
+        return now + missing_units / self.units_per_second * 1000.0
 
     def _fill(self, now: float) -> None:
-        elapsed_s = max(0.0, now - self._filled_at) / 1000.0
+        elapsed_s = max(0.0, now - self._filled_ms) / 1000.0
         self._units = min(self.burst_units, self._units + elapsed_s * self.units_per_second)
-        self._filled_at = now
+        self._filled_ms = now
 
 
 def _min_units(priority: int) -> float:
+    """Return the units that have to be available before a message of the priority is processed."""
     return -URGENT_OVERDRAFT_UNITS if priority <= MAX_URGENT_PRIORITY else 0.0
--- a/cherrygrade/fleet/membership/membership.py
+++ b/cherrygrade/fleet/membership/membership.py
@@ -1,7 +1,8 @@
-"""The fleet as one dispatcher takes part in it: messages and time in, effects out.
+"""One dispatcher's membership of the fleet: takes received messages and the time, and returns actions.
 
-Free of I/O, clock and chance: thousands of instances run in one process in the simulations, and one alone in
-a dispatcher (`fleet/runtime/fleet_agent.py`). Times are ms of any one clock; incarnations are Unix ms.
+The module does no I/O, reads no clock and has no random source. Simulations run thousands of instances in one
+process; a dispatcher runs one (`fleet/runtime/fleet_agent.py`). Times are in ms of one clock; incarnations
+are in Unix ms.
 """
 
 from __future__ import annotations
@@ -39,10 +40,10 @@
 )
 
 FORGET_INTERVAL_MS = 1000.0
-"""Between two rounds of dropping what is too old."""
+"""Time between two removals of entries that are too old."""
 
 LEAVE_FANOUT = 3 * FANOUT
-"""Members that are told of a graceful leave."""
+"""Members to which a graceful leave is announced directly."""
 
 
 class Membership(MembershipState):
@@ -55,28 +56,30 @@
         self._table_version = -1  # of the table when seats were last derived from it
         self._forget_at = now + FORGET_INTERVAL_MS
 
-    # What others ask of it.
-
     def next_tick_ms(self) -> float:
-        """When the next beat is due, ms."""
+        """Return the time at which `tick` has to be called next, ms."""
         if self.silent:
             return NEVER_MS
         return min(
             self.failure_detector.next_tick_ms(),
-            self.gossip.push_at,
-            self.contacts.next_at,
+            self.gossip.next_push_ms,
+            self.contacts.next_probe_ms,
             self._forget_at,
             self.relayed_probes.next_timeout_ms(),
         )
 
     def all_records(self) -> list[MemberRecord]:
-        """The whole table, for an exchange."""
+        """Return the records of all members, for an exchange of tables."""
         return [member.record() for member in self.table]
 
-    # What comes in.
-
     def receive(self, message: AnyMessage, address: str, now: float) -> Effects:
-        """A datagram came from the address."""
+        """Process a message that was received as a datagram.
+
+        Args:
+            message: The message.
+            address: host:port from which the datagram was sent.
+            now: The current time, ms.
+        """
         effects = Effects()
         if self.silent or message.name == self.name:
             self.ignored_messages += 1
@@ -93,21 +96,39 @@
         return effects
 
     def merge_table(self, records: list[MemberRecord], by: str, now: float) -> None:
-        """The whole table of a member came over a stream."""
+        """Merge the full table of another member, which was received over a stream.
+
+        Args:
+            records: All records of the member's table.
+            by: Name of the member.
+            now: The current time, ms.
+        """
         newcomer = len(self.table.others()) <= 1
         changed = self.record_merger.merge(records, by, now)
         if newcomer:
-            # What is new to a newcomer all others know: it need not be gossiped.
+            # This dispatcher has just joined. All records that are new to it are known to the other members,
+            # so they need not be gossiped.
             for name in changed:
                 self.gossip.drop(name)
         self._update_derived_state(now)
 
-    def attempt_ended(self, node: int, outcome: str, now: float) -> None:
-        """An attempt of the scheduler at a node ended: 'answered', 'errored' or 'silent'."""
-        self.reachability.attempt_ended(node, outcome, now)
+    def attempt_ended(self, node_hash: int, outcome: str, now: float) -> None:
+        """Count an attempt of the scheduler at a node that has ended.
+
+        Args:
+            node_hash: Hash of the node's address, 16 bits.
+            outcome: 'answered', 'errored' or 'silent'.
+            now: The current time, ms.
+        """
+        self.reachability.attempt_ended(node_hash, outcome, now)
 
     def send_payload(self, seat: int | None, payload: bytes) -> Effects:
-        """Send a message of the scheduler to the holder of a seat; to all members where `seat` is None."""
+        """Send a message of the scheduler to the member that has a seat, or to all members.
+
+        Args:
+            seat: Seat of the receiver; None for all members.
+            payload: The scheduler's message.
+        """
         effects = Effects()
         own = self.table.own
         if self.silent or own.seat < 0:
@@ -117,13 +138,18 @@
             for member in self.table.others():
                 effects.send_to(member, message)
             return effects
-        found = seat_claims.holder(self.table, seat)
-        if found is not None and found.name != self.name:
-            effects.send_to(found, message)
+        receiver = seat_claims.holder(self.table, seat)
+        if receiver is not None and receiver.name != self.name:
+            effects.send_to(receiver, message)
         return effects
 
     def query_config(self, name: str, nonce: int) -> Effects:
-        """Ask a member which configuration it holds; nothing where its address is not known."""
+        """Query the configuration of a member; do nothing where the member's address is not known.
+
+        Args:
+            name: Name of the member.
+            nonce: Number that the reply repeats.
+        """
         effects = Effects()
         member = self.table.members.get(name)
         if member is not None and not self.silent:
@@ -131,17 +157,20 @@
         return effects
 
     def advertise_config(self, names: Iterable[str]) -> Effects:
-        """Tell these members which configuration this dispatcher holds."""
+        """Send the advert of this dispatcher's configuration to the named members."""
         effects = Effects()
         for name in names:
             member = self.table.members.get(name)
             if member is not None and not self.silent:
-                message = GossipPush(self.name, self.incarnation, [], self.config.short_advert())
+                message = GossipPush(self.name, self.incarnation, [], self.config.advert_without_bitmap())
                 effects.send_to(member, message)
         return effects
 
     def leave(self, now: float) -> Effects:
-        """Leave the fleet gracefully: some are told, and gossip and probes tell the rest."""
+        """Leave the fleet gracefully.
+
+        The leave is announced to `LEAVE_FANOUT` members; the other members learn of it by gossip and probes.
+        """
         effects = Effects()
         own = self.table.own
         if self.silent:
@@ -154,7 +183,7 @@
         return effects
 
     def tick(self, now: float) -> Effects:
-        """Do all that is due."""
+        """Carry out all actions whose time has come."""
         effects = Effects()
         if self.silent:
             return effects
@@ -164,29 +193,27 @@
         for name in probe_effects.changed:
             self.gossip.add(name, now)
         self._send_probes(probe_effects, effects, now)
-        for probe in self.relayed_probes.deny_overdue(now):
-            effects.send(probe.requester, self.relayed_result(probe, denied=True))
+        for probe in self.relayed_probes.take_timed_out(now):
+            effects.send(probe.requester, self.relayed_result(probe, timed_out=True))
         self._push_gossip(effects, now)
-        if now >= self.contacts.next_at:
+        if now >= self.contacts.next_probe_ms:
             self._probe_contacts(effects, now)
         if now >= self._forget_at:
             self._forget(now)
         self._update_derived_state(now)
         return effects
 
-    # Sending.
-
     def _sample_of_others(self, max_count: int) -> list[Member]:
         names = [member.name for member in self.table.others()]
         return [self.table.members[name] for name in self.failure_detector.sample(names, max_count)]
 
     def _send_probes(self, probe_effects: ProbeEffects, effects: Effects, now: float) -> None:
-        contacts = self.reachability.digest(now) if probe_effects.probes else []
+        contacts = self.reachability.own_report(now) if probe_effects.probes else []
         single = len(probe_effects.probes) == 1
-        advert = self.config.full_advert()
+        advert = self.config.advert_with_bitmap()
         for member, number in probe_effects.probes:
             if member.info is not None:
-                # Of many that may have died few would read gossip.
+                # Several probes at once go to members that have probably died, which do not read gossip.
                 records = self.records_for(member.name) if single else []
                 probe = Probe(
                     self.name,
@@ -211,7 +238,7 @@
         if not records:
             return
         for member in self._sample_of_others(1 if self.over_budget else FANOUT):
-            message = GossipPush(self.name, self.incarnation, records, self.config.short_advert())
+            message = GossipPush(self.name, self.incarnation, records, self.config.advert_without_bitmap())
             effects.send_to(member, message)
 
     def _probe_contacts(self, effects: Effects, now: float) -> None:
@@ -220,9 +247,8 @@
             probe = Probe(self.name, self.incarnation, self.next_probe_number(), self.table.digest, own)
             effects.send(address, probe)
 
-    # Upkeep.
-
     def _forget(self, now: float) -> None:
+        """Drop entries that are too old."""
         self._forget_at = now + FORGET_INTERVAL_MS
         self.table.forget(now)
         self.reachability.forget(self.table.is_living, now)
@@ -230,7 +256,7 @@
         self.relayed_probes.forget(now)
 
     def _update_derived_state(self, now: float) -> None:
-        """Derive the side of a partition, the seat and the aggregators from the table."""
+        """Derive the partition state, the own seat and the load aggregators from the table."""
         others = self.table.others()
         silence_ms = now - self.failure_detector.last_received_ms if others else ISOLATED_AFTER_MS
         self.partition_state = partition_state(
@@ -246,7 +272,7 @@
         self.aggregators.update_seats(seats, now)
 
     def _yield_contested_seat(self, now: float) -> None:
-        """Give up the seat where a later incarnation claims it."""
+        """Yield the seat where a member with a later incarnation claims it."""
         self.seat_yielded_to = seat_claims.yields_to(self.table)
         if self.seat_yielded_to:
             self.table.refute(self.table.own.refutations, now, seat=-1)
--- a/cherrygrade/fleet/membership/membership_state.py
+++ b/cherrygrade/fleet/membership/membership_state.py
@@ -1,6 +1,7 @@
-"""The state that one dispatcher keeps as a member of the fleet.
+"""The state of one dispatcher as a member of the fleet.
 
-Free of I/O, clock and chance. Times are ms of any one clock; incarnations are Unix ms.
+The module does no I/O, reads no clock and has no random source. Times are in ms of one clock; incarnations
+are in Unix ms.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from cherrygrade.fleet.membership.config_reporting import ConfigReporting
 from cherrygrade.fleet.membership.contacts import Contacts
 from cherrygrade.fleet.membership.failure_detector import (
-    PERIOD_MS,
+    PROBE_PERIOD_MS,
     FailureDetector,
 )
 from cherrygrade.fleet.membership.gossip import GossipQueue
@@ -37,22 +38,22 @@
 from cherrygrade.fleet.membership.table_exchange import ExchangeTrigger
 
 RETAIN_DEAD_MS = 600_000.0
-"""How long a dead member is remembered."""
+"""How long a member stays in the table after it failed or left."""
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """What a dispatcher takes part in the fleet with.
+    """Settings of a dispatcher's membership.
 
     Attributes:
         name: Name of this dispatcher.
         incarnation: Start of this process, Unix ms.
-        info: What it announces of itself.
-        fleet_size: Dispatchers of the fleet as the settings have it.
-        contacts: host:port of the contact points; its own may be among them.
-        seed: Of all that varies by chance.
-        period_ms: Probe period at rest.
-        retain_dead_ms: How long a dead member is remembered.
+        info: Properties that this dispatcher announces.
+        fleet_size: Number of dispatchers in the fleet according to the settings.
+        contacts: host:port of the contact points, which may include this dispatcher's own.
+        seed: Seed of all random choices.
+        period_ms: Probe period while self-doubt and ack latency are low, ms.
+        retain_dead_ms: How long a member stays in the table after it failed or left, ms.
     """
 
     name: str
@@ -61,39 +62,41 @@
     fleet_size: int
     contacts: Iterable[str]
     seed: int
-    period_ms: float = PERIOD_MS
+    period_ms: float = PROBE_PERIOD_MS
     retain_dead_ms: float = RETAIN_DEAD_MS
 
 
 class MembershipState:
-    """All that one dispatcher knows as a member of the fleet.
+    """All state that one dispatcher has as a member of the fleet.
 
     Attributes:
         name: Name of this dispatcher.
-        incarnation: Start of this process, Unix ms; raised where a former process of the name had a later
-            one, by a clock that was set back since.
-        address: host:port at which it is reached.
-        fleet_size: Dispatchers of the fleet as the settings have it; no message changes it.
-        begun: When it began, ms.
+        incarnation: Start of this process, Unix ms; raised where a former process of that name had a later
+            incarnation because the clock was set back since.
+        address: host:port at which other members reach this dispatcher.
+        fleet_size: Number of dispatchers in the fleet according to the settings; no message changes it.
+        started_ms: When this object was created, ms.
         table: The members.
-        failure_detector: Whom to probe, suspect and declare failed.
-        gossip: Records to be passed on.
-        exchange_trigger: When whole tables are exchanged.
-        reachability: Nodes as the fleet sees them.
-        aggregators: Which seat aggregates the load reports of which node.
-        contacts: Contact points.
-        relayed_probes: Probes made for others.
-        scheduler_filter: Which messages between schedulers are delivered.
-        config: What is said of this dispatcher's configuration.
-        side: On which side of a partition it takes itself to be.
-        superseded_by: A later process under this name elsewhere, for operators; then this one is silent.
-        seat_yielded_to: The member to which it gave up its seat; empty while it holds it.
-        left: It left the fleet gracefully; then it is silent.
-        refuted_accusations: Records against itself that it refuted.
-        ignored_messages: Messages and records that were not taken into account.
-        has_unread: Messages wait that were not processed; set by the caller before `beat`.
-        over_budget: More comes than may be processed: it sends the least that keeps it known; set by the
-            caller before `beat`.
+        failure_detector: Decides which members to probe, suspect and declare failed.
+        gossip: Queue of records to be passed on.
+        exchange_trigger: Decides when full tables are exchanged.
+        reachability: Reachability of the storage nodes.
+        aggregators: Assigns each node the seat that aggregates the node's load reports.
+        contacts: Schedule of the probes of contact points.
+        relayed_probes: Probes sent for other members.
+        scheduler_filter: Decides which messages of other schedulers are delivered.
+        config: Adverts of the shared configuration.
+        partition_state: The part of a partitioned fleet in which this dispatcher considers itself to be.
+        superseded_by: Name and address of a later process with this dispatcher's name, for operators; empty
+            where there is none. If it is set, this process is silent.
+        seat_yielded_to: Name of the member to which this dispatcher yielded its seat; empty while it has the
+            seat.
+        has_left: Whether this dispatcher left the fleet gracefully, after which it is silent.
+        refuted_accusations: Records against itself that this dispatcher refuted, in total.
+        ignored_messages: Messages and records that were ignored, in total.
+        has_unread: Whether messages wait that were not processed; set by the caller before `tick`.
+        over_budget: Whether more messages arrive than may be processed. This dispatcher then sends only as
+            much as it has to for staying a living member; set by the caller before `tick`.
     """
 
     def __init__(self, settings: MembershipSettings, now: float) -> None:
@@ -128,21 +131,28 @@
 
     @property
     def forfeits_seat(self) -> bool:
-        """Its seat is another's: it uses no share of cold nodes and limits."""
+        """Whether another member has this dispatcher's seat, so that this one may use no share of quotas."""
         return bool(self.superseded_by or self.seat_yielded_to)
 
     @property
     def partition_rules(self) -> PartitionRules:
-        """What it may do on its side of a partition."""
+        """Actions that are allowed in the present partition state."""
         return RULES_BY_STATE[self.partition_state]
 
     @property
     def silent(self) -> bool:
-        """It takes no part any more: it left, or a later process has its name."""
+        """Whether this dispatcher sends no messages any more: it left, or a later process has its name."""
         return self.has_left or bool(self.superseded_by)
 
     def records_for(self, receiver: str, incarnation: int = -1) -> list[MemberRecord]:
-        """Records to send along to a member: first the accusation of itself, so that it can refute it."""
+        """Return the records to send with a probe or ack to a member.
+
+        An accusation of the receiver comes first, so that the receiver can refute it.
+
+        Args:
+            receiver: Name of the member.
+            incarnation: The member's incarnation; -1 where it is not known.
+        """
         member = self.table.members.get(receiver)
         if member is None:
             forgotten = self.table.forgotten_record(receiver, incarnation)
@@ -156,6 +166,11 @@
         self._probe_number = (self._probe_number + 1) & 0x7FFFFFFF
         return self._probe_number
 
-    def relayed_result(self, probe: RelayedProbe, denied: bool) -> IndirectProbeResult:
-        """Return the result of a probe that was made for another; `denied`: it got no answer."""
-        return IndirectProbeResult(self.name, self.incarnation, probe.number, probe.target, denied)
+    def relayed_result(self, probe: RelayedProbe, timed_out: bool) -> IndirectProbeResult:
+        """Return the message that reports the result of a relayed probe to its requester.
+
+        Args:
+            probe: The relayed probe.
+            timed_out: Whether no ack arrived in time.
+        """
+        return IndirectProbeResult(self.name, self.incarnation, probe.number, probe.target, timed_out)
--- a/cherrygrade/fleet/membership/message_handler.py
+++ b/cherrygrade/fleet/membership/message_handler.py
@@ -1,6 +1,6 @@
-"""What each kind of message of another member does.
+"""Handles received messages by their type.
 
-Free of I/O, clock and chance.
+The module does no I/O, reads no clock and has no random source.
 """
 
 from __future__ import annotations
@@ -28,21 +28,19 @@
 
 
 class MessageHandler:
-    """Reacts to messages; all that it changes is the state that it is given."""
+    """Handles the messages of other members; it changes only the state that it is given."""
 
     def __init__(self, state: MembershipState) -> None:
         self._state = state
 
-    # Messages by kind.
-
     def handle(self, message: AnyMessage, address: str, now: float, effects: Effects) -> None:
-        """React to a message whose records have been merged.
+        """Handle a message whose records have been merged.
 
         Args:
-            message: What came; its sender is another member.
-            address: host:port that it came from.
-            now: The time, ms.
-            effects: Filled with what is to be done.
+            message: The received message; its sender is another member.
+            address: host:port from which the message was sent.
+            now: The current time, ms.
+            effects: Receives the requested actions.
         """
         if isinstance(message, Probe):
             self._handle_probe(message, address, now, effects)
@@ -51,7 +49,7 @@
         elif isinstance(message, IndirectProbeRequest):
             self._handle_indirect_request(message, address, now, effects)
         elif isinstance(message, IndirectProbeResult):
-            if not message.denied:
+            if not message.timed_out:
                 self._handle_indirect_ack(message, now)
         elif isinstance(message, GossipPush):
             self._report_config(message, False, effects)
@@ -64,7 +62,7 @@
 
     def _handle_probe(self, message: Probe, address: str, now: float, effects: Effects) -> None:
         records = self._state.records_for(message.name, message.incarnation)
-        advert = self._state.config.short_advert()
+        advert = self._state.config.advert_without_bitmap()
         ack = ProbeAck(
             self._state.name,
             self._state.incarnation,
@@ -82,19 +80,20 @@
     def _handle_ack(self, message: ProbeAck, address: str, now: float, effects: Effects) -> None:
         relayed = self._state.relayed_probes.take_acked(message.number, message.name)
         if relayed is not None:
-            effects.send(relayed.requester, self._state.relayed_result(relayed, denied=False))
+            effects.send(relayed.requester, self._state.relayed_result(relayed, timed_out=False))
         else:
-            asked_by_us = self._state.failure_detector.ack_received(message.name, message.number, now)
-            self._report_config(message, asked_by_us, effects)
+            direct = self._state.failure_detector.ack_received(message.name, message.number, now)
+            self._report_config(message, direct, effects)
         self._compare_tables(message, address, now, effects)
         self._merge_node_contacts(message, now)
 
     def _handle_indirect_request(
         self, message: IndirectProbeRequest, address: str, now: float, effects: Effects
     ) -> None:
-        """Probe a member for another.
+        """Probe a member on behalf of another.
 
-        The target's record is passed on to the target and not merged beyond what any message may bring.
+        If the request's record of the target is an accusation, it is sent to the target, so that the target
+        can refute it. That record is not merged here; only the request's `records` are.
         """
         target = message.target
         if self._state.relayed_probes.full or target.name == self._state.name:
@@ -110,7 +109,7 @@
         effects.send(target_address, probe)
 
     def _handle_indirect_ack(self, message: IndirectProbeResult, now: float) -> None:
-        """Another member got an ack of one that this dispatcher probes."""
+        """Process the ack of a member that this dispatcher probes, received by a helper."""
         member = self._state.table.members.get(message.target)
         if member is not None:
             member.last_received_ms = max(member.last_received_ms, now - DIRECT_TIMEOUT_MS)
@@ -141,7 +140,7 @@
             effects.config_reports.append(report)
 
     def _compare_tables(self, message: Probe | ProbeAck, address: str, now: float, effects: Effects) -> None:
-        """Exchange tables with the sender where the digests call for it."""
+        """Begin an exchange of tables with the sender where the digests require it."""
         name = message.name
         member = self._state.table.members.get(name)
         if member is None or member.incarnation < message.incarnation or not member.living:
--- a/cherrygrade/fleet/membership/messages.py
+++ b/cherrygrade/fleet/membership/messages.py
@@ -1,8 +1,10 @@
 """The datagrams that dispatchers exchange, and their encoding.
 
-A datagram is `MAGIC`, a hash of the fleet's name, a checksum (xxh3, 64 bits) over all that follows, and a
-MessagePack array whose first entry is the kind of message. Anything else is counted by what is wrong with it
-and dropped: only a complete message of this fleet is answered. Free of I/O and clock.
+A datagram is `MAGIC`, a hash of the fleet's name, a checksum (xxh3, 64 bits) over all bytes after it, and a
+MessagePack array whose first entry is the tag of the message's type. Any other datagram is dropped and
+counted by the reason. Only a complete message of this fleet is answered.
+
+The module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -19,37 +21,48 @@
 from cherrygrade.fleet.membership.table import MemberRecord
 
 MAGIC = b"cgF1"
+"""First bytes of each datagram; the last one is the version of the protocol."""
 
 HEADER = struct.Struct(">4sIQ")
 """`MAGIC`, hash of the fleet's name, checksum of the body."""
 
 MAX_DATAGRAM_BYTES = 1400
-"""What an Ethernet carries in one piece."""
+"""Maximum length of a datagram; Ethernet carries it without fragmentation."""
 
 PADDED_BYTES = 300
-"""Probes and queries are padded to this length, and an answer is no longer than what it answers: whoever
-forges a sender's address can't have more sent to it than it sent itself."""
+"""Length to which probes and configuration queries are padded.
+
+A reply is no longer than the message that it answers. So an attacker that forges a sender's address can't
+have more bytes sent to that address than it sends itself.
+"""
 
 MAX_SEAT_BITMAP_BYTES = 512
-"""Of a bitmap by seat: four thousand dispatchers."""
+"""Length of a bitmap by seat, enough for four thousand dispatchers."""
 
-RECORDS_KEPT_PER_CUT = (3, 4)
-"""Where records do not fit into a datagram, this fraction of them is kept, until they do."""
+RECORDS_KEPT_FRACTION = (3, 4)
+"""Numerator and denominator of the part of the records that is kept, repeatedly until the datagram fits."""
 
 Records = Annotated[list[MemberRecord], Meta(max_length=64)]
+"""Member records, as messages carry them."""
+
 NodeContacts = Annotated[list[NodeContact], Meta(max_length=16)]
+"""A report of how the sender's attempts at nodes ended."""
+
 Name = Annotated[str, Meta(max_length=100)]
+"""Name or address of a member, as messages carry it."""
 
 
 class ConfigAdvert(msgspec.Struct, array_like=True, frozen=True):
-    """Which configuration the sender holds.
+    """The configuration that the sender has.
 
-    It is the last field of the messages that carry it, so that a reader of an older version skips it.
+    It is the last field of the messages that carry it, so that a dispatcher of an earlier version skips it.
 
     Attributes:
-        stage: Its stage (`fleet/config/replica.py`).
-        digest_prefix: Head of its digest.
-        seat_bitmap: By seat, who of the fleet is known to hold it; only in messages that are padded anyway.
+        stage: Stage of the configuration: 2N while version N is being introduced, 2N+1 once it is settled
+            (`fleet/config/replica.py`).
+        digest_prefix: First bits of the configuration's digest, as a number.
+        seat_bitmap: One bit by seat, set for the members known to have the configuration; sent only in
+            messages that are padded anyway.
     """
 
     stage: Annotated[int, Meta(ge=0, le=2**53)]
@@ -58,10 +71,10 @@
 
 
 class MembershipMessage(msgspec.Struct, array_like=True, frozen=True, tag_field="kind", tag="Page"):
-    """What all messages have.
+    """Base of all messages between dispatchers.
 
     Attributes:
-        name: The sender.
+        name: Name of the sender.
         incarnation: The sender's incarnation, Unix ms.
     """
 
@@ -70,15 +83,15 @@
 
 
 class Probe(MembershipMessage, frozen=True, tag="p"):
-    """Asks for an ack.
+    """Requests an ack.
 
     Attributes:
-        number: To be repeated by the ack.
-        digest: Of the sender's table.
-        records: Gossip.
-        node_contacts: How the sender's attempts at nodes ended lately.
+        number: Number of the probe, which the ack repeats.
+        digest: Digest of the sender's membership table.
+        records: Member records passed on by gossip.
+        node_contacts: How the sender's recent attempts at storage nodes ended.
         padding: Zero bytes up to `PADDED_BYTES`.
-        config: The sender's configuration.
+        config: The sender's configuration; None where it has none.
     """
 
     number: int
@@ -90,7 +103,7 @@
 
 
 class ProbeAck(MembershipMessage, frozen=True, tag="a"):
-    """Answers a probe; the fields are those of `Probe`."""
+    """Answers a probe; the fields mean the same as in `Probe`."""
 
     number: int
     digest: int
@@ -100,13 +113,13 @@
 
 
 class IndirectProbeRequest(MembershipMessage, frozen=True, tag="q"):
-    """Asks a helper to probe a member that did not answer the sender.
+    """Requests that a helper probes a member that did not answer the sender.
 
     Attributes:
-        number: Of the sender's own probe, to be repeated by the result.
-        target: The sender's record of the member; the helper passes an accusation on to it.
-        address: host:port of the member, where the helper does not know it.
-        records: Gossip.
+        number: Number of the sender's own probe, which the result repeats.
+        target: The sender's record of the member; if it is an accusation, the helper sends it to the member.
+        address: host:port of the member, for a helper that does not know it.
+        records: Member records passed on by gossip.
     """
 
     number: int
@@ -116,25 +129,25 @@
 
 
 class IndirectProbeResult(MembershipMessage, frozen=True, tag="c"):
-    """A helper's answer.
+    """Reports the result of a helper's probe.
 
     Attributes:
-        number: Of the request.
+        number: Number given in the request.
         target: Name of the probed member.
-        denied: The member has not answered the helper either.
+        timed_out: Whether the member did not answer the helper in time either.
     """
 
     number: int
     target: Name
-    denied: bool = False
+    timed_out: bool = False
 
 
 class GossipPush(MembershipMessage, frozen=True, tag="n"):
-    """Fresh gossip, not answered.
+    """Passes on fresh member records; it is not answered.
 
     Attributes:
-        records: Gossip.
-        config: The sender's configuration.
+        records: Member records passed on by gossip.
+        config: The sender's configuration; None where it has none.
     """
 
     records: Records = []
@@ -142,11 +155,11 @@
 
 
 class SchedulerMessage(MembershipMessage, frozen=True, tag="w"):
-    """A message from one dispatcher's scheduler to another's.
+    """Carries a message from one dispatcher's scheduler to another's.
 
     Attributes:
-        seat: The sender's.
-        payload: Opaque here.
+        seat: The sender's seat.
+        payload: The scheduler's message, which membership does not decode.
     """
 
     seat: int
@@ -154,10 +167,10 @@
 
 
 class ConfigQuery(MembershipMessage, frozen=True, tag="v"):
-    """Asks which configuration the receiver holds.
+    """Requests the receiver's configuration stage and digest.
 
     Attributes:
-        nonce: Drawn for this query, to be repeated by the reply.
+        nonce: Number generated for this query, which the reply repeats.
         padding: Zero bytes up to `PADDED_BYTES`.
     """
 
@@ -169,10 +182,10 @@
     """Answers a configuration query.
 
     Attributes:
-        nonce: Of the query.
-        seat: The sender's; -1 where it has none.
-        config: What it holds.
-        refusal: Why it refuses what is newer; else empty.
+        nonce: Nonce of the query.
+        seat: The sender's seat; -1 where it has none.
+        config: The sender's configuration.
+        refusal: Why the sender refuses a newer configuration; empty where it does not.
     """
 
     nonce: Annotated[int, Meta(ge=0)]
@@ -196,20 +209,21 @@
 
 
 def message_tag(data: bytes) -> bytes:
-    """The kind of a datagram's message, one byte, unchecked; empty where the datagram is too short.
+    """Return the tag of a datagram's message, one byte, without checking the datagram.
 
-    It follows the head of the array and the head of the tag's own string.
+    The result is empty where the datagram is too short.
     """
+    # The body begins with one byte for the array's header and one for the header of the tag's string.
     return data[HEADER.size + 2 : HEADER.size + 3]
 
 
 class MessageCodec:
-    """Writes and reads the datagrams of one fleet.
+    """Encodes and decodes the datagrams of one fleet.
 
     Attributes:
         fleet_hash: Hash of the fleet's name.
-        wrong: How many datagrams were dropped, by why: `length`, `version`, `another fleet`, `checksum`
-            or `form`.
+        rejected: Number of datagrams that were dropped, by reason: `length`, `version`, `another fleet`,
+            `checksum` or `form` (the body is no valid message).
     """
 
     def __init__(self, fleet: str) -> None:
@@ -220,12 +234,13 @@
         """Encode a message as a datagram.
 
         Args:
-            message: What to send.
-            max_bytes: Length to keep to. Records that do not fit are left out, the last first, then node
-                contacts.
+            message: The message to send.
+            max_bytes: Maximum length. Records that do not fit are left out, the last ones first, and after
+                them the node contacts.
 
         Returns:
-            The datagram; longer than `max_bytes` where the message does not fit without them either.
+            The datagram, which is longer than `max_bytes` where the message does not fit even without records
+            and node contacts.
         """
         body = _encoder.encode(message)
         shorter = _shortened(message, HEADER.size + len(body), max_bytes)
@@ -233,26 +248,30 @@
             message = shorter
             body = _encoder.encode(message)
             shorter = _shortened(message, HEADER.size + len(body), max_bytes)
-        lacking = PADDED_BYTES - HEADER.size - len(body)
-        if isinstance(message, Probe | ConfigQuery) and lacking > 0:
-            body = _encoder.encode(msgspec.structs.replace(message, padding=bytes(lacking)))
+        padding_bytes = PADDED_BYTES - HEADER.size - len(body)
+        if isinstance(message, Probe | ConfigQuery) and padding_bytes > 0:
+            body = _encoder.encode(msgspec.structs.replace(message, padding=bytes(padding_bytes)))
         return HEADER.pack(MAGIC, self.fleet_hash, xxhash.xxh3_64_intdigest(body)) + body
 
     def read(self, data: bytes) -> AnyMessage | None:
-        """Decode a datagram; None, and counted in `wrong`, where it is no message of this fleet."""
-        why = self._rejection(data)
-        if not why:
+        """Decode a datagram.
+
+        Returns:
+            The message; None where the datagram is no message of this fleet, which `rejected` counts.
+        """
+        reason = self._rejection_reason(data)
+        if not reason:
             try:
                 message: AnyMessage = _decoder.decode(data[HEADER.size :])
             except (msgspec.MsgspecError, UnicodeDecodeError):
-                why = "form"
+                reason = "form"
             else:
                 return message
-        self.rejected[why] += 1
+        self.rejected[reason] += 1
         return None
 
-    def _rejection(self, data: bytes) -> str:
-        """Why a datagram is rejected before its body is decoded; empty where it is not."""
+    def _rejection_reason(self, data: bytes) -> str:
+        """Return why a datagram is rejected before its body is decoded; empty where it is not."""
         if len(data) < HEADER.size or len(data) > MAX_DATAGRAM_BYTES:
             return "length"
         magic, fleet_hash, checksum = HEADER.unpack_from(data)
@@ -265,18 +284,18 @@
         return ""
 
 
-def _shortened(message: AnyMessage, length: int, max_bytes: int) -> AnyMessage | None:
-    """The message with less in it; None where it fits or nothing can be left out."""
+def _shortened(message: AnyMessage, length_bytes: int, max_bytes: int) -> AnyMessage | None:
+    """Return the message with some content left out; None where it fits or nothing can be left out."""
     advert = getattr(message, "config", None)
-    if advert is not None and advert.seat_bitmap and length > min(max_bytes, PADDED_BYTES):
-        # The bitmap goes along only where there would be padding.
+    if advert is not None and advert.seat_bitmap and length_bytes > min(max_bytes, PADDED_BYTES):
+        # The bitmap is sent only in place of padding.
         return msgspec.structs.replace(message, config=ConfigAdvert(advert.stage, advert.digest_prefix))
-    if length <= max_bytes:
+    if length_bytes <= max_bytes:
         return None
     records = getattr(message, "records", [])
     if records:
-        kept, of = RECORDS_KEPT_PER_CUT
-        return msgspec.structs.replace(message, records=records[: len(records) * kept // of])
+        numerator, denominator = RECORDS_KEPT_FRACTION
+        return msgspec.structs.replace(message, records=records[: len(records) * numerator // denominator])
     if getattr(message, "node_contacts", []):
         return msgspec.structs.replace(message, node_contacts=[])
     return None
--- a/cherrygrade/fleet/membership/partition.py
+++ b/cherrygrade/fleet/membership/partition.py
@@ -1,7 +1,8 @@
-"""On which side of a partition this dispatcher takes itself to be, and what it may do there.
+"""In which part of a partitioned fleet this dispatcher is, and which actions are allowed there.
 
-Free of I/O, clock and chance. `RULES_BY_STATE` is the one place that says what each state allows;
-`docs/fleet.md` shows the same table.
+Only `RULES_BY_STATE` defines the actions that each state allows; `docs/fleet.md` shows the same table.
+
+The module does no I/O, reads no clock and has no random source.
 """
 
 from __future__ import annotations
@@ -10,15 +11,22 @@
 from enum import Enum
 
 ISOLATED_AFTER_MS = 5000.0
-"""Without any message for this long, a dispatcher takes itself to be isolated."""
+"""A dispatcher that has received no message of the fleet for this long considers itself isolated."""
 
 OVERLOADED_SELF_DOUBT = 4
-"""Self-doubt of the failure detector from which a dispatcher takes itself to be overloaded: it is late more
-often than others are."""
+"""Self-doubt of the failure detector from which a dispatcher considers itself overloaded, because it is late
+more often than other members are."""
 
 
 class PartitionState(Enum):
-    """The side of a partition; the values are shown to operators and stay as they are."""
+    """Partition state of a dispatcher; the values are shown to operators and must not change.
+
+    Attributes:
+        MAJORITY: It knows more than half of the fleet to be living.
+        MINORITY: It knows half of the fleet or less to be living.
+        ISOLATED: It knows no other living member, or receives no messages.
+        OVERLOADED: Its own acks and timers are so late that it can't judge other members.
+    """
 
     MAJORITY = "among the most"
     MINORITY = "among the few"
@@ -28,16 +36,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PartitionRules:
-    """What a dispatcher does in a state.
+    """Actions that are allowed to a dispatcher in a partition state.
 
-    The names of the fields are keys of the fleet's status answer.
+    The names of the fields are keys of the fleet's status answer and must not change.
 
     Attributes:
-        keeps: It aggregates load reports for other dispatchers and sends the result.
-        believes: It uses what load aggregators report of nodes.
-        accuses: It suspects other members by its own probes.
-        asks_out: It may ask that a node or a dispatcher be taken out of use.
-        parts: Whose count of dispatchers divides cold nodes and limits.
+        keeps: Whether it acts as load aggregator for other dispatchers.
+        believes: Whether it uses the load reports of load aggregators.
+        accuses: Whether it may suspect other members because of its own probes.
+        asks_out: Whether it may request that a node or a dispatcher is taken out of use.
+        parts: Number of dispatchers by which quotas and the load of nodes in slow start are divided; "the
+            fleet of record" stands for the number in the settings.
     """
 
     keeps: bool
@@ -49,21 +58,23 @@
 
 RULES_BY_STATE: dict[PartitionState, PartitionRules] = {
     PartitionState.MAJORITY: PartitionRules(keeps=True, believes=True, accuses=True, asks_out=True),
-    # Reports of a minority cover a part of the load only; docs/fleet.md gives the bound of the harm.
+    # The load reports of a minority cover only a part of the load. docs/fleet.md states how much harm this
+    # can do at most.
     PartitionState.MINORITY: PartitionRules(keeps=True, believes=True, accuses=True, asks_out=False),
     PartitionState.ISOLATED: PartitionRules(keeps=False, believes=False, accuses=False, asks_out=False),
     PartitionState.OVERLOADED: PartitionRules(keeps=False, believes=True, accuses=False, asks_out=False),
 }
+"""Actions that are allowed in each state."""
 
 
 def partition_state(fleet_size: int, living: int, silence_ms: float, self_doubt: int) -> PartitionState:
-    """The side on which a dispatcher is.
+    """Return a dispatcher's partition state.
 
     Args:
-        fleet_size: Dispatchers of the fleet as the settings have it.
-        living: Living members of its table, itself among them.
-        silence_ms: Time since it received any message of the fleet, ms.
-        self_doubt: Self-doubt of its failure detector, 0 to 8.
+        fleet_size: Number of dispatchers in the fleet according to the settings.
+        living: Number of living members in the dispatcher's table, including itself.
+        silence_ms: Time since the dispatcher received any message of the fleet, ms.
+        self_doubt: Self-doubt of the dispatcher's failure detector, 0 to 8.
     """
     if fleet_size > 1 and (living <= 1 or silence_ms >= ISOLATED_AFTER_MS):
         return PartitionState.ISOLATED
--- a/cherrygrade/fleet/membership/reachability.py
+++ b/cherrygrade/fleet/membership/reachability.py
@@ -1,8 +1,11 @@
-"""Nodes as the fleet sees them: tells one's own bad link from a bad node.
+"""Reachability of storage nodes: distinguishes a faulty node from a fault of this dispatcher's own link.
 
-Each member reports, of the few nodes that it has most trouble with, how its own attempts ended there lately.
-From what all report, a node is bad where most of those that tried meet trouble; where others are answered,
-the link is. Nothing here overrides what is registered on drains. Free of I/O, clock and chance.
+Each member reports how its own recent attempts ended at a few nodes, failing ones first. A node is faulty
+where most of the members that tried it fail there. Where a node fails for this dispatcher alone, while other
+members get answers, the fault is in this dispatcher's own link. The result does not override the state of
+nodes that are registered as draining.
+
+The module does no I/O, reads no clock and has no random source.
 """
 
 from __future__ import annotations
@@ -15,108 +18,114 @@
 import msgspec
 
 MAX_REPORTED_NODES = 8
-"""In one report."""
+"""Nodes in one report."""
 
-FRESH_MS = 5000.0
-"""A report that is older counts for nothing."""
+MAX_REPORT_AGE_MS = 5000.0
+"""Age from which a report is ignored."""
 
 MIN_REPORTERS = 2
-"""Other members that tried a node, below which nothing can be said of it."""
+"""With reports of fewer other members about a node, the node's reachability is unknown."""
 
-HALF_LIFE_MS = 2000.0
-"""In which the count of an attempt halves."""
+ATTEMPT_HALF_LIFE_MS = 2000.0
+"""Time in which the weight of an attempt halves."""
 
 MIN_ATTEMPTS = 0.05
-"""Of a node's faded counts, below which the entry goes."""
+"""Decayed number of attempts from which a node's counts are dropped."""
 
 MAX_REPORTED_COUNT = 255
+"""Highest number of attempts in a report."""
+
 MAX_REPORTED_MS = 60000
+"""Longest duration of a failure in a report."""
 
 
 class NodeContact(msgspec.Struct, array_like=True, frozen=True):
-    """How one member's attempts at one node ended lately, as it is sent.
+    """How one member's recent attempts at one node ended, as the member reports it.
 
     Attributes:
-        node: Mark of the node's address, 16 bits.
-        answered: Attempts that were answered.
-        errored: Attempts that ended in an error.
-        silent: Attempts without an answer.
-        for_ms: How long trouble has lasted, ms; 0 where there is none.
+        node_hash: Hash of the node's address, 16 bits.
+        answered: Number of attempts that were answered.
+        errored: Number of attempts that ended in an error.
+        silent: Number of attempts without an answer.
+        failing_for_ms: How long the node has been failing for the member, ms; 0 where it is not.
     """
 
-    node: int
+    node_hash: int
     answered: int
     errored: int
     silent: int
-    for_ms: int
+    failing_for_ms: int
 
     @property
-    def trouble(self) -> bool:
-        """More attempts failed than were answered."""
+    def failing(self) -> bool:
+        """Whether more attempts failed than were answered."""
         return self.errored + self.silent > self.answered
 
 
 class Reachability(Enum):
-    """What the fleet makes of a node; the values are shown to operators and stay as they are."""
+    """Reachability of a node by the reports of all members.
+
+    The values are shown to operators and must not change.
+    """
 
     UNKNOWN = "too few tried it"
-    WELL = "answers"
-    LINK = "answers others: our own link"
-    BAD = "answers few"
+    REACHABLE = "answers"
+    OWN_LINK_FAULT = "answers others: our own link"
+    NODE_FAULT = "answers few"
 
 
 class NodeView(NamedTuple):
-    """What the fleet makes of a node.
+    """One node, as the reports of the other members show it.
 
     Attributes:
-        reachability: The verdict.
-        in_trouble: Members that meet trouble there.
-        tried: Members that tried it.
-        zones: Zones of those that meet trouble, sorted.
+        reachability: The node's reachability.
+        failing_members: Number of other members for which the node is failing.
+        reporting_members: Number of other members that tried the node.
+        failing_zones: Zones of the members for which the node is failing, sorted.
     """
 
     reachability: Reachability
-    in_trouble: int
-    tried: int
-    zones: list[str]
+    failing_members: int
+    reporting_members: int
+    failing_zones: list[str]
 
 
 @dataclass(slots=True)
 class ContactCounters:
-    """How this dispatcher's own attempts at one node ended; the counts fade.
+    """How this dispatcher's own attempts at one node ended, counted with exponential decay.
 
     Attributes:
-        answered: Attempts that were answered.
-        errored: Attempts that ended in an error.
-        silent: Attempts without an answer.
-        at: When the counts were last faded, ms.
-        failing_since_ms: Since when there is trouble, ms; -1 where there is none.
+        answered: Decayed number of attempts that were answered.
+        errored: Decayed number of attempts that ended in an error.
+        silent: Decayed number of attempts without an answer.
+        decayed_ms: When the counts were last decayed, ms.
+        failing_since_ms: Time since which more attempts fail than are answered, ms; -1 where fewer do.
     """
 
     answered: float = 0.0
     errored: float = 0.0
     silent: float = 0.0
-    at: float = 0.0
+    decayed_ms: float = 0.0
     failing_since_ms: float = -1.0
 
     @property
-    def tried(self) -> float:
-        """Attempts of all outcomes."""
+    def attempts(self) -> float:
+        """Decayed number of attempts of all outcomes."""
         return self.answered + self.errored + self.silent
 
-    def fade(self, now: float) -> float:
-        """Fade the counts to the time; returns what is left of all attempts."""
-        left = 0.5 ** (max(0.0, now - self.at) / HALF_LIFE_MS)
-        self.answered *= left
-        self.errored *= left
-        self.silent *= left
-        self.at = now
-        return self.tried
-
-    def contact(self, node: int, now: float) -> NodeContact:
-        """The counts as they are reported."""
+    def decay(self, now: float) -> float:
+        """Decay the counts up to the time `now`, in ms; return the decayed number of attempts."""
+        factor = 0.5 ** (max(0.0, now - self.decayed_ms) / ATTEMPT_HALF_LIFE_MS)
+        self.answered *= factor
+        self.errored *= factor
+        self.silent *= factor
+        self.decayed_ms = now
+        return self.attempts
+
+    def contact(self, node_hash: int, now: float) -> NodeContact:
+        """Return the counts as they are reported to other members."""
         return NodeContact(
-            node,
+            node_hash,
             min(MAX_REPORTED_COUNT, round(self.answered)),
             min(MAX_REPORTED_COUNT, round(self.errored)),
             min(MAX_REPORTED_COUNT, round(self.silent)),
@@ -130,84 +139,108 @@
 
     Attributes:
         zone: The member's zone.
-        at: When it came, ms.
-        contacts: By node, at most `MAX_REPORTED_NODES`.
+        received_ms: When the report was received, ms.
+        contacts: The report by node hash, at most `MAX_REPORTED_NODES` entries.
     """
 
     zone: str
-    at: float
+    received_ms: float
     contacts: dict[int, NodeContact] = field(default_factory=dict)
 
 
 class ReachabilityView:
-    """What this dispatcher and others meet at nodes.
+    """How the attempts of this dispatcher and of other members at storage nodes end.
 
     Attributes:
-        own: Own counts by node; an entry goes once it has faded.
-        reported: Last report by member; it goes with the member, or once it is not fresh.
+        own: This dispatcher's own counts by node hash; an entry is dropped once it has decayed below
+            `MIN_ATTEMPTS`.
+        reported: Last report of each other member, by name; it is dropped with the member, or once it is
+            older than `MAX_REPORT_AGE_MS`.
     """
 
     def __init__(self) -> None:
         self.own: dict[int, ContactCounters] = {}
         self.reported: dict[str, ReportedContacts] = {}
 
-    def attempt_ended(self, node: int, outcome: str, now: float) -> None:
-        """An attempt of this dispatcher ended: 'answered', 'errored' or 'silent'."""
-        counters = self.own.setdefault(node, ContactCounters(at=now))
-        counters.fade(now)
+    def attempt_ended(self, node_hash: int, outcome: str, now: float) -> None:
+        """Count an attempt of this dispatcher that has ended.
+
+        Args:
+            node_hash: Hash of the node's address, 16 bits.
+            outcome: 'answered', 'errored' or 'silent', which are attributes of `ContactCounters`.
+            now: The current time, ms.
+        """
+        counters = self.own.setdefault(node_hash, ContactCounters(decayed_ms=now))
+        counters.decay(now)
         setattr(counters, outcome, getattr(counters, outcome) + 1.0)
-        bad = counters.errored + counters.silent > counters.answered
-        if not bad:
+        failing = counters.errored + counters.silent > counters.answered
+        if not failing:
             counters.failing_since_ms = -1.0
         elif counters.failing_since_ms < 0.0:
             counters.failing_since_ms = now
 
-    def digest(self, now: float) -> list[NodeContact]:
-        """The report for others: nodes in trouble first, then those tried most."""
-        self.own = {node: one for node, one in self.own.items() if one.fade(now) > MIN_ATTEMPTS}
+    def own_report(self, now: float) -> list[NodeContact]:
+        """Return the report for other members: failing nodes first, then the nodes with most attempts."""
+        self.own = {
+            node_hash: counts for node_hash, counts in self.own.items() if counts.decay(now) > MIN_ATTEMPTS
+        }
         ranked = sorted(
-            self.own.items(), key=lambda pair: (pair[1].failing_since_ms < 0.0, -pair[1].tried, pair[0])
+            self.own.items(), key=lambda pair: (pair[1].failing_since_ms < 0.0, -pair[1].attempts, pair[0])
         )
-        return [counters.contact(node, now) for node, counters in ranked[:MAX_REPORTED_NODES]]
+        return [counters.contact(node_hash, now) for node_hash, counters in ranked[:MAX_REPORTED_NODES]]
 
     def report_received(self, name: str, zone: str, contacts: list[NodeContact], now: float) -> None:
-        """A member's report came; it replaces the one before."""
-        by_node = {contact.node: contact for contact in contacts[:MAX_REPORTED_NODES]}
-        self.reported[name] = ReportedContacts(zone, now, by_node)
+        """Store a member's report in place of its previous one."""
+        by_node_hash = {contact.node_hash: contact for contact in contacts[:MAX_REPORTED_NODES]}
+        self.reported[name] = ReportedContacts(zone, now, by_node_hash)
 
     def forget(self, is_living: Callable[[str], bool], now: float) -> None:
-        """Drop reports of members that are not living, and old ones."""
+        """Drop the reports of members that are not living, and reports that are too old."""
         self.reported = {
             name: report
             for name, report in self.reported.items()
-            if is_living(name) and now - report.at < FRESH_MS
+            if is_living(name) and now - report.received_ms < MAX_REPORT_AGE_MS
         }
 
     def failing_nodes(self, now: float) -> list[int]:
-        """Nodes that this dispatcher or others have trouble with, for operators; its own first."""
-        ours = [node for node, counters in self.own.items() if counters.failing_since_ms >= 0.0]
-        theirs = {
-            node
-            for report in self._fresh(now)
-            for node, contact in report.contacts.items()
-            if contact.trouble
+        """Return the hashes of failing nodes.
+
+        Nodes that are failing for this dispatcher come first, then those failing only for other members.
+        """
+        failing_here = [
+            node_hash for node_hash, counters in self.own.items() if counters.failing_since_ms >= 0.0
+        ]
+        failing_elsewhere = {
+            node_hash
+            for report in self._recent_reports(now)
+            for node_hash, contact in report.contacts.items()
+            if contact.failing
         }
-        return [*sorted(ours), *sorted(theirs - {*ours})]
-
-    def view(self, node: int, now: float) -> NodeView:
-        """What the fleet makes of a node."""
-        reports = [report for report in self._fresh(now) if node in report.contacts]
-        bad = [report.zone for report in reports if report.contacts[node].trouble]
-        return NodeView(self._verdict(node, len(bad), len(reports)), len(bad), len(reports), sorted({*bad}))
+        return [*sorted(failing_here), *sorted(failing_elsewhere - {*failing_here})]
+
+    def view(self, node_hash: int, now: float) -> NodeView:
+        """Return a node's reachability, and the reports of other members that it is derived from."""
+        reports = [report for report in self._recent_reports(now) if node_hash in report.contacts]
+        zones = [report.zone for report in reports if report.contacts[node_hash].failing]
+        return NodeView(
+            self._reachability(node_hash, len(zones), len(reports)),
+            len(zones),
+            len(reports),
+            sorted({*zones}),
+        )
 
-    def _fresh(self, now: float) -> list[ReportedContacts]:
-        return [report for report in self.reported.values() if now - report.at < FRESH_MS]
+    def _recent_reports(self, now: float) -> list[ReportedContacts]:
+        return [report for report in self.reported.values() if now - report.received_ms < MAX_REPORT_AGE_MS]
 
-    def _verdict(self, node: int, in_trouble: int, tried: int) -> Reachability:
-        if tried < MIN_REPORTERS:
+    def _reachability(self, node_hash: int, failing_members: int, reporting_members: int) -> Reachability:
+        if reporting_members < MIN_REPORTERS:
             return Reachability.UNKNOWN
-        if 2 * in_trouble > tried:
-            return Reachability.BAD
-        own = self.own.get(node)
-        # Others are answered: trouble of our own is then on our link.
-        return Reachability.LINK if own is not None and own.failing_since_ms >= 0.0 else Reachability.WELL
+        if 2 * failing_members > reporting_members:
+            return Reachability.NODE_FAULT
+        own = self.own.get(node_hash)
+        # The node answers other members, so failures of this dispatcher's own attempts are due to its link.
+        return (
+            Reachability.OWN_LINK_FAULT
+            if own is not None and own.failing_since_ms >= 0.0
+            else Reachability.REACHABLE
+        )
--- a/cherrygrade/fleet/membership/scheduler_messages.py
+++ b/cherrygrade/fleet/membership/scheduler_messages.py
@@ -1,6 +1,6 @@
-"""Which messages between schedulers are delivered.
+"""Decides which messages of other dispatchers' schedulers are delivered.
 
-Free of I/O, clock and chance.
+The module does no I/O, reads no clock and has no random source.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 from cherrygrade.fleet.membership.table import Member, MembershipTable
 
 MAX_MESSAGES_PER_SECOND = 400
-"""Of one member; the rest is dropped."""
+"""Messages of one member that are delivered in a second; further ones are dropped."""
 
 
 @dataclass(slots=True)
 class _SecondCount:
-    """Messages of one member in the second that began at `began`, ms."""
+    """Number of messages of one member in the second that began at `start_ms`."""
 
-    began: float = 0.0
+    start_ms: float = 0.0
     count: int = 0
 
 
 class SchedulerMessageFilter:
-    """Delivers messages of the member that holds the seat it speaks for, up to a rate.
+    """Accepts messages whose sender has the seat that the message names, up to a rate.
 
-    Counts by member name are dropped once the member is no longer living.
+    The counts by member name are dropped once the member is no longer living.
     """
 
     def __init__(self) -> None:
@@ -36,23 +36,23 @@
     def accepts(
         self, message: SchedulerMessage, sender: Member | None, table: MembershipTable, now: float
     ) -> bool:
-        """Whether to deliver the message; counts it against its sender's rate.
+        """Return whether to deliver a message, and count it towards its sender's rate.
 
         Args:
-            message: What came.
-            sender: The member of the message's name; None where it is not known.
-            table: The members, to find the holder of the seat.
-            now: The time, ms.
+            message: The received message.
+            sender: The member with the sender's name; None where it is not known.
+            table: The membership table, which determines who has the seat.
+            now: The current time, ms.
         """
         if sender is None or not sender.living or sender.incarnation != message.incarnation:
             return False
         if message.seat < 0 or seat_claims.holder(table, message.seat) is not sender:
             return False
         second = self._counts.setdefault(message.name, _SecondCount())
-        if now < second.began + 1000.0:
+        if now < second.start_ms + 1000.0:
             second.count += 1
         else:
-            second.began = now
+            second.start_ms = now
             second.count = 1
         return second.count <= MAX_MESSAGES_PER_SECOND
 
--- a/cherrygrade/fleet/membership/table.py
+++ b/cherrygrade/fleet/membership/table.py
@@ -1,15 +1,16 @@
-"""The membership table: what is claimed of each member, and how two claims merge.
+"""The membership table: the state of each member, and how two records of one member merge.
 
-A process of a member is identified by its name and its incarnation. Each record of it carries a refutation
-counter, which only the member itself raises. Of two records the later incarnation wins, then having left,
-then the higher refutation counter, then the worse state. The merge is a join (commutative, associative and
-idempotent), so neither the order nor the repetition of messages matters.
+A process of a member is identified by the member's name and its incarnation. Each record of it carries a
+refutation counter, which only the member itself raises. Of two records the one with the later incarnation
+wins; after that a record of a graceful leave, then the higher refutation counter, then the worse state. The
+merge is a join (commutative, associative and idempotent), so neither the order nor the repetition of messages
+matters.
 
 The refutation counter is what SWIM calls the incarnation number (Das, Gupta, Motivala 2002). Here the
-incarnation is the start time of the process: a dispatcher restarts under its name and does not know the
-counter of its former process.
+incarnation is the start time of the process, because a dispatcher restarts under its name and does not know
+the counter of its former process.
 
-Free of I/O, clock and chance: times are passed in, in ms of one clock.
+The module does no I/O, reads no clock and has no random source: times are passed in, in ms of one clock.
 """
 
 from __future__ import annotations
@@ -22,17 +23,20 @@
 import xxhash
 
 MAX_REFUTATIONS = 2**40
-"""The highest refutation counter that is accepted; no member reaches it by refuting."""
+"""The highest refutation counter that is accepted. No member reaches it by refuting."""
 
 MAX_FORGOTTEN = 4096
-"""Dead members that were dropped from the table and whose incarnation and counter are still remembered."""
+"""Dead members dropped from the table whose incarnation and refutation counter are still remembered."""
 
 NEVER_MS = -1e15
-"""The time of what has not happened."""
+"""The time of an event that has not happened."""
 
 
 class MemberState(IntEnum):
-    """State of a member, by rank: of two records with one refutation counter the worse state wins."""
+    """State of a member, from best to worst.
+
+    Of two records with the same refutation counter the one with the higher (worse) state wins.
+    """
 
     ALIVE = 0
     SUSPECT = 1
@@ -45,10 +49,11 @@
 
     Attributes:
         address: host:port at which it receives datagrams and streams.
-        zone: Its failure domain.
-        version: Version of its program.
-        settings_digest: Digest of its settings.
-        seat: Its number in the fleet; -1 once it has given up its seat.
+        zone: The member's failure domain.
+        version: Version of the member's program.
+        settings_digest: Digest of the member's settings.
+        seat: The member's seat, its number in the fleet from 0, by which quotas are divided; -1 once it has
+            yielded the seat.
     """
 
     address: str
@@ -59,15 +64,15 @@
 
 
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
-    """One claim about one member, as it is sent.
+    """One claim about the state of one member, as it is sent.
 
     Attributes:
         name: Name of the member.
-        incarnation: Start of its process, Unix ms; a later process under the name has a later one.
+        incarnation: Start of the member's process, Unix ms; a later process of that name has a later one.
         refutations: Refutation counter of that incarnation.
-        state: A `MemberState`.
-        info: Left out where the receiver is likely to have it.
-        accuser: Of a suspicion, the member that came to it by its own probes; else empty.
+        state: Value of a `MemberState`.
+        info: Announced properties; None where the receiver is likely to have them.
+        accuser: In a record of a suspicion, the member that came to it by its own probes; else empty.
     """
 
     name: str
@@ -79,24 +84,24 @@
 
     @property
     def key(self) -> tuple[int, bool, int, int]:
-        """Order of records: of two about one member the one with the higher key wins."""
+        """Sort key of records: of two records about one member the one with the higher key wins."""
         return (self.incarnation, self.state == MemberState.LEFT, self.refutations, self.state)
 
 
 class Member:
-    """What this dispatcher knows of one member.
+    """One member, as this dispatcher knows it.
 
     Attributes:
         name: Name of the member.
-        incarnation: Start of its process, Unix ms.
+        incarnation: Start of the member's process, Unix ms.
         refutations: Highest refutation counter received for the incarnation.
-        state: Its state at that counter.
-        info: What it announces of itself; None until a record brought it.
+        state: The member's state at that counter.
+        info: Properties that the member announces; None until a record with info was received.
         info_refutations: The refutation counter that `info` was announced with.
-        state_since_ms: When it entered its state here, ms.
-        reported_by: The member whose record put it there; shown to operators.
-        last_received_ms: When a message last came from the member itself, ms.
-        witnesses: Members that suspect it by their own probes; emptied by the next refutation.
+        state_since_ms: When this dispatcher first had the member in this state, ms.
+        reported_by: The member whose record caused the state; shown to operators.
+        last_received_ms: When a message was last received from the member itself, ms.
+        witnesses: Names of members that suspect it by their own probes; the next refutation clears them.
     """
 
     __slots__ = (
@@ -126,49 +131,55 @@
 
     @property
     def key(self) -> tuple[int, bool, int, int]:
-        """As `MemberRecord.key`."""
+        """Sort key, comparable with `MemberRecord.key`."""
         return (self.incarnation, self.state is MemberState.LEFT, self.refutations, int(self.state))
 
     @property
     def living(self) -> bool:
-        """Whether it neither failed nor left; a suspect is living."""
+        """Whether the member has neither failed nor left; a suspect is living."""
         return self.state <= MemberState.SUSPECT
 
     @property
     def seat(self) -> int:
-        """Its seat; -1 where it has none or its info is not known."""
+        """The member's seat; -1 where it has none or its info is not known."""
         return self.info.seat if self.info is not None else -1
 
     def record(self, with_info: bool = True) -> MemberRecord:
-        """The record to send for it.
+        """Return the record to send about the member.
 
-        Info goes along only with the refutation counter that it was announced with: under a higher counter
-        older info would pass for newer.
+        Info is included only with the refutation counter that it was announced with; with a higher counter
+        receivers would take older info for newer.
+
+        Args:
+            with_info: Whether to include the member's info.
         """
         info = self.info if with_info and self.info_refutations == self.refutations else None
         by = self.witnesses[-1] if self.witnesses and self.state is MemberState.SUSPECT else ""
         return MemberRecord(self.name, self.incarnation, self.refutations, int(self.state), info, by)
 
     def digest(self) -> int:
-        """Hash of all that has to be equal once two tables agree on this member."""
+        """Return a hash of all values that are equal in two tables that agree on this member."""
         info = msgspec.msgpack.encode(self.info)
         identity = f"{self.name}\0{self.incarnation}\0{self.refutations}\0{int(self.state)}\0".encode()
         return int(xxhash.xxh3_64_intdigest(identity + info))
 
 
 class MembershipTable:
-    """The members that this dispatcher knows, by name, itself among them.
+    """The members that this dispatcher knows, including itself.
+
+    A member is dead once it has failed or left.
 
     Attributes:
-        me: Name of this dispatcher; its own entry is never dropped.
-        max_members: Bound of `members`. One more takes the place of the member that has been dead longest,
-            or is dropped where none is dead.
-        retain_dead_ms: How long a dead member stays after it failed or left, ms.
+        me: Name of this dispatcher, whose own entry is never dropped.
+        max_members: Maximum size of `members`. A further member replaces the one that has been dead longest,
+            and is dropped where no member is dead.
+        retain_dead_ms: How long a dead member stays in the table after it failed or left, ms.
         members: Known members by name.
         forgotten: Incarnation and refutation counter of dead members that were dropped, by name, oldest
-            first; at most `MAX_FORGOTTEN`. A name is in `members` or here, never in both.
-        version: Raised by one when a member comes, goes or changes its info.
-        dropped: Records that were malformed or found no room.
+            first; at most `MAX_FORGOTTEN`. No name is both in `members` and here.
+        version: Raised by one when a member is added, is dropped, dies, revives, restarts or changes its
+            info.
+        dropped: Records that were malformed, or for which the table had no space, in total.
     """
 
     def __init__(self, me: MemberRecord, now: float, max_members: int, retain_dead_ms: float) -> None:
@@ -194,20 +205,20 @@
         return self.members[self.me]
 
     def living(self) -> list[Member]:
-        """All members not known to be dead, this dispatcher among them, sorted by name."""
+        """Return all members not known to be dead, including this dispatcher, sorted by name."""
         return sorted((member for member in self if member.living), key=lambda member: member.name)
 
     def is_living(self, name: str) -> bool:
-        """Whether the member is known and not known to be dead."""
+        """Return whether the member is known and not known to be dead."""
         member = self.members.get(name)
         return member is not None and member.living
 
     def dead(self) -> Iterable[Member]:
-        """Members that failed or left and have not been forgotten."""
+        """Return the members that failed or left and are still in the table."""
         return self._dead.values()
 
     def others(self) -> list[Member]:
-        """Living members whose address is known, without this dispatcher, sorted by name."""
+        """Return the living members whose address is known, except this dispatcher, sorted by name."""
         if self._others_version != self.version:
             self._others_version = self.version
             self._others = [
@@ -217,16 +228,19 @@
 
     @property
     def digest(self) -> int:
-        """Equal on two dispatchers where they know the living alike, whatever they know of the dead."""
+        """Hash of the living members, equal on two dispatchers that agree on all of them.
+
+        Dead members do not count.
+        """
         return self._digest
 
     def merge(self, record: MemberRecord, now: float, by: str) -> bool:
         """Merge one record into the table.
 
         Args:
-            record: The claim.
-            now: The time, ms.
-            by: The member that sent it; shown to operators.
+            record: The record to merge.
+            now: The current time, ms.
+            by: Name of the member that sent it; shown to operators.
 
         Returns:
             Whether the table changed.
@@ -244,7 +258,7 @@
         self._unindex(member)
         before = (member.living, member.info, member.incarnation)
         if record.incarnation > member.incarnation:
-            # A new process: nothing that is known of the former one holds.
+            # This is a new process of the member: all that is known of the former one is discarded.
             member = self.members[record.name] = Member(record, now, by)
         else:
             if brings_info:
@@ -257,9 +271,10 @@
         return True
 
     def copy_others(self, source: MembershipTable) -> None:
-        """Take over all that another table knows of the other members.
+        """Replace the entries of all other members with those of another table.
 
-        For simulations of thousands of members, whose tables would take minutes to fill by messages.
+        Simulations of thousands of members use this, because filling their tables by messages would take
+        minutes.
         """
         own = self.own
         self.members = {}
@@ -273,19 +288,19 @@
         self.version += 1
 
     def refute(self, above: int, now: float, seat: int | None = None) -> MemberRecord:
-        """Announce this dispatcher as alive, against what others claim or with another seat.
+        """Announce this dispatcher as alive, to refute claims of other members or to change its seat.
 
         Args:
             above: The refutation counter to exceed.
-            now: The time, ms.
-            seat: The new seat; None keeps the present one.
+            now: The current time, ms.
+            seat: The new seat, -1 for none; None keeps the present one.
 
         Returns:
             The record of this dispatcher, already merged.
         """
         own = self.own
         info = own.info
-        assert info is not None  # its own record was built with it
+        assert info is not None  # the dispatcher's own record always has info
         if seat is not None:
             info = msgspec.structs.replace(info, seat=seat)
         counter = max(above, own.refutations) + 1
@@ -294,7 +309,7 @@
         return record
 
     def forget(self, now: float) -> list[str]:
-        """Drop the members that have been dead for `retain_dead_ms`; returns their names."""
+        """Drop the members that have been dead for `retain_dead_ms`, and return their names."""
         expired = [
             member.name
             for member in self._dead.values()
@@ -305,10 +320,17 @@
         return expired
 
     def forgotten_record(self, name: str, incarnation: int) -> MemberRecord | None:
-        """What to send to a member that is back after its death was forgotten here.
+        """Return the record to send to a member that is running though it was dropped here as dead.
 
-        Only a refutation counter above that of its death brings it back, and it can't know of that death
-        by itself.
+        The member has to exceed the refutation counter of its death to be added again, and it can't know of
+        that death otherwise.
+
+        Args:
+            name: Name of the member.
+            incarnation: The incarnation in which it is running.
+
+        Returns:
+            The record of its death; None where no death of that incarnation is retained.
         """
         known, refutations = self.forgotten.get(name, (-1, -1))
         if known != incarnation:
@@ -316,9 +338,9 @@
         return MemberRecord(name, incarnation, refutations, MemberState.FAILED)
 
     def may_have_returned(self, record: MemberRecord) -> bool:
-        """Whether others call a member alive whose death was forgotten here.
+        """Return whether a record contradicts a death whose entry was dropped here.
 
-        Their message may be a delayed one, so that the member has to confirm it itself.
+        The record may be from a delayed message, so the member has to confirm itself that it is running.
         """
         incarnation, refutations = self.forgotten.get(record.name, (-1, -1))
         return (
@@ -328,11 +350,11 @@
         )
 
     def _add(self, record: MemberRecord, now: float, by: str) -> bool:
-        """Add a member that is not in the table.
+        """Add a member that is not in the table; return whether it was added.
 
-        A death is of no use to a dispatcher that never knew the member. After a death that was forgotten
-        here, only a later incarnation or the member itself brings the name back: a message of others may
-        be older than the death.
+        A record of a death is ignored where the member was not known. After a death whose entry was dropped,
+        the name is added again only for a later incarnation, or by a message of the member itself: a message
+        of another member may be older than the death.
         """
         incarnation, refutations = self.forgotten.get(record.name, (-1, -1))
         returned = by == record.name and (record.incarnation, record.refutations) > (incarnation, refutations)
@@ -358,37 +380,42 @@
             self.forgotten.popitem(last=False)
 
     def _index(self, member: Member) -> None:
-        """Count a member into the digest and the index of the dead."""
+        """Include a member in the digest and in the index of dead members."""
         if not member.living:
             self._dead[member.name] = member
         if member.living and member.info is not None:
             self._digest ^= member.digest()
 
     def _unindex(self, member: Member) -> None:
-        """Undo `_index`, before the member changes."""
+        """Undo `_index`; called before the member changes."""
         self._dead.pop(member.name, None)
         if member.living and member.info is not None:
             self._digest ^= member.digest()
 
 
 def is_valid(record: MemberRecord) -> bool:
-    """Whether a record can be one at all; rejects counters that no refutation could exceed."""
+    """Return whether the values of a record are in range.
+
+    A refutation counter above `MAX_REFUTATIONS` is rejected, because its member could not refute it.
+    """
     known_state = 0 <= record.state <= MemberState.LEFT
     counter_in_range = 0 <= record.refutations <= MAX_REFUTATIONS
     return bool(record.name) and known_state and record.incarnation >= 0 and counter_in_range
 
 
 def merge_records(one: Iterable[MemberRecord], other: Iterable[MemberRecord]) -> dict[str, MemberRecord]:
-    """The join of two sets of records by name: what any table that receives both comes to."""
+    """Return the records that a table has by name after it received both sets, in any order."""
     merged: dict[str, MemberRecord] = {}
     for record in [*one, *other]:
         known = merged.get(record.name)
-        merged[record.name] = record if known is None else max(known, record, key=lambda held: held.key)
+        merged[record.name] = (
+            record if known is None else max(known, record, key=lambda candidate: candidate.key)
+        )
     return merged
 
 
 def _brings_info(record: MemberRecord, member: Member) -> bool:
-    """Whether the record has info of the known incarnation that is missing here or newer."""
+    """Return whether the record has info of the known incarnation that is missing here or newer."""
     if record.info is None or record.incarnation != member.incarnation:
         return False
     known = (member.info_refutations, member.info)
--- a/tests/fleet/membership/test_inbound_budget.py
+++ b/tests/fleet/membership/test_inbound_budget.py
@@ -8,13 +8,13 @@
     DIRECT_TIMEOUT_MS,
     MAX_LATENCY_MS,
     MIN_SUSPICION_MS,
-    PERIOD_MS,
+    PROBE_PERIOD_MS,
     FailureDetector,
 )
 from cherrygrade.fleet.membership.inbound_budget import (
     BURST_UNITS,
-    MAX_WAITING,
-    STALE_MS,
+    MAX_WAIT_MS,
+    MAX_WAITING_MESSAGES,
     UNITS_PER_SECOND,
     InboundBudget,
 )
@@ -37,7 +37,7 @@
         taken += len(drain(ration, now)) * (0.5 + 1400 / 1024)
         now += 10.0
     assert taken <= BURST_UNITS + 10.0 * UNITS_PER_SECOND + 2.0 and taken >= 10.0 * UNITS_PER_SECOND
-    assert ration.waiting <= MAX_WAITING and ration.dropped > 10_000
+    assert ration.waiting <= MAX_WAITING_MESSAGES and ration.dropped > 10_000
     assert ration.over_budget
 
 
@@ -59,8 +59,8 @@
     drain(ration, 0.0)
     due = ration.next_ready_ms(0.0)
     assert due is not None and 0.0 < due < 1000.0
-    ration.arrived(b"n", 1400, "late", STALE_MS + 1.0)
-    assert drain(ration, STALE_MS + 1.0) == ["late"] and ration.next_ready_ms(STALE_MS + 1.0) is None
+    ration.arrived(b"n", 1400, "late", MAX_WAIT_MS + 1.0)
+    assert drain(ration, MAX_WAIT_MS + 1.0) == ["late"] and ration.next_ready_ms(MAX_WAIT_MS + 1.0) is None
 
 
 def test_a_keeper_that_tells_all_still_answers():
@@ -113,7 +113,7 @@
     one = probing()
     run(one, 3000.0, 700.0)
     now = run(one, 12_000.0, 5.0, 3000.0)
-    assert one.direct_timeout_ms(now) == DIRECT_TIMEOUT_MS and one.period_ends_at - now <= PERIOD_MS
+    assert one.direct_timeout_ms(now) == DIRECT_TIMEOUT_MS and one.period_end_ms - now <= PROBE_PERIOD_MS
 
 
 def test_a_suspect_is_not_buried_sooner_than_its_word_can_come_through_a_slow_fleet():
@@ -154,7 +154,7 @@
     run(one, 1000.0, None)
     one.has_unread, before = True, one.accusations
     for now in range(1000, 2400, 20):
-        one.period_ends_at = min(one.period_ends_at, now)
+        one.period_end_ms = min(one.period_end_ms, now)
         one.tick(float(now))
     assert one.accusations == before and one.deaths == 0
     one.has_unread = False
--- a/tests/fleet/membership/test_reachability.py
+++ b/tests/fleet/membership/test_reachability.py
@@ -2,7 +2,12 @@
 
 from rich.console import Console
 
-from cherrygrade.fleet.membership.reachability import FRESH_MS, NodeContact, Reachability, ReachabilityView
+from cherrygrade.fleet.membership.reachability import (
+    MAX_REPORT_AGE_MS,
+    NodeContact,
+    Reachability,
+    ReachabilityView,
+)
 from cherrygrade.fleet.runtime.status_view import render_status
 
 
@@ -17,7 +22,7 @@
     for _ in range(5):
         seen.attempt_ended(7, "silent", 0.0)
     told(seen, 0.0, False, False, True)
-    assert seen.view(7, 0.0) == (Reachability.LINK, 1, 3, ["z0"])
+    assert seen.view(7, 0.0) == (Reachability.OWN_LINK_FAULT, 1, 3, ["z0"])
     assert seen.failing_nodes(0.0) == [7]
 
 
@@ -25,7 +30,7 @@
     seen = ReachabilityView()
     seen.attempt_ended(7, "answered", 0.0)
     told(seen, 0.0, True, True, False)
-    assert seen.view(7, 0.0) == (Reachability.BAD, 2, 3, ["z0", "z1"])
+    assert seen.view(7, 0.0) == (Reachability.NODE_FAULT, 2, 3, ["z0", "z1"])
 
 
 def test_too_few_that_tried_tell_nothing_and_old_words_count_for_nothing():
@@ -33,7 +38,9 @@
     told(seen, 0.0, True)
     assert seen.view(7, 0.0)[0] is Reachability.UNKNOWN
     told(seen, 0.0, True, True, True)
-    assert seen.view(7, FRESH_MS + 1.0)[0] is Reachability.UNKNOWN and not seen.failing_nodes(FRESH_MS + 1.0)
+    assert seen.view(7, MAX_REPORT_AGE_MS + 1.0)[0] is Reachability.UNKNOWN and not seen.failing_nodes(
+        MAX_REPORT_AGE_MS + 1.0
+    )
     seen.forget(lambda name: name == "d0", 1.0)
     assert [*seen.reported] == ["d0"]
 
@@ -42,9 +49,9 @@
     seen = ReachabilityView()
     for now in range(100):
         seen.attempt_ended(now, "errored", float(now))
-    digest = seen.digest(100.0)
-    assert len(digest) == 8 and all(met.trouble for met in digest)
-    assert seen.digest(60_000.0) == [] and not seen.own
+    digest = seen.own_report(100.0)
+    assert len(digest) == 8 and all(met.failing for met in digest)
+    assert seen.own_report(60_000.0) == [] and not seen.own
 
 
 def test_nodes_in_trouble_are_shown_with_who_has_it():
@@ -52,7 +59,7 @@
     member |= {"turn": 0, "place": "p", "zone": "z", "version": "1", "settings": "s", "seat": 0}
     node = {
         "node": "10.0.0.9:7",
-        "view": Reachability.LINK.value,
+        "view": Reachability.OWN_LINK_FAULT.value,
         "trouble_at": 1,
         "tried_by": 4,
         "zones": ["z0"],
