--- a/cherrygrade/fleet/membership/failure_detector.py
+++ b/cherrygrade/fleet/membership/failure_detector.py
@@ -14,7 +14,7 @@
   stall of `TOLERATED_STALL_MS`, which must not end in a failure, so it does not grow with the fleet.
 * A lost probe is repeated before any other member is informed of it. Otherwise lost datagrams alone would
   keep a large fleet busy with suspicions: more than one a second in a fleet of a thousand members at 5% loss.
-* A record that ends a suspicion is pushed after a short delay, without waiting for the next probe (`gossip.py`).
+* A record that ends a suspicion is pushed soon, without waiting for the next probe (`gossip.py`).
 * Timeouts follow the latency of recent acks, including acks that arrive after their period. On a machine
   whose processes get too little CPU time all acks are late; with fixed timeouts the members there would
   accuse each other and add to the load.
