--- a/cherrygrade/fleet/membership/membership.py
+++ b/cherrygrade/fleet/membership/membership.py
@@ -95,16 +95,16 @@
         self._update_derived_state(now)
         return effects
 
-    def merge_table(self, records: list[MemberRecord], by: str, now: float) -> None:
+    def merge_table(self, records: list[MemberRecord], sender: str, now: float) -> None:
         """Merge the full table of another member, which was received over a stream.
 
         Args:
             records: All records of the member's table.
-            by: Name of the member.
+            sender: Name of the member.
             now: The current time, ms.
         """
         just_joined = len(self.table.others()) <= 1
-        changed = self.record_merger.merge(records, by, now)
+        changed = self.record_merger.merge(records, sender, now)
         if just_joined:
             # This dispatcher has just joined. All records that are new to it are known to the other members,
             # so they need not be gossiped.
--- a/cherrygrade/fleet/membership/table.py
+++ b/cherrygrade/fleet/membership/table.py
@@ -117,7 +117,7 @@
         "witnesses",
     )
 
-    def __init__(self, record: MemberRecord, now: float, by: str) -> None:
+    def __init__(self, record: MemberRecord, now: float, sender: str) -> None:
         self.name = record.name
         self.incarnation = record.incarnation
         self.refutations = record.refutations
@@ -125,7 +125,7 @@
         self.info = record.info
         self.info_refutations = record.refutations
         self.state_since_ms = now
-        self.reported_by = by
+        self.reported_by = sender
         self.last_received_ms = NEVER_MS
         self.witnesses: tuple[str, ...] = ()
 
@@ -234,13 +234,13 @@
         """
         return self._digest
 
-    def merge(self, record: MemberRecord, now: float, by: str) -> bool:
+    def merge(self, record: MemberRecord, now: float, sender: str) -> bool:
         """Merge one record into the table.
 
         Args:
             record: The record to merge.
             now: The current time, ms.
-            by: Name of the member that sent it; shown to operators.
+            sender: Name of the member that sent it; shown to operators.
 
         Returns:
             Whether the table changed.
@@ -250,7 +250,7 @@
             return False
         member = self.members.get(record.name)
         if member is None:
-            return self._add(record, now, by)
+            return self._add(record, now, sender)
         newer = record.key > member.key
         brings_info = _brings_info(record, member)
         if not (newer or brings_info):
@@ -259,13 +259,13 @@
         before = (member.living, member.info, member.incarnation)
         if record.incarnation > member.incarnation:
             # This is a new process of the member: all that is known of the former one is discarded.
-            member = self.members[record.name] = Member(record, now, by)
+            member = self.members[record.name] = Member(record, now, sender)
         else:
             if brings_info:
                 member.info = record.info
                 member.info_refutations = record.refutations
             if newer:
-                _update_state(member, record, now, by)
+                _update_state(member, record, now, sender)
         self._index(member)
         self.version += before != (member.living, member.info, member.incarnation)
         return True
@@ -349,7 +349,7 @@
             and record.refutations > refutations
         )
 
-    def _add(self, record: MemberRecord, now: float, by: str) -> bool:
+    def _add(self, record: MemberRecord, now: float, sender: str) -> bool:
         """Add a member that is not in the table; return whether it was added.
 
         A record of a death is ignored where the member was not known. After a death whose entry was dropped,
@@ -357,7 +357,10 @@
         of another member may be older than the death.
         """
         incarnation, refutations = self.forgotten.get(record.name, (-1, -1))
-        returned = by == record.name and (record.incarnation, record.refutations) > (incarnation, refutations)
+        returned = sender == record.name and (record.incarnation, record.refutations) > (
+            incarnation,
+            refutations,
+        )
         if record.state >= MemberState.FAILED or (record.incarnation <= incarnation and not returned):
             return False
         if len(self.members) >= self.max_members:
@@ -366,7 +369,7 @@
                 return False
             self._drop(min(self._dead.values(), key=lambda member: (member.state_since_ms, member.name)).name)
         self.forgotten.pop(record.name, None)
-        member = self.members[record.name] = Member(record, now, by)
+        member = self.members[record.name] = Member(record, now, sender)
         self._index(member)
         self.version += 1
         return True
@@ -422,11 +425,11 @@
     return member.info is None or (record.refutations, record.info) > known
 
 
-def _update_state(member: Member, record: MemberRecord, now: float, by: str) -> None:
+def _update_state(member: Member, record: MemberRecord, now: float, sender: str) -> None:
     if record.refutations > member.refutations:
         member.witnesses = ()
     if record.state != member.state:
         member.state_since_ms = now
-        member.reported_by = by
+        member.reported_by = sender
     member.refutations = record.refutations
     member.state = MemberState(record.state)
