--- a/cherrygrade/platform/endpoint_list.py
+++ b/cherrygrade/platform/endpoint_list.py
@@ -88,7 +88,7 @@
         """Apply a discovery message, which has either the full list or the changed nodes.
 
         Returns:
-            The nodes with a change; None if the message is older than the list.
+            The nodes with a change; None if the message is outdated.
 
         Raises:
             ValueError: The message is malformed; the list is unchanged then.
--- a/cherrygrade/platform/node_connection.py
+++ b/cherrygrade/platform/node_connection.py
@@ -78,8 +78,8 @@
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._socket = transport.get_extra_info("socket")
-        # With this limit any byte that the kernel does not take calls `pause_writing`, which clears
-        # `is_fully_sent`.
+        # With this limit the event loop calls `pause_writing` for any byte that the kernel does not take, so
+        # that `is_fully_sent` is correct.
         transport.set_write_buffer_limits(high=0)
         if self.is_closed:
             self.close()
--- a/tests/support/platform_process.py
+++ b/tests/support/platform_process.py
@@ -1,4 +1,4 @@
-"""A dispatcher of the platform as a process under its own limits, discovery and a node beside the test."""
+"""A dispatcher of the platform as a process with limited file descriptors, beside stand-ins in the test."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class PlatformProcess:
-    """One dispatcher by itself, with a node and discovery in this process."""
+    """A dispatcher process; its node and its discovery service run in the test's process."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -29,20 +29,21 @@
         self.clients: list[RawClient] = []
 
     async def start(self) -> None:
+        """Start the process and wait until it is ready."""
         await self.discovery.open()
         await self.node.open()
         self.discovery.tell(self.node.entry())
         self.address = reserve(1)[0]
         self.port = int(self.address.rpartition(":")[2])
-        config = self.folder / "config.json"
-        told = {"name": "n0", "listen": self.address, "discovery": self.discovery.address}
-        told |= {"seed": "1", "limits": {"sockets": SOCKETS, "memory_mb": 64}, "settings": SETTINGS}
-        config.write_text(json.dumps(told))
+        config_path = self.folder / "config.json"
+        config = {"name": "n0", "listen": self.address, "discovery": self.discovery.address}
+        config |= {"seed": "1", "limits": {"sockets": SOCKETS, "memory_mb": 64}, "settings": SETTINGS}
+        config_path.write_text(json.dumps(config))
         self.log = (self.folder / "log").open("w+b")
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             *("-m", "cherrygrade", "platform"),
-            env={"BALANCER_CONFIG": str(config), "PATH": "", "PYTHONPATH": str(ROOT)},
+            env={"BALANCER_CONFIG": str(config_path), "PATH": "", "PYTHONPATH": str(ROOT)},
             cwd=ROOT,
             stderr=self.log,
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS)),
@@ -50,40 +51,44 @@
         self.process_info = psutil.Process(self.process.pid)
         await self.wait_until(self.ready)
 
-    async def wait_until(self, holds: Callable[[], Awaitable[bool]], s: float = 15.0) -> None:
-        end = asyncio.get_running_loop().time() + s
-        while not await holds():
+    async def wait_until(self, condition: Callable[[], Awaitable[bool]], timeout_s: float = 15.0) -> None:
+        """Poll the condition; fail with the process's log if it is not true in time."""
+        end = asyncio.get_running_loop().time() + timeout_s
+        while not await condition():
             assert asyncio.get_running_loop().time() < end, self.read_log()
             await asyncio.sleep(0.02)
 
     async def ready(self) -> bool:
+        """Return whether the process answers `GET /ready` with 200."""
         try:
-            caller = await self.connect_client()
+            client = await self.connect_client()
         except ConnectionError:
             return False
-        answered = await caller.exchange(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-        caller.writer.close()
-        return answered is not None and answered.status == 200
+        answer = await client.exchange(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
+        client.writer.close()
+        return answer is not None and answer.status == 200
 
     async def connect_client(self) -> RawClient:
-        caller = RawClient(*await asyncio.open_connection("127.0.0.1", self.port))
-        self.clients.append(caller)
-        return caller
+        client = RawClient(*await asyncio.open_connection("127.0.0.1", self.port))
+        self.clients.append(client)
+        return client
 
     async def status_on_new_connection(self, target: str = "/api/00000000000000aa/00000000000000bb") -> int:
-        """The status that a client gets that comes just now; 0 where its connection ended instead."""
-        caller = await self.connect_client()
-        answered = await caller.exchange(client_request(target))
-        caller.writer.close()
-        return answered.status if answered is not None else 0
+        """Return the status that a new client gets; 0 if its connection ends without an answer."""
+        client = await self.connect_client()
+        answer = await client.exchange(client_request(target))
+        client.writer.close()
+        return answer.status if answer is not None else 0
 
     def read_log(self) -> str:
+        """Return everything that the process has logged."""
         self.log.seek(0)
         return self.log.read().decode()
 
     async def stop(self) -> int:
-        for caller in self.clients:
-            caller.writer.close()
+        """Close all clients, stop the process by SIGTERM, and return its exit code."""
+        for client in self.clients:
+            client.writer.close()
         self.process.send_signal(signal.SIGTERM)
         code = await asyncio.wait_for(self.process.wait(), 10.0)
         release(self.address)
