--- a/cherrygrade/platform/connection_pool.py
+++ b/cherrygrade/platform/connection_pool.py
@@ -24,8 +24,8 @@
 from cherrygrade.scheduling.model import Node, NodeState, Outcome
 
 # Time between a response and the next attempt on the same connection. Responses carry no id. If a second
-# response or the node's close arrives within this time, the idle connection is closed, and the second response
-# is not taken for that of the next attempt.
+# response or the node's close arrives within this time, the idle connection is closed, and the second
+# response is not taken for that of the next attempt.
 MIN_IDLE_MS = 10.0
 # After the connect time-out divided by this, a second connect starts beside the slow one (RFC 8305, 5). The
 # slow one is awaited beyond its time-out, because a lost SYN is retransmitted after 1 s (RFC 6298).
--- a/cherrygrade/platform/round_carrier.py
+++ b/cherrygrade/platform/round_carrier.py
@@ -153,7 +153,7 @@
         self._final_answer(request, STATUS_OK, bytes(request.body or b""))
 
     def answer_rejected(self, request: InflightRequest, retry_after_ms: float) -> None:
-        """Answer 503, with the field Retry-After if `retry_after_ms` is above 0."""
+        """Answer with 503 and, if `retry_after_ms` is above 0, with the field Retry-After."""
         assert isinstance(request, PendingRequest)
         fields = b"Retry-After: %.3f\r\n" % (retry_after_ms / 1000.0) if retry_after_ms > 0.0 else b""
         self._final_answer(request, STATUS_REJECTED, fields=fields)
--- a/tests/http/test_http.py
+++ b/tests/http/test_http.py
@@ -1,4 +1,4 @@
-"""What is read of HTTP, and what is not: the grammar is llhttp's, the bounds are ours."""
+"""Tests of the HTTP reader and encoder: which messages are read, which are errors, and the size limits."""
 
 from __future__ import annotations
 
@@ -10,23 +10,31 @@
 PUT = b"PUT /a HTTP/1.1\r\n"
 
 
-def read(data: bytes, responses: bool = False, piece: int = 10**9) -> MessageReader:
+def read(data: bytes, responses: bool = False, piece_bytes: int = 10**9) -> MessageReader:
+    """Feed the data in pieces to a new reader."""
     reader = MessageReader(responses)
-    for at in range(0, len(data), piece):
-        reader.feed(data[at : at + piece])
+    for start in range(0, len(data), piece_bytes):
+        reader.feed(data[start : start + piece_bytes])
     return reader
 
 
-@pytest.mark.parametrize("piece", [1, 7, 10**9])
-def test_encoded_messages_are_read_in_pieces_of_any_size(piece):
+@pytest.mark.parametrize("piece_bytes", [1, 7, 10**9])
+def test_encoded_messages_are_read_in_pieces_of_any_size(piece_bytes):
     data = encode_request(b"PUT", b"/a?b=c", b"h:1", [(b"X-A", b"1")], b"body") + encode_request(
         b"GET", b"/b", b"h:1"
     )
-    put, get = read(data, piece=piece).messages
+    put, get = read(data, piece_bytes=piece_bytes).messages
     assert (put.method, put.target, put.body, put.fields[b"x-a"]) == (b"PUT", b"/a?b=c", b"body", b"1")
     assert (get.method, get.body) == (b"GET", b"")
-    one = read(encode_response(503, b"no", b"Retry-After: 0.250\r\n", close=True), True, piece).messages[0]
-    assert (one.status, one.body, one.fields[b"retry-after"], closes_connection(one)) == (
+    rejection = read(
+        encode_response(503, b"no", b"Retry-After: 0.250\r\n", close=True), True, piece_bytes
+    ).messages[0]
+    assert (
+        rejection.status,
+        rejection.body,
+        rejection.fields[b"retry-after"],
+        closes_connection(rejection),
+    ) == (
         503,
         b"no",
         b"0.250",
@@ -34,7 +42,8 @@
     )
 
 
-# A head that two readers take differently hides an RPC within another's body.
+# If two parsers read the framing of a request differently, a client can hide a request in the body of
+# another.
 @pytest.mark.parametrize(
     "data",
     [
@@ -71,17 +80,17 @@
     ],
 )
 def test_message_without_end_is_an_error_in_bounded_memory(data, code):
-    reader = read(data, piece=4096)
+    reader = read(data, piece_bytes=4096)
     assert reader.error is not None and reader.error.status == code and not reader.messages
 
 
-def test_interim_responses_are_skipped_and_later_errors_keep_whole_messages():
-    early = read(b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + encode_response(200, b"ab"), True)
-    assert [one.body for one in early.messages] == [b"ab"] and early.error is None
-    noisy = read(encode_response(200, b"ab") + b"NOISE", True)
-    assert [one.body for one in noisy.messages] == [b"ab"] and noisy.error is not None
-    endless = read(b"HTTP/1.1 200 OK\r\n\r\nabc", True)
-    assert not endless.messages and endless.within_message
+def test_interim_responses_are_skipped_and_later_errors_keep_complete_messages():
+    interim = read(b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + encode_response(200, b"ab"), True)
+    assert [message.body for message in interim.messages] == [b"ab"] and interim.error is None
+    malformed = read(encode_response(200, b"ab") + b"NOISE", True)
+    assert [message.body for message in malformed.messages] == [b"ab"] and malformed.error is not None
+    unfinished = read(b"HTTP/1.1 200 OK\r\n\r\nabc", True)
+    assert not unfinished.messages and unfinished.within_message
 
 
 @pytest.mark.parametrize(
@@ -89,16 +98,19 @@
     [
         (b"HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n", True),
         (b"HTTP/1.1\r\nExpect: 100-Continue\r\nTransfer-Encoding: chunked\r\n\r\n", True),
-        (b"HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\nz", False),  # it comes already
+        (b"HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\nz", False),  # the body has begun
         (b"HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 0\r\n\r\n", False),
-        (b"HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n", False),  # its head is not whole
+        (b"HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n", False),  # the head is incomplete
         (b"HTTP/1.1\r\nExpect: 100-continued\r\nContent-Length: 1\r\n\r\n", False),
-        (b"HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 70000\r\n\r\n", False),  # it is refused
-        (b"HTTP/1.0\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n", False),  # knows no interim answers
+        (b"HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 70000\r\n\r\n", False),  # the body is too long
+        (
+            b"HTTP/1.0\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n",
+            False,
+        ),  # HTTP/1.0 has no interim responses
     ],
 )
-@pytest.mark.parametrize("piece", [1, 10**9])
-def test_expectation_is_taken_once_and_only_from_a_peer_that_waits(head, expects, piece):
-    reader = read(b"PUT /a " + head, piece=piece)
+@pytest.mark.parametrize("piece_bytes", [1, 10**9])
+def test_expectation_is_taken_once_and_only_from_a_peer_that_waits(head, expects, piece_bytes):
+    reader = read(b"PUT /a " + head, piece_bytes=piece_bytes)
     assert reader.take_expectation() is expects
     assert not reader.take_expectation()
--- a/tests/http/test_http_forms.py
+++ b/tests/http/test_http_forms.py
@@ -1,8 +1,9 @@
-"""The forms that HTTP/1.1 lets a message come in, both directions, each read whole and byte by byte.
+"""Tests of the forms that HTTP/1.1 allows for a message, each sent in one piece and byte by byte.
 
-Requests go from a raw client through a dispatcher to a node; answers from a node through it to a client. A
-field on several lines (obs-fold) is refused in both: RFC 9112, 5.2 lets a server answer it 400 and a gateway
-discard an answer with it, and llhttp takes none; so no two readers of a head differ on where a value ends.
+Requests go from a raw client through a dispatcher to a node, and responses go back the same way. A field
+value over several lines (obs-fold) is refused in both directions, so that all parsers agree on where a value
+ends. RFC 9112, 5.2 allows a server to answer it with 400 and a gateway to discard a response with it; llhttp
+rejects it.
 """
 
 from __future__ import annotations
@@ -21,53 +22,57 @@
 from cherrygrade.standin.web import Peer
 
 TARGET = b"/api/00000000000000aa/00000000000000bb"
-CALL = b"e7559a84b003f4cf"
-PIECES = pytest.mark.parametrize("piece", [10**9, 1], ids=["whole", "bytes"])
+CALL_ID = b"e7559a84b003f4cf"
+PIECES = pytest.mark.parametrize("piece_bytes", [10**9, 1], ids=["one-piece", "bytes"])
 
 
-async def write(writer: asyncio.StreamWriter | Peer, data: bytes, piece: int) -> None:
-    for at in range(0, len(data), piece):
-        writer.write(data[at : at + piece])
-        if piece < len(data):
+async def write(writer: asyncio.StreamWriter | Peer, data: bytes, piece_bytes: int) -> None:
+    """Write the data in pieces, with an event-loop iteration after each."""
+    for start in range(0, len(data), piece_bytes):
+        writer.write(data[start : start + piece_bytes])
+        if piece_bytes < len(data):
             await asyncio.sleep(0)
 
 
-async def send(sock: socket.socket, data: bytes, piece: int) -> None:
-    for at in range(0, len(data), piece):
-        sock.send(data[at : at + piece])
+async def send(sock: socket.socket, data: bytes, piece_bytes: int) -> None:
+    """Send the data on a socket in pieces, with an event-loop iteration after each."""
+    for start in range(0, len(data), piece_bytes):
+        sock.send(data[start : start + piece_bytes])
         await asyncio.sleep(0)
 
 
-async def received(sock: socket.socket, until: bytes) -> bytes:
-    """Raw bytes, until they end so: a reader of answers passes over interim ones."""
-    got = b""
-    while not got.endswith(until):
-        more = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(sock, 65536), 4.0)
-        assert more, got
-        got += more
-    return got
+async def receive_until(sock: socket.socket, ending: bytes) -> bytes:
+    """Receive raw bytes until they end with `ending`; a parser would drop interim responses."""
+    data = b""
+    while not data.endswith(ending):
+        chunk = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(sock, 65536), 4.0)
+        assert chunk, data
+        data += chunk
+    return data
 
 
-# Requests. Each is a PUT of CALL to TARGET.
+# Requests: each is a PUT with the call id CALL_ID to TARGET.
 
-NAMED = b"X-Call-Class: write\r\nX-Storage-Class: plan\r\nX-Budget-Ms: 1500\r\n"
+ROUTING_FIELDS = b"X-Call-Class: write\r\nX-Storage-Class: plan\r\nX-Budget-Ms: 1500\r\n"
 EXTENT = b"X-Extent: units=1,shard=0,hosts=1\r\n"
-ID = b"X-Call-Id: " + CALL + b"\r\n"
-GO_ON = b"HTTP/1.1 100 Continue\r\n\r\n"
+ID = b"X-Call-Id: " + CALL_ID + b"\r\n"
+CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
 
 
 def put(fields: bytes, body: bytes = b"z", target: bytes = TARGET) -> bytes:
+    """Encode a PUT with exactly these header fields besides Host."""
     return b"PUT %b HTTP/1.1\r\nHost: a\r\n%b\r\n%b" % (target, fields, body)
 
 
-def plain(more: bytes = b"Content-Length: 1\r\n", body: bytes = b"z", target: bytes = TARGET) -> bytes:
-    return put(ID + NAMED + EXTENT + more, body, target)
+def plain(more_fields: bytes = b"Content-Length: 1\r\n", body: bytes = b"z", target: bytes = TARGET) -> bytes:
+    """Encode a PUT with all required fields and `more_fields`."""
+    return put(ID + ROUTING_FIELDS + EXTENT + more_fields, body, target)
 
 
 @dataclass(frozen=True)
 class Request:
-    """What a client writes, and what the node gets of it."""
+    """Bytes that a client writes, and the parts of them that the node has to receive."""
 
     wire: bytes
     target: bytes = TARGET
@@ -109,7 +114,9 @@
         fields=[(b"idempotency-key", b"Ab")],
     ),
     "a list over several fields": Request(
-        put(ID + NAMED + b"X-Extent: units=1\r\nX-Extent: shard=0 , hosts=1\r\nContent-Length: 1\r\n")
+        put(
+            ID + ROUTING_FIELDS + b"X-Extent: units=1\r\nX-Extent: shard=0 , hosts=1\r\nContent-Length: 1\r\n"
+        )
     ),
     "chunks with extensions": Request(
         plain(CHUNKED, b'1;a=b;c="d e"\r\nz\r\n02;x\r\nyx\r\n0;last\r\n\r\n'), body=b"zyx"
@@ -135,7 +142,7 @@
         plain(target=b"HTTP://app.svc:8080" + TARGET + b"?a=http://b/c"), target=TARGET + b"?a=http://b/c"
     ),
     "a query": Request(plain(target=TARGET + b"?v=%20&w=/?"), target=TARGET + b"?v=%20&w=/?"),
-    "an expectation that is not waited for": Request(
+    "an expectation sent together with the body": Request(
         plain(b"Expect: 100-continue\r\nContent-Length: 1\r\n"), without=[b"expect"]
     ),
 }
@@ -143,29 +150,33 @@
 
 @PIECES
 @pytest.mark.parametrize("form", REQUESTS)
-def test_request_in_every_valid_form_reaches_its_node(tmp_path: Path, form: str, piece: int) -> None:
-    wanted = REQUESTS[form]
+def test_request_in_every_valid_form_reaches_its_node(tmp_path: Path, form: str, piece_bytes: int) -> None:
+    expected = REQUESTS[form]
 
-    async def story(site: PlatformSite) -> None:
+    async def case(site: PlatformSite) -> None:
         node = await site.add_node()
-        platform = await site.start()
-        caller = await site.connect_client()
-        await write(caller.writer, wanted.wire, piece)
-        answered = await caller.read_answer()
-        assert answered is not None and answered.status == 200
-        (came,) = node.came
-        assert (came.target, came.fields[b"x-call-id"], came.body) == (wanted.target, CALL, wanted.body)
-        for name, value in wanted.fields:
-            assert came.fields[name] == value
-        assert not {*wanted.without} & {*came.fields}
-        # Nothing of it is left over: the next one on the connection is read, and nothing was refused.
-        assert (await caller.exchange(client_request())).status == 200
-        assert platform.refused == 0
-
-    run_case(tmp_path, story)
-
-
-# What is refused, though one or another reader takes it.
+        dispatcher = await site.start()
+        client = await site.connect_client()
+        await write(client.writer, expected.wire, piece_bytes)
+        answer = await client.read_answer()
+        assert answer is not None and answer.status == 200
+        (request,) = node.came
+        assert (request.target, request.fields[b"x-call-id"], request.body) == (
+            expected.target,
+            CALL_ID,
+            expected.body,
+        )
+        for name, value in expected.fields:
+            assert request.fields[name] == value
+        assert not {*expected.without} & {*request.fields}
+        # No bytes of the request remain unread: the next request on the connection is answered.
+        assert (await client.exchange(client_request())).status == 200
+        assert dispatcher.refused == 0
+
+    run_case(tmp_path, case)
+
+
+# Forms that are refused although other HTTP parsers may accept them.
 REFUSED = {
     "a value over several lines": plain(b"X-More: a,\r\n b\r\nContent-Length: 1\r\n"),
     "a value over several lines, with a tab": plain(b"X-More: a,\r\n\tb\r\nContent-Length: 1\r\n"),
@@ -177,7 +188,7 @@
     + b" HTTP/1.1\r\n X: a\r\n"
     + plain().split(b"\r\n", 1)[1],
     "a trailer over several lines": plain(CHUNKED, b"1\r\nz\r\n0\r\nX-More: a\r\n b\r\n\r\n"),
-    "a trailer that tells a length": plain(CHUNKED, b"1\r\nz\r\n0\r\nContent-Length: 5\r\n\r\n"),
+    "a trailer with a length": plain(CHUNKED, b"1\r\nz\r\n0\r\nContent-Length: 5\r\n\r\n"),
     "white space behind a chunk's length": plain(CHUNKED, b"1 ;a=b\r\nz\r\n0\r\n\r\n"),
     "white space before a colon": plain(b"X-More : 1\r\nContent-Length: 1\r\n"),
     "an absolute form of another scheme": plain(target=b"ftp://app.svc" + TARGET),
@@ -188,39 +199,38 @@
 @PIECES
 @pytest.mark.parametrize("form", REFUSED)
 def test_request_in_an_unsupported_form_is_refused_and_not_sent(
-    tmp_path: Path, form: str, piece: int
+    tmp_path: Path, form: str, piece_bytes: int
 ) -> None:
-    async def story(site: PlatformSite) -> None:
+    async def case(site: PlatformSite) -> None:
         node = await site.add_node()
-        platform = await site.start()
-        caller = await site.connect_client()
-        await write(caller.writer, REFUSED[form], piece)
-        answered = await caller.read_answer()
-        assert answered is not None and answered.status in (400, 404)
-        assert (
-            await caller.read_answer() is None
-        )  # and its connection ends: what comes behind can't be told apart
-        assert not node.came and platform.refused == 1
+        dispatcher = await site.start()
+        client = await site.connect_client()
+        await write(client.writer, REFUSED[form], piece_bytes)
+        answer = await client.read_answer()
+        assert answer is not None and answer.status in (400, 404)
+        # The connection closes, as the bytes after a refused request cannot be told apart from it.
+        assert await client.read_answer() is None
+        assert not node.came and dispatcher.refused == 1
 
-    run_case(tmp_path, story)
+    run_case(tmp_path, case)
 
 
 @PIECES
-def test_many_requests_in_one_write_are_answered_in_order(tmp_path: Path, piece: int) -> None:
-    async def story(site: PlatformSite) -> None:
+def test_many_requests_in_one_write_are_answered_in_order(tmp_path: Path, piece_bytes: int) -> None:
+    async def case(site: PlatformSite) -> None:
         node = await site.add_node()
         await site.start()
-        caller = await site.connect_client()
-        paths = [TARGET + b"?n=%d" % n for n in range(12)]
+        client = await site.connect_client()
+        targets = [TARGET + b"?n=%d" % n for n in range(12)]
         wire = b"".join(
-            (b"\r\n" if n % 3 else b"") + client_request(path.decode()) for n, path in enumerate(paths)
+            (b"\r\n" if n % 3 else b"") + client_request(target.decode()) for n, target in enumerate(targets)
         )
-        await write(caller.writer, wire + b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n", piece)
-        assert [(await caller.read_answer()).body for _ in paths] == [b"of " + path for path in paths]
-        assert (await caller.read_answer()).status == 200
-        assert [one.target for one in node.came] == paths
+        await write(client.writer, wire + b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n", piece_bytes)
+        assert [(await client.read_answer()).body for _ in targets] == [b"of " + target for target in targets]
+        assert (await client.read_answer()).status == 200
+        assert [message.target for message in node.came] == targets
 
-    run_case(tmp_path, story)
+    run_case(tmp_path, case)
 
 
 @PIECES
@@ -230,181 +240,192 @@
     ids=["alone", "of two", "of two fields"],
 )
 def test_connection_closes_after_a_request_with_connection_close(
-    tmp_path: Path, option: bytes, piece: int
+    tmp_path: Path, option: bytes, piece_bytes: int
 ) -> None:
-    async def story(site: PlatformSite) -> None:
+    async def case(site: PlatformSite) -> None:
         node = await site.add_node()
-        platform = await site.start()
-        caller = await site.connect_client()
+        dispatcher = await site.start()
+        client = await site.connect_client()
         wire = plain(b"Connection: " + option + b"\r\nContent-Length: 1\r\n")
-        await write(caller.writer, wire, piece)
-        answered = await caller.read_answer()
-        assert (answered.status, answered.fields[b"connection"]) == (200, b"close")
-        caller.writer.write(client_request())  # no more is read (RFC 9112, 9.6)
-        assert await caller.read_answer() is None
-        assert len(node.came) == 1 and platform.refused == 0
+        await write(client.writer, wire, piece_bytes)
+        answer = await client.read_answer()
+        assert (answer.status, answer.fields[b"connection"]) == (200, b"close")
+        client.writer.write(client_request())  # RFC 9112, 9.6: nothing more is read after Connection: close
+        assert await client.read_answer() is None
+        assert len(node.came) == 1 and dispatcher.refused == 0
 
-    run_case(tmp_path, story)
+    run_case(tmp_path, case)
 
 
 @PIECES
-def test_option_that_only_contains_close_closes_nothing(tmp_path: Path, piece: int) -> None:
-    async def story(site: PlatformSite) -> None:
+def test_connection_option_that_only_contains_close_does_not_close(tmp_path: Path, piece_bytes: int) -> None:
+    async def case(site: PlatformSite) -> None:
         node = await site.add_node()
         await site.start()
-        caller = await site.connect_client()
-        await write(caller.writer, plain(b"Connection: X-Closed\r\nContent-Length: 1\r\n"), piece)
-        assert (await caller.read_answer()).status == 200
+        client = await site.connect_client()
+        await write(client.writer, plain(b"Connection: X-Closed\r\nContent-Length: 1\r\n"), piece_bytes)
+        assert (await client.read_answer()).status == 200
         node.script.append(None)
-        caller.writer.write(client_request())
+        client.writer.write(client_request())
         await site.wait_until(lambda: len(node.came) == 2)
-        await write(node.peers[0], OK + b"Connection: not-close\r\nContent-Length: 4\r\n\r\nmine", piece)
-        assert (await caller.read_answer()).body == b"mine"
-        assert (await caller.exchange(client_request())).status == 200 and node.made == 1
+        await write(
+            node.peers[0], OK + b"Connection: not-close\r\nContent-Length: 4\r\n\r\nmine", piece_bytes
+        )
+        assert (await client.read_answer()).body == b"mine"
+        assert (await client.exchange(client_request())).status == 200 and node.made == 1
 
-    run_case(tmp_path, story)
+    run_case(tmp_path, case)
 
 
 @PIECES
 @pytest.mark.parametrize("framing", [b"Content-Length: 1\r\n", CHUNKED], ids=["length", "chunks"])
-def test_client_that_expects_continue_gets_it(tmp_path: Path, framing: bytes, piece: int) -> None:
-    # RFC 9110, 10.1.1: a client may hold its body back for as long as it likes.
-    async def story(site: PlatformSite) -> None:
+def test_client_that_expects_continue_gets_it(tmp_path: Path, framing: bytes, piece_bytes: int) -> None:
+    # RFC 9110, 10.1.1: a client may withhold the body until it receives 100 Continue.
+    async def case(site: PlatformSite) -> None:
         node = await site.add_node(work_ms=30.0)
         await site.start()
         with socket.create_connection(("127.0.0.1", site.port)) as client:
             client.setblocking(False)
-            # Behind another one that is open: its turn comes with that one's answer, not before.
-            await send(client, client_request() + plain(b"Expect: 100-Continue \r\n" + framing, b""), piece)
-            got = await received(client, until=GO_ON)
-            assert got.startswith(b"HTTP/1.1 200") and got.count(b"HTTP/1.1") == 2 and len(node.came) == 1
-            await send(client, b"z" if framing is not CHUNKED else b"1\r\nz\r\n0\r\n\r\n", piece)
-            got = await received(client, until=b"of " + TARGET)
-            assert got.startswith(b"HTTP/1.1 200") and got.count(b"HTTP/1.1") == 1
+            # The request follows one that is open, so 100 Continue must come after that one's answer.
+            await send(
+                client, client_request() + plain(b"Expect: 100-Continue \r\n" + framing, b""), piece_bytes
+            )
+            data = await receive_until(client, ending=CONTINUE)
+            assert data.startswith(b"HTTP/1.1 200") and data.count(b"HTTP/1.1") == 2 and len(node.came) == 1
+            await send(client, b"z" if framing is not CHUNKED else b"1\r\nz\r\n0\r\n\r\n", piece_bytes)
+            data = await receive_until(client, ending=b"of " + TARGET)
+            assert data.startswith(b"HTTP/1.1 200") and data.count(b"HTTP/1.1") == 1
             assert node.came[1].body == b"z"
 
-    run_case(tmp_path, story)
+    run_case(tmp_path, case)
 
 
 def test_client_that_expects_continue_for_too_long_a_body_is_refused(tmp_path: Path) -> None:
-    async def story(site: PlatformSite) -> None:
+    async def case(site: PlatformSite) -> None:
         node = await site.add_node()
         await site.start()
-        caller = await site.connect_client()
+        client = await site.connect_client()
         data = plain(b"Expect: 100-continue\r\nContent-Length: 90000000\r\n", b"")
-        assert (await caller.exchange(data)).status == 413
+        assert (await client.exchange(data)).status == 413
         assert not node.came
 
-    run_case(tmp_path, story)
+    run_case(tmp_path, case)
 
 
-# Answers.
+# Responses of a node.
 
 OK = b"HTTP/1.1 200 OK\r\n"
 BODY = b"Content-Length: 4\r\n\r\nmine"
 
 
 @dataclass(frozen=True)
-class Answer:
-    """What a node writes, and what is made of it."""
+class Response:
+    """Bytes that a node writes, and what the dispatcher has to read from them."""
 
     wire: bytes
     outcome: Outcome = Outcome.OK
-    used: float | None = None
+    plan_use: float | None = None
     load: Sequence[tuple[str, float]] = ()
-    ends: bool = False
-    """Its connection is not used again."""
+    closes: bool = False
+    """Whether the dispatcher does not use the connection again."""
 
 
 LOAD = [("queue", 2.0), ("util", 0.5)]
-ANSWERS = {
-    "white space behind a value": Answer(
+RESPONSES = {
+    "white space behind a value": Response(
         OK + b"X-Meter:  4 \r\nX-Load-Report: TEXT queue=2, util=0.5 \r\nContent-Length: 4 \r\n\r\nmine",
-        used=0.04,
+        plan_use=0.04,
         load=LOAD,
     ),
-    "tabs around values": Answer(
+    "tabs around values": Response(
         OK + b"X-Meter:\t4\t\r\nX-Load-Report:\tTEXT queue=2,\tutil=0.5\t\r\nContent-Length:\t4 \r\n\r\nmine",
-        used=0.04,
+        plan_use=0.04,
         load=LOAD,
     ),
-    "white space behind the mark of a rejection": Answer(
+    "white space behind the field of a rejection": Response(
         b"HTTP/1.1 503 -\r\nX-Rejected:  1 \r\nContent-Length: 0 \r\n\r\n", Outcome.REJECTED
     ),
-    "no space before values": Answer(
+    "no space before values": Response(
         OK + b"X-Meter:4\r\nX-Load-Report:TEXT queue=2,util=0.5\r\nContent-Length:4\r\n\r\nmine",
-        used=0.04,
+        plan_use=0.04,
         load=LOAD,
     ),
-    "names in any case": Answer(
+    "names in any case": Response(
         OK + b"x-METER: 4\r\nX-LOAD-report: TEXT queue=2,util=0.5\r\ncontent-length: 4\r\n\r\nmine",
-        used=0.04,
+        plan_use=0.04,
         load=LOAD,
     ),
-    "chunks with extensions": Answer(
+    "chunks with extensions": Response(
         OK + CHUNKED + b'\r\n2;a="b;c"\r\nmi\r\n02\r\nne\r\n0;last\r\n\r\n',
     ),
-    "a coding in any case": Answer(OK + b"TRANSFER-encoding:  Chunked \r\n\r\n04\r\nmine\r\n00\r\n\r\n"),
-    "trailers": Answer(
-        OK + b"X-Meter: 4\r\n" + CHUNKED + b"\r\n4\r\nmine\r\n0\r\nX-Meter: 9\r\nX-More: 1\r\n\r\n", used=0.04
+    "a coding in any case": Response(OK + b"TRANSFER-encoding:  Chunked \r\n\r\n04\r\nmine\r\n00\r\n\r\n"),
+    "trailers": Response(
+        OK + b"X-Meter: 4\r\n" + CHUNKED + b"\r\n4\r\nmine\r\n0\r\nX-Meter: 9\r\nX-More: 1\r\n\r\n",
+        plan_use=0.04,
     ),
-    "a Connection of several options": Answer(OK + b"Connection: X-Hop , Close\r\n" + BODY, ends=True),
-    "a Connection over several fields": Answer(
-        OK + b"Connection: X-Hop\r\nConnection:\tclose\t\r\n" + BODY, ends=True
+    "a Connection of several options": Response(OK + b"Connection: X-Hop , Close\r\n" + BODY, closes=True),
+    "a Connection over several fields": Response(
+        OK + b"Connection: X-Hop\r\nConnection:\tclose\t\r\n" + BODY, closes=True
     ),
-    "empty lines before it": Answer(b"\r\n\r\n" + OK + BODY),
-    "no reason": Answer(b"HTTP/1.1 200\r\n" + BODY),
-    "a reason of many words": Answer(b"HTTP/1.1 200 all is \xe9 well\r\n" + BODY),
-    "an interim answer": Answer(b"HTTP/1.1 100 Continue\r\n\r\n" + OK + BODY),
-    "interim answers with fields": Answer(
+    "empty lines before it": Response(b"\r\n\r\n" + OK + BODY),
+    "no reason": Response(b"HTTP/1.1 200\r\n" + BODY),
+    "a reason of many words": Response(b"HTTP/1.1 200 all is \xe9 well\r\n" + BODY),
+    "an interim answer": Response(b"HTTP/1.1 100 Continue\r\n\r\n" + OK + BODY),
+    "interim answers with fields": Response(
         b"HTTP/1.1 102 Processing\r\nX-Meter: 9\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>; rel=b\r\n\r\n"
         + OK
         + b"X-Meter: 4\r\n"
         + BODY,
-        used=0.04,
+        plan_use=0.04,
     ),
-    "a value over several lines": Answer(
-        OK + b"X-Load-Report: TEXT queue=2,\r\n util=0.5\r\n" + BODY, Outcome.FAILED, ends=True
+    "a value over several lines": Response(
+        OK + b"X-Load-Report: TEXT queue=2,\r\n util=0.5\r\n" + BODY, Outcome.FAILED, closes=True
     ),
-    "a length over several lines": Answer(
-        OK + b"Content-Length:\r\n 4\r\n\r\nmine", Outcome.FAILED, ends=True
+    "a length over several lines": Response(
+        OK + b"Content-Length:\r\n 4\r\n\r\nmine", Outcome.FAILED, closes=True
     ),
-    "white space behind a chunk's length": Answer(
-        OK + CHUNKED + b"\r\n4 ;a=b\r\nmine\r\n0\r\n\r\n", Outcome.FAILED, ends=True
+    "white space behind a chunk's length": Response(
+        OK + CHUNKED + b"\r\n4 ;a=b\r\nmine\r\n0\r\n\r\n", Outcome.FAILED, closes=True
     ),
 }
 
 
-class Heard(Scheduler):
-    """Keeps what it was told of attempts."""
+class OutcomeRecorder(Scheduler):
+    """A scheduler that records outcome and load of each attempt."""
 
-    told: list[tuple[Outcome | None, float | None, dict[str, float]]]
+    outcomes: list[tuple[Outcome | None, float | None, dict[str, float]]]
 
-    def decide(self, now, writer, **came):
-        told = [(one.outcome, one.plan_use, dict(one.load_report)) for one in came["outcomes"]]
-        self.told = getattr(self, "told", []) + told
-        super().decide(now, writer, **came)
+    def decide(self, now, writer, **inputs):
+        new = [
+            (attempt.outcome, attempt.plan_use, dict(attempt.load_report)) for attempt in inputs["outcomes"]
+        ]
+        self.outcomes = getattr(self, "outcomes", []) + new
+        super().decide(now, writer, **inputs)
 
 
 @PIECES
-@pytest.mark.parametrize("form", ANSWERS)
-def test_response_in_every_valid_form_is_understood(tmp_path: Path, form: str, piece: int) -> None:
-    wanted = ANSWERS[form]
+@pytest.mark.parametrize("form", RESPONSES)
+def test_response_in_every_valid_form_is_understood(tmp_path: Path, form: str, piece_bytes: int) -> None:
+    expected = RESPONSES[form]
 
-    async def story(site: PlatformSite) -> None:
+    async def case(site: PlatformSite) -> None:
         node = await site.add_node()
-        platform = await site.start(Heard)
+        dispatcher = await site.start(OutcomeRecorder)
         node.script.append(None)
-        caller = await site.connect_client()
-        caller.writer.write(client_request())
+        client = await site.connect_client()
+        client.writer.write(client_request())
         await site.wait_until(lambda: node.came)
-        await write(node.peers[0], wanted.wire, piece)
-        answered = await caller.read_answer()
-        assert answered is not None and answered.status == 200
-        assert answered.body == (b"mine" if wanted.outcome is Outcome.OK else b"of " + TARGET)
-        assert platform.rounds.module.told[0] == (wanted.outcome, wanted.used, dict(wanted.load))
-        # The next one goes on the same connection, unless this one was its last.
-        assert (await caller.exchange(client_request())).status == 200
-        assert node.made == (2 if wanted.ends else 1)
-
-    run_case(tmp_path, story)
+        await write(node.peers[0], expected.wire, piece_bytes)
+        answer = await client.read_answer()
+        assert answer is not None and answer.status == 200
+        assert answer.body == (b"mine" if expected.outcome is Outcome.OK else b"of " + TARGET)
+        assert dispatcher.rounds.module.outcomes[0] == (
+            expected.outcome,
+            expected.plan_use,
+            dict(expected.load),
+        )
+        # The next request uses the same connection, unless this response closed it.
+        assert (await client.exchange(client_request())).status == 200
+        assert node.made == (2 if expected.closes else 1)
+
+    run_case(tmp_path, case)
--- a/tests/platform/test_descriptors.py
+++ b/tests/platform/test_descriptors.py
@@ -1,5 +1,7 @@
-"""A process of the platform under its own limit of descriptors: a crowd that rests or says nothing, and
-discovery down. Judged from outside: the process table, what fresh clients and nodes see.
+"""Tests that idle or silent clients do not use up the file descriptors of a dispatcher process.
+
+The process runs under its own descriptor limit, with discovery down. It is checked from outside: by the
+process table, and by the answers that new clients get.
 """
 
 from __future__ import annotations
@@ -11,52 +13,53 @@
 from support.platform_site import client_request
 
 
-@pytest.mark.parametrize("crowd", ["rests", "is silent", "sends half"])
-def test_silent_clients_filling_all_places_while_discovery_is_down_lock_out_no_other(tmp_path, crowd):
-    async def story() -> None:
-        one = PlatformProcess(tmp_path)
-        await one.start()
+@pytest.mark.parametrize("crowd", ["is idle", "is silent", "sends half a request"])
+def test_new_clients_are_served_while_silent_clients_fill_all_places_and_discovery_is_down(tmp_path, crowd):
+    async def case() -> None:
+        process = PlatformProcess(tmp_path)
+        await process.start()
         try:
-            one.discovery.down = True
-            one.discovery.hush()
-            most = 0
+            process.discovery.down = True
+            process.discovery.hush()
+            max_descriptors = 0
             for number in range(3 * SOCKETS):
                 try:
-                    caller = await one.connect_client()
-                    if crowd == "rests":
-                        await caller.exchange(client_request())
-                    elif crowd == "sends half":
-                        caller.writer.write(client_request()[:-7])
+                    client = await process.connect_client()
+                    if crowd == "is idle":
+                        await client.exchange(client_request())
+                    elif crowd == "sends half a request":
+                        client.writer.write(client_request()[:-7])
                 except ConnectionError:
                     pass
                 if not number % 16:
-                    assert await one.status_on_new_connection() == 200
-                    most = max(most, one.process_info.num_fds())
-            assert most <= SOCKETS - 8  # never near the limit, so that no accept and no connect fails for it
-            before = sum(one.process_info.cpu_times()[:2])
+                    assert await process.status_on_new_connection() == 200
+                    max_descriptors = max(max_descriptors, process.process_info.num_fds())
+            # The process stays below the limit, so that neither an accept nor a connect fails because of it.
+            assert max_descriptors <= SOCKETS - 8
+            cpu_s = sum(process.process_info.cpu_times()[:2])
             await asyncio.sleep(1.0)
-            assert sum(one.process_info.cpu_times()[:2]) - before < 0.5  # and nothing spins
+            assert sum(process.process_info.cpu_times()[:2]) - cpu_s < 0.5  # no task is in a busy loop
 
-            # Discovery is back: its watch and the connections to nodes had their places all along.
-            one.discovery.down = False
+            # After discovery's return there are descriptors left for its watch and for connections to nodes.
+            process.discovery.down = False
 
-            async def watched() -> bool:
-                return len(one.discovery.asked) > asked and len(one.discovery.peers) == 1
+            async def has_new_watch() -> bool:
+                return len(process.discovery.asked) > watches_before and len(process.discovery.peers) == 1
 
-            asked = len(one.discovery.asked)
-            await one.wait_until(watched, 4.0)
-            one.discovery.tell(one.node.entry("terminating"))
+            watches_before = len(process.discovery.asked)
+            await process.wait_until(has_new_watch, 4.0)
+            process.discovery.tell(process.node.entry("terminating"))
 
-            async def drained() -> bool:
-                return await one.status_on_new_connection() == 503
+            async def is_drained() -> bool:
+                return await process.status_on_new_connection() == 503
 
-            await one.wait_until(drained, 6.0)
-            assert not one.discovery.late(one.node)
-            told = one.read_log()
-            assert "Traceback" not in told and "Too many open files" not in told
-            assert "out of system resource" not in told
+            await process.wait_until(is_drained, 6.0)
+            assert not process.discovery.late(process.node)
+            log = process.read_log()
+            assert "Traceback" not in log and "Too many open files" not in log
+            assert "out of system resource" not in log
         finally:
-            code = await one.stop()
+            code = await process.stop()
         assert code == 0
 
-    asyncio.run(asyncio.wait_for(story(), 60.0))
+    asyncio.run(asyncio.wait_for(case(), 60.0))
--- a/tests/platform/test_thin_path.py
+++ b/tests/platform/test_thin_path.py
@@ -1,4 +1,4 @@
-"""One client, one dispatcher, one node: bytes there and back through the module."""
+"""Tests of the shortest path: a client writes and reads through one dispatcher and one node."""
 
 from __future__ import annotations
 
@@ -8,25 +8,27 @@
 
 
 def test_write_and_read_pass_through_the_scheduler():
-    async def story(house: GatewaySite) -> None:
-        node = await house.node(shard=3)
-        client = house.client(await house.gateway())
-        wrote = await client.write("write", "v", "seatmap", b"x" * 5000, shard=-1, deadline_ms=1500)
-        assert wrote == Ok(b"", 3)
-        read = await client.read("read", "v", "seatmap", shard=3, offset=4990, length=20, deadline_ms=1500)
-        assert isinstance(read, Ok) and bytes(read.body) == b"x" * 10 + bytes(10)
+    async def case(site: GatewaySite) -> None:
+        node = await site.node(shard=3)
+        client = site.client(await site.gateway())
+        write_answer = await client.write("write", "v", "seatmap", b"x" * 5000, shard=-1, deadline_ms=1500)
+        assert write_answer == Ok(b"", 3)
+        read_answer = await client.read(
+            "read", "v", "seatmap", shard=3, offset=4990, length=20, deadline_ms=1500
+        )
+        assert isinstance(read_answer, Ok) and bytes(read_answer.body) == b"x" * 10 + bytes(10)
         assert bytes(node.bytes[("v", "seatmap")]) == b"x" * 5000
 
-    run(story)
+    run(case)
 
 
 def test_workload_or_volume_unknown_to_the_settings_is_rejected_by_name():
-    async def story(house: GatewaySite) -> None:
-        await house.node()
-        client = house.client(await house.gateway())
+    async def case(site: GatewaySite) -> None:
+        await site.node()
+        client = site.client(await site.gateway())
         answer = await client.read("nonesuch", "v", "k", shard=0, length=1, deadline_ms=500)
         assert isinstance(answer, Rejected) and "nonesuch" in answer.reason
         answer = await client.read("read", "w", "k", shard=0, length=1, deadline_ms=500)
         assert isinstance(answer, Rejected) and "'w'" in answer.reason
 
-    run(story)
+    run(case)
