--- a/cherrygrade/platform/endpoint_list.py
+++ b/cherrygrade/platform/endpoint_list.py
@@ -104,7 +104,7 @@
             return None
         named = [node for node in map(self._update, endpoints) if node is not None]
         self.version = version
-        return self.nodes.told(named, is_full_list)
+        return self.nodes.apply_list(named, is_full_list)
 
     def _update(self, endpoint: _Endpoint) -> Node | None:
         """Return the updated node; None for a node that discovery removed before it was ever known."""
