--- a/cherrygrade/platform/connection_pool.py
+++ b/cherrygrade/platform/connection_pool.py
@@ -78,7 +78,7 @@
         self._connect_tasks: set[asyncio.Task[None]] = set()
         self._reuse_timer: asyncio.TimerHandle | None = None
 
-    # Sending.
+    # Sending attempts.
 
     def send(self, attempt: InflightAttempt) -> None:
         """Send an attempt as soon as a connection is available for it."""
@@ -161,7 +161,7 @@
         remaining_ms = math.floor(attempt.expires_ms - self.rounds.clock_now())
         connection.send(attempt, encode_attempt(pending, address, remaining_ms))
 
-    # Connecting.
+    # Making connections.
 
     def _start_connect(self) -> None:
         connection = NodeConnection(self, self.rounds.clock())
--- a/cherrygrade/platform/endpoint_watch.py
+++ b/cherrygrade/platform/endpoint_watch.py
@@ -141,7 +141,7 @@
         """Reject the end of the response: a watch has no end."""
         raise ValueError("discovery ended the response")
 
-    # Closing.
+    # Ending the watch.
 
     def _end(self, reason: str) -> None:
         if self._is_closed:
--- a/cherrygrade/platform/process.py
+++ b/cherrygrade/platform/process.py
@@ -29,12 +29,12 @@
 from cherrygrade.scheduling.scheduler import Scheduler
 
 ANSWER_MARGIN_MS = 4.0  # part of each client's deadline that is reserved for writing the answer
-# Times after the start of a process to which discovery has sent no list. After the first, the process reports
-# itself ready, sends nothing to nodes and answers requests with Retry-After. The platform requires that a
-# restarted process is ready within 6 s; the remaining 1.5 s are for the interpreter and the imports on a
-# small share of a core. After the second, the process uses the list in its configuration file, which may be
-# outdated.
+# Without a list from discovery, a new process reports itself ready after this time; it sends nothing to nodes
+# and answers requests with Retry-After. The platform requires that a restarted process is ready within 6 s;
+# the remaining 1.5 s are for the interpreter and the imports on a small share of a core.
 READY_WITHOUT_ENDPOINTS_MS = 4500.0
+# Without a list from discovery, a new process uses the list in its configuration file after this time. That
+# list may be outdated.
 FILE_ENDPOINTS_MS = 60000.0
 # File descriptors of the listener, three discovery watches, the event loop, the standard streams, files that
 # Python opens, and the clients that are accepted in one event-loop iteration.
@@ -43,10 +43,8 @@
 MIN_LINGERING = 4
 RECEIVE_BUFFER_BYTES = 16 * 1024
 BYTES_PER_MB = 1024 * 1024
-# The memory limit divided by these is the limit for nodes' responses and unsent answers, and for long request
-# bodies.
-ANSWER_MEMORY_DIVISOR = 4
-REQUEST_MEMORY_DIVISOR = 8
+ANSWER_MEMORY_DIVISOR = 4  # 1/4 of the memory limit is for nodes' responses and unsent answers
+REQUEST_MEMORY_DIVISOR = 8  # 1/8 of the memory limit is for long request bodies
 REQUEST_COPIES = 2  # a request body is in memory twice while it is sent to a node
 POOL_IDLE_FRACTION = 0.6  # part of a node's idle time-out after which the pool closes a connection itself
 DEFAULT_NODE_IDLE_S = 15.0
--- a/cherrygrade/platform/round_carrier.py
+++ b/cherrygrade/platform/round_carrier.py
@@ -148,7 +148,7 @@
             pool.abandon_attempt(attempt, Outcome.CANCELLED)
 
     def answer_ok(self, request: InflightRequest, attempt: InflightAttempt) -> None:
-        """Answer 200 with the body that the node sent."""
+        """Answer with 200 and the body that the node sent."""
         assert isinstance(request, PendingRequest)
         self._final_answer(request, STATUS_OK, bytes(request.body or b""))
 
@@ -159,7 +159,7 @@
         self._final_answer(request, STATUS_REJECTED, fields=fields)
 
     def answer_errored(self, request: InflightRequest) -> None:
-        """Answer 502: the request may have run on a node."""
+        """Answer with 502, as the request may have run on a node."""
         assert isinstance(request, PendingRequest)
         self._final_answer(request, STATUS_ERRORED)
 
--- a/tests/http/test_http.py
+++ b/tests/http/test_http.py
@@ -42,8 +42,7 @@
     )
 
 
-# If two parsers read the framing of a request differently, a client can hide a request in the body of
-# another.
+# If two parsers disagree on the framing of a request, a client can hide another request in its body.
 @pytest.mark.parametrize(
     "data",
     [
--- a/tests/http/test_http_forms.py
+++ b/tests/http/test_http_forms.py
@@ -2,8 +2,8 @@
 
 Requests go from a raw client through a dispatcher to a node, and responses go back the same way. A field
 value over several lines (obs-fold) is refused in both directions, so that all parsers agree on where a value
-ends. RFC 9112, 5.2 allows a server to answer it with 400 and a gateway to discard a response with it; llhttp
-rejects it.
+ends. RFC 9112, 5.2 allows a server to answer such a request with 400, and a gateway to discard such a
+response; llhttp rejects both.
 """
 
 from __future__ import annotations
--- a/tests/platform/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -1,5 +1,4 @@
-"""Tests of races: requests, answers, closes and signals that arrive while the dispatcher handles another
-event.
+"""Tests of races between requests, answers, closes and signals.
 
 Each race is forced: raw sockets write and close without an event-loop iteration in between, so that their
 bytes and closes are in the kernel before the dispatcher reads any of them.
@@ -100,8 +99,8 @@
 
 @pytest.mark.parametrize("close", [socket.socket.close, reset])
 def test_request_of_client_that_closed_before_its_close_was_read_is_not_sent(tmp_path, close):
-    # The request is read in one event-loop iteration, the close in the next; the round between them decides
-    # to send an attempt.
+    # The request is read in one event-loop iteration and the close in the next. The round between them
+    # decides to send an attempt.
     async def case(site: PlatformSite) -> None:
         node = await site.add_node()
         dispatcher = await site.start()
@@ -139,7 +138,7 @@
         await site.wait_until(lambda: any(pool.waiting for pool in dispatcher.round_carrier.pools.values()))
         client.close()
         await site.wait_until(lambda: not dispatcher.round_carrier.open_requests)
-        # The attempt no longer counts against the node's limit.
+        # The attempt's slot at the node is free at once.
         assert not any(pool.waiting for pool in dispatcher.round_carrier.pools.values())
         released.set()
         await wait_for_round_trip(site)
--- a/tests/platform/test_deploy.py
+++ b/tests/platform/test_deploy.py
@@ -19,8 +19,7 @@
 
 ROOT = Path(__file__).parents[2]
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-# Source of a sitecustomize.py, which Python imports at its start: it records every forbidden call and every
-# socket.
+# Source of a sitecustomize.py, which Python imports at its start; it records forbidden calls and all sockets.
 AUDIT_HOOK = """
 import atexit, json, os, sys
 record = {"calls": [], "families": [], "bound": []}
@@ -139,8 +138,7 @@
 def test_run_is_one_process_without_forbidden_calls_modules_or_sockets(tmp_path):
     report = run_with_timeout(run_process(tmp_path))
     assert report.answers == [200, 200, 200] and report.code == 0
-    # The shell was replaced by Python, which has no child, and libc is mapped for a library that the platform
-    # loads.
+    # The shell was replaced by Python, which has no child. The library that the platform loads needs libc.
     assert "python" in report.executable and not report.children.strip()
     assert "libc.so" in report.maps or "libc-" in report.maps
     assert report.audit["calls"] == []
@@ -221,9 +219,8 @@
 
 
 def test_a_restarted_process_is_ready_within_6_s_of_its_start_with_discovery_silent(tmp_path):
-    # The 6 s include the start of the interpreter and the imports, whose time by the platform's clock is
-    # their processor time divided by CORE_SHARE. READY_WITHOUT_ENDPOINTS_MS follows, and no request is sent
-    # to a node.
+    # The 6 s include the start of the interpreter and the imports. By the platform's clock these take their
+    # processor time divided by CORE_SHARE. READY_WITHOUT_ENDPOINTS_MS follows; nothing is sent to a node.
     real_s, processor_s, answers = asyncio.run(asyncio.wait_for(start_without_discovery(tmp_path), 30.0))
     assert answers[-1] == 200 and {*answers[:-1]} == {503}
     assert READY_WITHOUT_ENDPOINTS_MS / 1000.0 <= real_s
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -82,8 +82,7 @@
     run_case(tmp_path, case)
 
 
-# A malformed request is answered with an error and not sent to a node, where it could harm other requests
-# too.
+# A malformed request is answered with an error. It is not sent to a node, where it could harm other requests.
 @pytest.mark.parametrize(
     "data",
     [
@@ -256,8 +255,8 @@
 
 @pytest.mark.parametrize("resets, outcomes", [(1, [Outcome.OK]), (2, [Outcome.CONNECT_FAILED, Outcome.OK])])
 def test_single_reset_connect_is_not_counted_against_the_node(tmp_path, resets, outcomes):
-    # If one reset counted as an unreachable node, the scheduler would mark the node as failing and send it
-    # only single requests on trial.
+    # If one reset counted as an unreachable node, the scheduler would eject the node, and send it only single
+    # requests as health checks.
     async def case(site: PlatformSite) -> None:
         await site.add_node()
         dispatcher = await site.start(OutcomeRecorder)
@@ -300,8 +299,8 @@
 
 
 def test_slow_connect_is_raced_and_not_counted_against_the_node(tmp_path):
-    # If a slow connect counted as an unreachable node, two of them would make the scheduler treat the node as
-    # one that has just started.
+    # If a slow connect counted as an unreachable node, the scheduler would eject the node. After two slow
+    # connects it would treat the node as restarted and begin a slow start.
     async def case(site: PlatformSite) -> None:
         node = await site.add_node()
         dispatcher = await site.start(OutcomeRecorder)
@@ -545,8 +544,7 @@
         dispatcher.answer_budget.max_bytes = 4_000_000
         large, clients = bytes(900_000), [await site.connect_client() for _ in range(12)]
         await site.wait_until(lambda: len(dispatcher.client_registry.connections) == 12)
-        # With small send buffers the kernel takes little of the answers, so most bytes stay in the
-        # dispatcher.
+        # With small send buffers most bytes of the answers stay in the dispatcher.
         for connection in dispatcher.client_registry.connections:
             sock = connection._transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -603,8 +601,7 @@
 
 
 def test_read_ahead_stays_in_order_while_answers_are_unread(tmp_path):
-    # The second half of a request must not reach the parser before its first half, which waits in the
-    # read-ahead.
+    # The first half of a request is in the read-ahead when its second half arrives, and must be parsed first.
     async def case(site: PlatformSite) -> None:
         node = await site.add_node(work_ms=30.0)
         dispatcher = await site.start()
@@ -726,8 +723,8 @@
 
 
 def test_deadline_of_a_pipelined_request_counts_from_its_own_last_byte(tmp_path, monkeypatch):
-    # If the deadline counted from the answer to the request before it, the request would be served, and its
-    # node given time, for too long.
+    # If the deadline counted from the answer to the request before it, the client would be answered too late,
+    # and the node would be told to work for too long.
     async def case(site: PlatformSite) -> None:
         node = await site.add_node(work_ms=400.0)
         dispatcher = await site.start(settings=long_deadline_settings(4.0))
@@ -1005,8 +1002,7 @@
 
 @pytest.mark.alone
 def test_shutdown_serves_clients_until_shortly_before_the_kill(tmp_path):
-    # The platform starts the successor only after the kill, so a client that is closed earlier finds no
-    # server.
+    # The platform starts the successor only at the time of the kill: a client closed earlier finds no server.
     async def case(site: PlatformSite) -> None:
         node = await site.add_node(work_ms=2.0)
         dispatcher = await site.start()
--- a/tests/platform/test_watch_clock.py
+++ b/tests/platform/test_watch_clock.py
@@ -20,8 +20,8 @@
 from cherrygrade.virtual.loop import VirtualLoop
 from cherrygrade.virtual.network import Network
 
-# The platform assumes a change to be known after 6 s. The margin of 0.7 s excludes the platform's tolerances
-# and event loops that run late.
+# The platform assumes that a change is known after 6 s. With the margin the tests do not rely on its
+# tolerances or on time for event loops that run late.
 ASSUMED_KNOWN_S, MARGIN_S = 6.0, 0.7
 MAX_MOVE_S = 4.0  # limit for a change after discovery has moved to another address
 
