--- a/cherrygrade/platform/connection_pool.py
+++ b/cherrygrade/platform/connection_pool.py
@@ -1,7 +1,7 @@
 """The connections to one storage node; a connection carries one attempt at a time.
 
 An attempt that finds no idle connection waits until one is made or becomes idle. The pool sends an attempt at
-most once. It does not send a waiting attempt whose node drains or whose request is over.
+most once. It does not send a waiting attempt whose node drains or whose request has ended.
 """
 
 from __future__ import annotations
@@ -250,7 +250,7 @@
         if connection not in self.connections:
             return
         del self.connections[connection]
-        self._socket_budget.give_back(connection)
+        self._socket_budget.release_socket(connection)
         if not (connection.is_up or connection.is_raced):
             self.connecting -= 1
         if connection in self.idle:
--- a/cherrygrade/platform/process.py
+++ b/cherrygrade/platform/process.py
@@ -89,7 +89,7 @@
         """Completed with the exit code at the end of the shutdown."""
         self._deadline_limit_ms = float("inf")
         self._startup_timers: list[asyncio.TimerHandle] = []
-        self._share_out_limits()
+        self._divide_limits()
         self.nodes = NodeTable()
         self.endpoint_list = EndpointList(self.nodes, _unix_to_loop_ms())
         self.round_carrier = self._make_round_carrier(make_scheduler)
@@ -103,7 +103,7 @@
         self._schedule = ShutdownSchedule.for_deadline(longest_deadline_ms)
         self.shutdown = self._make_shutdown()
 
-    def _share_out_limits(self) -> None:
+    def _divide_limits(self) -> None:
         """Divide sockets and memory between clients and nodes; lingering connections count as clients'."""
         memory_bytes = self.config.memory_mb * BYTES_PER_MB
         self.answer_budget = BodyBudget(memory_bytes // ANSWER_MEMORY_DIVISOR)
--- a/cherrygrade/platform/socket_budget.py
+++ b/cherrygrade/platform/socket_budget.py
@@ -30,7 +30,7 @@
         self.max_sockets = max_sockets
         self.answer_budget = answer_budget
         self.used = 0
-        """Sockets that were taken and not given back; at most `max_sockets`, unless that is lowered."""
+        """Sockets that were taken and not released; at most `max_sockets`, unless that is lowered."""
         self.idle: dict[ClosableConnection, None] = {}
         """Connections without an attempt, longest idle first; removed when they are used or closed."""
 
@@ -47,7 +47,7 @@
         self.used += 1
         return True
 
-    def give_back(self, connection: ClosableConnection) -> None:
+    def release_socket(self, connection: ClosableConnection) -> None:
         """Return the socket of a closed connection."""
         self.used -= 1
         self.idle.pop(connection, None)
--- a/tests/platform/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -80,7 +80,7 @@
     assert (await (await site.connect_client()).exchange(client_request())).status == 200
 
 
-def hold_node_connects(site: PlatformSite) -> asyncio.Event:
+def delay_node_connects(site: PlatformSite) -> asyncio.Event:
     """Delay connects to nodes until the returned event is set."""
     loop, released = asyncio.get_running_loop(), asyncio.Event()
     create_connection = loop.create_connection
@@ -133,7 +133,7 @@
     async def case(site: PlatformSite) -> None:
         node = await site.add_node()
         dispatcher = await site.start()
-        released = hold_node_connects(site)
+        released = delay_node_connects(site)
         client = connect_and_send(site, client_request())
         await site.wait_until(lambda: any(pool.waiting for pool in dispatcher.round_carrier.pools.values()))
         client.close()
@@ -729,7 +729,7 @@
         )
         await site.wait_until(lambda: node.came)
         sent_ms = dispatcher.rounds.clock()
-        released = hold_node_connects(site)
+        released = delay_node_connects(site)
         node.peers[0].cut()
         await site.wait_until(lambda: any(pool.waiting for pool in dispatcher.round_carrier.pools.values()))
         assert dispatcher.rounds.clock() < sent_ms + 350.0
@@ -745,7 +745,7 @@
     async def case(site: PlatformSite) -> None:
         node = await site.add_node()
         dispatcher = await site.start(OutcomeRecorder)
-        client, released = await site.connect_client(), hold_node_connects(site)
+        client, released = await site.connect_client(), delay_node_connects(site)
         pending_answer = asyncio.create_task(client.exchange(client_request()))
         await site.wait_until(lambda: any(pool.waiting for pool in dispatcher.round_carrier.pools.values()))
         known_node = next(iter(dispatcher.endpoint_list.addresses))
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -122,7 +122,7 @@
     run_case(tmp_path, case)
 
 
-def test_duplicate_call_id_is_refused_and_the_open_request_goes_on(tmp_path):
+def test_duplicate_call_id_is_refused_and_the_open_request_continues(tmp_path):
     async def case(site: PlatformSite) -> None:
         node = await site.add_node(work_ms=150.0)
         await site.start()
@@ -571,7 +571,7 @@
     run_case(tmp_path, case)
 
 
-def test_closed_client_is_reported_to_the_scheduler_and_leaves_nothing_open(tmp_path):
+def test_closed_client_is_reported_to_the_scheduler_and_its_request_is_dropped(tmp_path):
     async def case(site: PlatformSite) -> None:
         node = await site.add_node(work_ms=200.0)
         dispatcher = await site.start()
@@ -724,7 +724,7 @@
 
 def test_deadline_of_a_pipelined_request_counts_from_its_own_last_byte(tmp_path, monkeypatch):
     # If the deadline counted from the answer to the request before it, the client would be answered too late,
-    # and the node would be told to work for too long.
+    # and the node would get too much time.
     async def case(site: PlatformSite) -> None:
         node = await site.add_node(work_ms=400.0)
         dispatcher = await site.start(settings=long_deadline_settings(4.0))
@@ -835,8 +835,8 @@
     run_case(tmp_path, case)
 
 
-@pytest.mark.parametrize("piece", [1, 7, 10**6])
-def test_indented_lists_are_parsed_however_they_are_split(tmp_path, piece):
+@pytest.mark.parametrize("piece_bytes", [1, 7, 10**6])
+def test_indented_lists_are_parsed_however_they_are_split(tmp_path, piece_bytes):
     async def case(site: PlatformSite) -> None:
         node = await site.add_node()
         site.discovery.indent = 2
@@ -846,8 +846,8 @@
             for n, health in ((7, "in_service"), (8, "terminating"))
         ]
         data = b"\n" + b"\n\n".join(messages)  # without a line end after the last message
-        for at in range(0, len(data), piece):
-            site.discovery.raw(site.discovery.peers[0], data[at : at + piece])
+        for start in range(0, len(data), piece_bytes):
+            site.discovery.raw(site.discovery.peers[0], data[start : start + piece_bytes])
         await site.wait_until(
             lambda: next(iter(dispatcher.endpoint_list.addresses)).state is NodeState.DRAINING
         )
