--- a/cherrygrade/fleet/runtime/config_storage.py
+++ b/cherrygrade/fleet/runtime/config_storage.py
@@ -48,7 +48,7 @@
             return msgspec.msgpack.decode(body, type=StoredConfig) if body else None
         except (SealedFileError, msgspec.MsgspecError, UnicodeDecodeError, OSError) as error:
             try:
-                aside: object = await loop.run_in_executor(self._thread, self.file.put_aside)
+                aside: object = await loop.run_in_executor(self._thread, self.file.quarantine)
             except OSError as rename_error:
                 aside = f"nowhere: {rename_error}"
             self._log(
@@ -90,21 +90,21 @@
     @property
     def has_left(self) -> bool:
         """Whether this dispatcher left on purpose and has not been sure of its configuration since."""
-        return self.file is not None and self.file.has_left
+        return self.file is not None and self.file.has_leave_marker
 
     def record_leaving(self) -> None:
         """Write down that this dispatcher leaves on purpose; blocks for LEAVE_TIMEOUT_S at most."""
         if self.file is None:
             return
         try:
-            self._thread.submit(self.file.set_left).result(LEAVE_TIMEOUT_S)
+            self._thread.submit(self.file.set_leave_marker).result(LEAVE_TIMEOUT_S)
         except (OSError, TimeoutError) as error:
             self._log("configuration not kept", what=f"that this one leaves: {error}")
 
     def forget_leaving(self) -> None:
         """Remove the record that this dispatcher left, in the background."""
         if self.file is not None:
-            self._thread.submit(self.file.set_left, False)
+            self._thread.submit(self.file.set_leave_marker, False)
 
     def close(self) -> None:
         """Let the thread end behind its last write."""
--- a/cherrygrade/fleet/runtime/sealed_file.py
+++ b/cherrygrade/fleet/runtime/sealed_file.py
@@ -92,17 +92,17 @@
         self._sync_folder()
 
     @property
-    def has_left(self) -> bool:
+    def has_leave_marker(self) -> bool:
         """Whether the dispatcher left on purpose and has not been sure of its configuration since."""
         return self._left_marker.exists()
 
-    def set_left(self, left: bool = True) -> None:
+    def set_leave_marker(self, present: bool = True) -> None:
         """Write or remove the marker that the dispatcher left; it is on disk when this returns.
 
         Raises:
             OSError: The disk could not be written.
         """
-        if left:
+        if present:
             self.path.parent.mkdir(parents=True, exist_ok=True)
             self._left_marker.touch()
         else:
@@ -120,7 +120,7 @@
         """Delete the file: what it holds is outdated and must not come back after a restart."""
         self.path.unlink(missing_ok=True)
 
-    def put_aside(self) -> Path | None:
+    def quarantine(self) -> Path | None:
         """Rename the file for people to look at; return its new path, or None where there is no file."""
         if not self.path.exists():
             return None
--- a/cherrygrade/fleet/runtime/voter_store.py
+++ b/cherrygrade/fleet/runtime/voter_store.py
@@ -234,7 +234,7 @@
         self._env.close()
 
 
-def put_aside(folder: Path) -> Path | None:
+def quarantine(folder: Path) -> Path | None:
     """Rename the store in `folder` for people to look at; return its new path (None: there is none)."""
     file = folder / STORE_FILE
     if not file.exists():
@@ -275,7 +275,7 @@
     """
     why = check_store(folder, fleet, name)
     if why:
-        put_aside(folder)
+        quarantine(folder)
     store = VoterStore(folder, fleet, name, f"{crc32(f'{fleet}:{name}:{birth}'.encode()):08x}")
     return OpenedStore(store, store.load(), why)
 
--- a/tests/fleet/runtime/test_sealed_file.py
+++ b/tests/fleet/runtime/test_sealed_file.py
@@ -81,9 +81,9 @@
         file.path.write_bytes(data)
         with pytest.raises(SealedFileError):
             file.load()
-    assert file.put_aside() == tmp_path / "kept.aside-0" and file.load() == b""
+    assert file.quarantine() == tmp_path / "kept.aside-0" and file.load() == b""
     file.save(NEW)
-    assert file.put_aside() == tmp_path / "kept.aside-1"
+    assert file.quarantine() == tmp_path / "kept.aside-1"
 
 
 def test_a_failed_save_leaves_the_old_body(tmp_path):
@@ -97,11 +97,11 @@
 
 def test_the_left_marker_lasts_across_restarts_until_it_is_removed(tmp_path):
     place = tmp_path / "deep" / "kept"
-    assert not SealedFile(place).has_left
-    SealedFile(place).set_left()
-    assert SealedFile(place).has_left and SealedFile(place).load() == b""
+    assert not SealedFile(place).has_leave_marker
+    SealedFile(place).set_leave_marker()
+    assert SealedFile(place).has_leave_marker and SealedFile(place).load() == b""
     SealedFile(place).save(OLD)
-    assert SealedFile(place).has_left and SealedFile(place).load() == OLD
-    SealedFile(place).set_left(False)
-    SealedFile(place).set_left(False)
-    assert not SealedFile(place).has_left and SealedFile(place).load() == OLD
+    assert SealedFile(place).has_leave_marker and SealedFile(place).load() == OLD
+    SealedFile(place).set_leave_marker(False)
+    SealedFile(place).set_leave_marker(False)
+    assert not SealedFile(place).has_leave_marker and SealedFile(place).load() == OLD
--- a/tests/golden/test_disk.py
+++ b/tests/golden/test_disk.py
@@ -88,16 +88,16 @@
 
 def file_names(folder: Path) -> list[Any]:
     kept, found = SealedFile(folder / "kept"), list[Any]()
-    kept.set_left()
+    kept.set_leave_marker()
     found.append(sorted(one.name for one in folder.iterdir()))
-    kept.set_left(False)
+    kept.set_leave_marker(False)
     kept.save(b"one")
-    kept.put_aside()
+    kept.quarantine()
     kept.save(b"two")
-    kept.put_aside()
+    kept.quarantine()
     found.append(sorted(one.name for one in folder.iterdir()))
     store = folder / "store"
     write_steps(store)
-    voter_store.put_aside(store)
+    voter_store.quarantine(store)
     found.append(sorted(one.name for one in store.iterdir()))
     return found
