--- a/tests/golden/test_disk.py
+++ b/tests/golden/test_disk.py
@@ -92,16 +92,16 @@
 def file_names(folder: Path) -> list[Any]:
     """Return the file names after markers were set and files were quarantined."""
     sealed, found = SealedFile(folder / "kept"), list[Any]()
-    sealed.set_left()
+    sealed.set_leave_marker()
     found.append(sorted(file.name for file in folder.iterdir()))
-    sealed.set_left(False)
+    sealed.set_leave_marker(False)
     sealed.save(b"one")
-    sealed.put_aside()
+    sealed.quarantine()
     sealed.save(b"two")
-    sealed.put_aside()
+    sealed.quarantine()
     found.append(sorted(file.name for file in folder.iterdir()))
     store = folder / "store"
     write_steps(store)
-    voter_store.put_aside(store)
+    voter_store.quarantine(store)
     found.append(sorted(file.name for file in store.iterdir()))
     return found
