--- a/cherrygrade/cli.py
+++ b/cherrygrade/cli.py
@@ -73,7 +73,7 @@
     """
     site = _site(file, given)
     from cherrygrade.compiled import scheduler_class
-    from cherrygrade.gateway.life import serve as run
+    from cherrygrade.gateway.lifecycle import serve as run
     from cherrygrade.gateway.process import Gateway
     from cherrygrade.logs import make_log
 
--- a/cherrygrade/client/library.py
+++ b/cherrygrade/client/library.py
@@ -196,7 +196,7 @@
                 return
             except OSError:
                 conn.abort("no welcome in time")
-                self._come_from = self._backoff.lost(loop.time() * 1000.0)
+                self._come_from = self._backoff.record_failure(loop.time() * 1000.0)
 
     # What the connection tells.
 
@@ -218,7 +218,7 @@
     def frame(self, conn: Connection, message: Any, body: Any) -> None:
         if isinstance(message, wire.Welcome):
             self._conn = conn
-            self._backoff.made(asyncio.get_running_loop().time() * 1000.0)
+            self._backoff.record_connected(asyncio.get_running_loop().time() * 1000.0)
             if self._ready is not None and not self._ready.done():
                 self._ready.set_result(None)
             return
@@ -270,7 +270,7 @@
         if conn is self._conn:
             self._conn = self._ready = None
             now = asyncio.get_running_loop().time() * 1000.0
-            self._come_from = max(self._come_from, self._backoff.lost(now))
+            self._come_from = max(self._come_from, self._backoff.record_failure(now))
         self._lose(conn, f"connection lost: {why}")
 
     def _lose(self, conn: Connection, reason: str) -> None:
--- a/cherrygrade/extents/carrier.py
+++ b/cherrygrade/extents/carrier.py
@@ -25,7 +25,7 @@
 PARTS = "parts"  # the feature of clients that take a read's bytes as they come
 
 
-class House(Protocol):
+class RequestHost(Protocol):
     """The dispatcher, as ranges need it."""
 
     @property
@@ -42,10 +42,10 @@
 
     def clock(self) -> float: ...
 
-    def until(self, session: ClientSession, ask: ReadRpc | WriteRpc) -> float:
+    def answer_deadline_ms(self, session: ClientSession, ask: ReadRpc | WriteRpc) -> float:
         """When the RPC's answer must be on its way. To be asked once an RPC."""
 
-    def make(
+    def new_request(
         self,
         session: ClientSession,
         ask: ReadRpc | WriteRpc,
@@ -57,7 +57,7 @@
         until: float,
     ) -> InflightRequest: ...
 
-    def take_plain(self, session: ClientSession, ask: ReadRpc | WriteRpc, body: Body) -> InflightRequest:
+    def submit_direct(self, session: ClientSession, ask: ReadRpc | WriteRpc, body: Body) -> InflightRequest:
         """An RPC that no map is asked for."""
 
     def admit(self, held: InflightRequest) -> None:
@@ -66,20 +66,20 @@
     def abandon(self, held: InflightRequest) -> None:
         """The module is to go on with it no more."""
 
-    def release(self, one: InflightRequest | RangeRequest) -> Claim | None: ...
+    def detach_claim(self, one: InflightRequest | RangeRequest) -> Claim | None: ...
 
-    def pin_sends(self, held: InflightRequest, claim: Claim) -> None: ...
+    def pin_attempts(self, held: InflightRequest, claim: Claim) -> None: ...
 
-    def let_go(self, one: InflightRequest | RangeRequest) -> None: ...
+    def discard_memory(self, one: InflightRequest | RangeRequest) -> None: ...
 
-    def keeps(self, one: RangeRequest) -> bool:
+    def is_open(self, one: RangeRequest) -> bool:
         """Whether it is taken and not over."""
 
-    def final(
+    def send_final_answer(
         self, one: InflightRequest | RangeRequest, message: Ok | Rejected | Errored, body: Body = None
     ) -> None: ...
 
-    def look_again(self) -> None:
+    def extents_located(self) -> None:
         """RPCs that waited for their place have one now."""
 
 
@@ -110,7 +110,7 @@
 
     def enter(self) -> None:
         """Find room for the whole, if it is put together here, and then the map."""
-        session, ask, rooms = self.session, self.rpc, self.carrier.house.rooms
+        session, ask, rooms = self.session, self.rpc, self.carrier.host.rooms
         if not (self.writes or self.streams) and self.length:
             self.claim = rooms.ask(session.account, ask.workload, ask.volume, self.length, self, ask.left_ms)
             if waits(self.claim):
@@ -122,8 +122,8 @@
 
     def cramped(self, claim: Claim) -> None:
         self.drop()
-        house = self.carrier.house
-        house.final(self, Rejected(self.rpc.id, house.come_back_ms, "no room for its bytes"))
+        host = self.carrier.host
+        host.send_final_answer(self, Rejected(self.rpc.id, host.come_back_ms, "no room for its bytes"))
 
     def plan(self) -> None:
         """Begin anew by the map, which is known now; nothing has been sent before it was."""
@@ -150,12 +150,12 @@
         if self.cramped_piece is not None and waits(self.cramped_piece.claim):
             return  # one that waits for room is enough: the next goes behind it
         carrier, self.cramped_piece = self.carrier, None
-        most = 1 if carrier.house.rooms.store.waits else carrier.cuts.pieces
+        most = 1 if carrier.host.rooms.store.waits else carrier.cuts.pieces
         for piece in self.parent.more(lambda extent: carrier.map.home(self.rpc.volume, extent), most):
             held = carrier.hold_piece(self, piece)
             self.helds[piece] = held
             session.bytes_in_flight += piece.stretch.length
-            carrier.house.admit(held)
+            carrier.host.admit(held)
             if waits(held.claim):
                 self.cramped_piece = held
 
@@ -164,7 +164,9 @@
         assert isinstance(piece, Piece)
         stretch = piece.stretch
         if self.streams and body is not None:
-            self.session.send_message(Part(self.rpc.id, stretch.at), body, self.carrier.house.release(held))
+            self.session.send_message(
+                Part(self.rpc.id, stretch.at), body, self.carrier.host.detach_claim(held)
+            )
         elif self.whole is not None and not self.writes and body is not None and body is not held.destination:
             self.whole[stretch.at : stretch.at + stretch.length] = body
         self._landed(piece)
@@ -201,38 +203,40 @@
         if end is None:
             return
         self.drop()
-        ask, house = self.rpc, self.carrier.house
+        ask, host = self.rpc, self.carrier.host
         if end is End.OK:
             body = None if self.streams or self.writes else self.whole
-            house.final(self, Ok(ask.id, -1), body)
+            host.send_final_answer(self, Ok(ask.id, -1), body)
         elif end is End.REJECTED:
-            house.final(self, Rejected(ask.id, parent.come_back_ms, "a piece of it was rejected"))
+            host.send_final_answer(self, Rejected(ask.id, parent.come_back_ms, "a piece of it was rejected"))
         else:
             what = "a piece failed: its ranges may hold new bytes or old" if self.writes else "a piece failed"
-            house.final(self, Errored(ask.id, what))
+            host.send_final_answer(self, Errored(ask.id, what))
 
     def drop(self) -> None:
         """Pieces that are still held are of no use any more."""
         self.session.waiting_ranges.pop(self, None)
         helds, self.helds = self.helds, {}
         for held in helds.values():
-            self.carrier.house.abandon(held)
+            self.carrier.host.abandon(held)
             self._let_go(held)
 
     def _let_go(self, held: InflightRequest) -> None:
-        house = self.carrier.house
+        host = self.carrier.host
         self.session.bytes_in_flight -= held.length
         if self.claim is not None:
-            house.pin_sends(held, self.claim)
-        house.let_go(held)
+            host.pin_attempts(held, self.claim)
+        host.discard_memory(held)
 
 
 class Carrier:
     """All of a dispatcher's ranges. `astray` is emptied by the map's word and by the RPCs' ends, `unmapped`
     by the volume's map or its RPCs' ends, `company` by the hold's end."""
 
-    def __init__(self, house: House, cuts: ExtentSettings, ask_map: Callable[[str, int, int], None]) -> None:
-        self.house, self.cuts, self.ask_map = house, cuts, ask_map
+    def __init__(
+        self, host: RequestHost, cuts: ExtentSettings, ask_map: Callable[[str, int, int], None]
+    ) -> None:
+        self.host, self.cuts, self.ask_map = host, cuts, ask_map
         self.map = ExtentMap()
         self.holds = Company(cuts.hold_part)
         self.astray: dict[tuple[str, int], list[InflightRequest]] = {}
@@ -246,16 +250,16 @@
         self, session: ClientSession, ask: ReadRpc | WriteRpc, body: Any
     ) -> InflightRequest | Range | None:
         """A client's RPC on a range; None where it was answered at once."""
-        house, volume = self.house, ask.volume
+        host, volume = self.host, ask.volume
         length = ask.length if isinstance(ask, ReadRpc) else len(body or b"")
-        workload, dealt = house.trade.workloads.get(ask.workload), house.trade.volumes.get(volume)
+        workload, dealt = host.trade.workloads.get(ask.workload), host.trade.volumes.get(volume)
         if workload is None or dealt is None:
-            return house.take_plain(session, ask, body)  # the module rejects what it does not know
+            return host.submit_direct(session, ask, body)  # the module rejects what it does not know
         if isinstance(ask, WriteRpc) and ask.append:
             session.conn.send(Errored(ask.id, "a range has no end to append to"))
             return None
         if not self.map.known(volume):
-            range_ = Range(self, session, ask, body, house.until(session, ask), workload, dealt)
+            range_ = Range(self, session, ask, body, host.answer_deadline_ms(session, ask), workload, dealt)
             range_.enter()
             return range_
         told = self._judge(ask, length, workload)
@@ -264,7 +268,7 @@
             return None
         first = next(self.map.stretches(volume, ask.offset, length, self.cuts.most_piece))
         if first.length < length:
-            range_ = Range(self, session, ask, body, house.until(session, ask), workload, dealt)
+            range_ = Range(self, session, ask, body, host.answer_deadline_ms(session, ask), workload, dealt)
             self.split += 1
             range_.enter()
             return range_
@@ -276,11 +280,11 @@
                 held.extent,
                 held.offset,
                 held.offset + held.length,
-                house.clock(),
+                host.clock(),
                 workload.latency_objective_ms,
             )
         if wait <= 0.0:
-            house.admit(held)
+            host.admit(held)
             return held
         key = (volume, held.extent)
         if key not in self.company:
@@ -294,16 +298,18 @@
         helds = [held for held in self.company.pop(key) if not held.finished]
         spans = sorted((held.offset, held.offset + held.length) for held in helds)
         met = sum(later[0] <= earlier[1] for earlier, later in pairwise(spans))
-        self.holds.met(*key, self.house.clock(), met + 1)
+        self.holds.met(*key, self.host.clock(), met + 1)
         self.held_vain += not met
         for held in helds:
-            self.house.admit(held)
+            self.host.admit(held)
 
     def _single(
         self, session: ClientSession, ask: ReadRpc | WriteRpc, body: Any, stretch: Stretch
     ) -> InflightRequest:
         shard, version = self.map.home(ask.volume, stretch.extent)
-        return self._held(session, ask, body, stretch, shard, version, self.house.until(session, ask))
+        return self._held(
+            session, ask, body, stretch, shard, version, self.host.answer_deadline_ms(session, ask)
+        )
 
     def hold_piece(self, range_: Range, piece: Piece) -> InflightRequest:
         stretch, ask = piece.stretch, range_.rpc
@@ -334,7 +340,7 @@
     ) -> InflightRequest:
         """The module's RPC on one stretch; it waits for the map's word where its place is not known.
         `workload`: of an RPC that was taken before."""
-        held = self.house.make(
+        held = self.host.new_request(
             session, ask, body, f"e{stretch.extent}", shard, stretch.start, stretch.length, until
         )
         held.extent, held.version = stretch.extent, max(0, version)
@@ -378,7 +384,7 @@
             else:
                 self._ask(*key, 1)
         for volume, ranges in [*self.unmapped.items()]:
-            ranges[:] = [one for one in ranges if self.house.keeps(one)]
+            ranges[:] = [one for one in ranges if self.host.is_open(one)]
             if ranges:
                 self._ask(volume, 0, 2**31)
             else:
@@ -393,10 +399,10 @@
                 if not held.finished:
                     held.shard, held.version, found = shard, version, True
         for range_ in self.unmapped.pop(word.volume, []):
-            if self.house.keeps(range_):
+            if self.host.is_open(range_):
                 self.find(range_)
         if found:
-            self.house.look_again()
+            self.host.extents_located()
 
     def _judge(self, ask: ReadRpc | WriteRpc, length: int, workload: Workload) -> Ok | Errored | None:
         """What the map alone tells of a range: its final answer, or None where it goes on."""
@@ -424,7 +430,7 @@
             range_.plan()
         else:
             range_.drop()
-            self.house.final(range_, told)
+            self.host.send_final_answer(range_, told)
 
     def close(self) -> None:
         if self._again is not None:
@@ -433,7 +439,7 @@
     def tell(self) -> None:
         """What merging and splitting did since the last line; silent where they did nothing."""
         if self.joined or self.split or self.held_vain or self.stales:
-            self.house.log(
+            self.host.log(
                 "ranges",
                 joined=self.joined,
                 split=self.split,
--- a/cherrygrade/gateway/lateness.py
+++ b/cherrygrade/gateway/lateness.py
@@ -20,13 +20,13 @@
     def __init__(self, now: float) -> None:
         self._now, self._before, self._ends = 0.0, 0.0, now + SPAN_MS
 
-    def saw(self, late_ms: float, now: float) -> None:
+    def record(self, late_ms: float, now: float) -> None:
         """A timer rang so much after its time."""
         self._turn(now)
         if late_ms > GRAIN_MS:
             self._now = max(self._now, min(late_ms, MOST_MS))
 
-    def margin(self, left_ms: float, now: float) -> float:
+    def margin_ms(self, left_ms: float, now: float) -> float:
         """What to keep back of a client's time, beside the answer's way."""
         self._turn(now)
         return min(max(self._now, self._before), max(0.0, left_ms) / 2.0)
--- a/cherrygrade/gateway/life.py
+++ b/cherrygrade/gateway/lifecycle.py
@@ -9,13 +9,13 @@
 from collections.abc import Callable
 from typing import Protocol, TypeVar
 
-from cherrygrade.gateway.wheel import Wheel
+from cherrygrade.gateway.timer_wheel import TimerWheel
 
 T = TypeVar("T")
-LEFT_CLEAN, LEFT_BROKEN, LEFT_BY_FORCE = 0, 70, 75
+EXIT_CLEAN, EXIT_BROKEN, EXIT_FORCED = 0, 70, 75
 
 
-class Life(Protocol):
+class HostProcess(Protocol):
     done: asyncio.Future[int]
 
     async def start(self) -> int: ...
@@ -23,15 +23,17 @@
     def leave(self) -> None: ...
 
 
-class Alarm:
+class WakeTimer:
     """One timer of the event loop for all that stands on a wheel; `ring(now)` takes out what is due."""
 
-    def __init__(self, wheel: Wheel[T], clock: Callable[[], float], ring: Callable[[float], None]) -> None:
-        self._next_at, self._clock, self._ring_ = wheel.next_at, clock, ring
+    def __init__(
+        self, wheel: TimerWheel[T], clock: Callable[[], float], ring: Callable[[float], None]
+    ) -> None:
+        self._next_at, self._clock, self._ring_ = wheel.next_expiry_ms, clock, ring
         self._timer: asyncio.TimerHandle | None = None
         self._at = 0.0
 
-    def set(self) -> None:
+    def schedule(self) -> None:
         at = self._next_at()
         if at is None or (self._timer is not None and self._at <= at):
             return
@@ -43,18 +45,18 @@
         self._timer = None
         if self._next_at() is not None:
             self._ring_(self._clock())
-            self.set()
+            self.schedule()
 
     def close(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
 
 
-def module_broke(log: Callable[..., None], trouble: Exception, round_: str) -> None:
+def log_scheduler_crash(log: Callable[..., None], trouble: Exception, round_: str) -> None:
     log("module broke", round=round_, traceback="".join(traceback.format_exception(trouble)))
 
 
-async def serve(life: Life, started: Callable[[int], None] | None = None) -> int:
+async def serve(life: HostProcess, started: Callable[[int], None] | None = None) -> int:
     """Run until told to leave; gives the exit code: 0 all answered, 70 the module broke, 75 cut short."""
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/cherrygrade/gateway/links.py
+++ b/cherrygrade/gateway/node_client.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from cherrygrade.gateway.pool import Line, Pool
+from cherrygrade.gateway.node_connection_pool import NodeConnectionPool, PooledConnection
 from cherrygrade.gateway.rounds import Rounds
-from cherrygrade.gateway.wheel import Wheel
+from cherrygrade.gateway.timer_wheel import TimerWheel
 from cherrygrade.inflight import InflightAttempt, InflightRequest
 from cherrygrade.peers.store import Claim
 from cherrygrade.scheduling.model import Idempotency, Node, NodeState, Outcome
@@ -40,19 +40,19 @@
 
     def __init__(self, parts: list[InflightAttempt]) -> None:
         self.parts = parts
-        self.line: NodeLine | None = None
+        self.line: NodeConnection | None = None
         self.stream = self.low = self.high = 0
 
-    def begin(self, line: NodeLine, stream: int) -> None:
+    def begin(self, line: NodeConnection, stream: int) -> None:
         self.line, self.stream = line, stream
         self.low = min(out.request.offset for out in self.parts)
         self.high = max(out.request.offset + out.request.length for out in self.parts)
 
 
-class NodeLine:
+class NodeConnection:
     """One connection to a node: greets, carries sends, matches answers. Owner of its `Connection`."""
 
-    def __init__(self, link: Link, line: Line) -> None:
+    def __init__(self, link: NodeClient, line: PooledConnection) -> None:
         self.link, self.line = link, line
         self.conn = Connection(self, link.most_body, taken=link.unpin)
         self.receiving: Flight | None = None  # whose body is coming in
@@ -141,7 +141,7 @@
     return out.request.offset
 
 
-class Link:
+class NodeClient:
     """All that goes to one node from here. `waiting` is emptied by lines, failed connects and time-outs."""
 
     def __init__(
@@ -150,7 +150,7 @@
         name: str,
         seed: str,
         rounds: Rounds,
-        wheel: Wheel[InflightAttempt],
+        wheel: TimerWheel[InflightAttempt],
         most_body: int,
         lines: NodeConnectionSettings,
         log: Callable[..., None],
@@ -161,10 +161,10 @@
         self.most_body, self.log = most_body, log
         self.connect_ms = lines.connect_ms
         self._from = (lines.source, 0) if lines.source else None
-        self.pool = Pool(seed, lines.most, lines.streams, lines.idle_ms)
+        self.pool = NodeConnectionPool(seed, lines.most, lines.streams, lines.idle_ms)
         self.waiting: deque[Flight] = deque()
         self.stale, self.unpin = stale, unpin
-        self.lines: dict[Line, NodeLine] = {}
+        self.lines: dict[PooledConnection, NodeConnection] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._again: asyncio.TimerHandle | None = None
         self._sweep: asyncio.TimerHandle | None = None
@@ -189,7 +189,7 @@
         now = self.rounds.clock()
         while self.pool.wants(len(self.waiting), now):
             line = self.pool.begin(now)
-            carried = self.lines[line] = NodeLine(self, line)
+            carried = self.lines[line] = NodeConnection(self, line)
             task = asyncio.get_running_loop().create_task(self._connect(carried))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
@@ -201,7 +201,7 @@
         self._again = None
         self.pump()
 
-    def _start(self, flight: Flight, carried: NodeLine) -> None:
+    def _start(self, flight: Flight, carried: NodeConnection) -> None:
         carried.last += 1
         flight.begin(carried, carried.last)
         carried.flights[flight.stream] = flight
@@ -268,7 +268,7 @@
             )
         carried.line.full = carried.conn.full
 
-    async def _connect(self, carried: NodeLine) -> None:
+    async def _connect(self, carried: NodeConnection) -> None:
         host, _, port = self.node.address.rpartition(":")
         loop = asyncio.get_running_loop()
         try:
@@ -280,7 +280,7 @@
         left = self.connect_ms / 1000.0
         carried.greeting = loop.call_later(left, carried.conn.abort, "no welcome in time")
 
-    def stands(self, carried: NodeLine) -> None:
+    def stands(self, carried: NodeConnection) -> None:
         if carried.greeting is not None:
             carried.greeting.cancel()
         self.pool.stands(carried.line, self.rounds.clock())
@@ -299,12 +299,12 @@
         if self.lines:
             self._look_idle()
 
-    def _let_go(self, carried: NodeLine, why: str) -> None:
+    def _let_go(self, carried: NodeConnection, why: str) -> None:
         carried.let_go = True
         self.pool.gone(carried.line, self.rounds.clock(), wanted=False)
         carried.conn.close(why)
 
-    def lost(self, carried: NodeLine, why: str) -> None:
+    def lost(self, carried: NodeConnection, why: str) -> None:
         """A line ended, or never came to be: each of its sends ends as reset, it may have run."""
         if self.lines.pop(carried.line, None) is None:
             return
@@ -333,8 +333,8 @@
     def part_ended(
         self, out: InflightAttempt, outcome: Outcome, body: bytearray | memoryview | None = None
     ) -> None:
-        self.wheel.drop(out, out.timer_slot)
-        self.rounds.outcome(out, outcome, body)
+        self.wheel.remove(out, out.timer_slot)
+        self.rounds.record_outcome(out, outcome, body)
         flight: Flight | None = out.frame
         claim, out.claim = out.claim, None
         if flight is not None and flight.line is not None and flight.line.receiving is flight:
@@ -350,7 +350,7 @@
         elif claim is not None:
             self.unpin(claim)
 
-    def flight_over(self, carried: NodeLine) -> None:
+    def flight_over(self, carried: NodeConnection) -> None:
         self.pool.gave(carried.line, self.rounds.clock())
         if self.waiting:
             self.pump()
--- a/cherrygrade/gateway/words.py
+++ b/cherrygrade/gateway/peer_messaging.py
@@ -61,7 +61,7 @@
 
     def connected(self, conn: Connection) -> None:
         self._conn, self._task = conn, None
-        self._backoff.made(self._clock())
+        self._backoff.record_connected(self._clock())
         conn.send(Hello(VERSION, "peer", self.name, [self.seat]))
 
     def room(self, conn: Connection, message: Any, length: int) -> None:
@@ -76,14 +76,14 @@
 
     def closed(self, conn: Connection, why: str) -> None:
         self._conn = self._task = None
-        self._not_before = self._backoff.lost(self._clock())
+        self._not_before = self._backoff.record_failure(self._clock())
         self._log("no way to a dispatcher", place=self.place, why=why)
 
 
 class Ear:
     """A connection that came in: a hello that tells who speaks, then words."""
 
-    def __init__(self, words: Words) -> None:
+    def __init__(self, words: PeerMessaging) -> None:
         self.words, self.number = words, -1
         self._second, self._heard = 0.0, 0
         self.conn = Connection(self, 0)
@@ -132,7 +132,7 @@
         self.words.ears.pop(self, None)
 
 
-class Words:
+class PeerMessaging:
     """All ways of one dispatcher: `places` by number, its own among them. Mouths are one a place; ears go
     with their connections."""
 
--- a/cherrygrade/gateway/process.py
+++ b/cherrygrade/gateway/process.py
@@ -9,14 +9,14 @@
 
 from cherrygrade.extents.carrier import Carrier
 from cherrygrade.gateway.lateness import Lateness
-from cherrygrade.gateway.life import LEFT_BROKEN, LEFT_BY_FORCE, LEFT_CLEAN, Alarm, module_broke
-from cherrygrade.gateway.links import Link, NodeLine
+from cherrygrade.gateway.lifecycle import EXIT_BROKEN, EXIT_CLEAN, EXIT_FORCED, WakeTimer, log_scheduler_crash
+from cherrygrade.gateway.node_client import NodeClient, NodeConnection
+from cherrygrade.gateway.peer_messaging import PeerMessaging
 from cherrygrade.gateway.register_watch import RegisterWatch
-from cherrygrade.gateway.roster import Book
+from cherrygrade.gateway.registered_nodes import RegisteredNodes
 from cherrygrade.gateway.rounds import Rounds
 from cherrygrade.gateway.sessions import Session
-from cherrygrade.gateway.wheel import Wheel
-from cherrygrade.gateway.words import Words
+from cherrygrade.gateway.timer_wheel import TimerWheel
 from cherrygrade.inflight import Body, ClientSession, InflightAttempt, InflightRequest, RangeRequest
 from cherrygrade.peers.arrivals import Arrivals
 from cherrygrade.peers.rooms import Rooms
@@ -77,18 +77,18 @@
         self.name, self.most_body, self.most_open = place.name, bounds.most_body, bounds.most_open
         self.hello_ms, self.come_back_ms = bounds.hello_ms, bearings.permits.max_retry_after_ms
         self.leaving, self._lingering = False, True
-        self.held: dict[
+        self.open_requests: dict[
             InflightRequest | RangeRequest, None
         ] = {}  # taken and not over; emptied by final answers and leavings
         self.sessions: dict[Session, None] = {}
         self.arrivals: Arrivals[Session] = Arrivals(bounds.most_clients, bounds.most_silent)
-        self.links: dict[Node, Link] = {}
+        self.node_clients: dict[Node, NodeClient] = {}
         self.nodes = NodeTable()
-        self.wheel: Wheel[InflightAttempt] = Wheel()
+        self.wheel: TimerWheel[InflightAttempt] = TimerWheel()
         self.done: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self.agent: FleetAgent | None = None
         self.overlay = overlay
-        self.company: FleetPeerDirectory | None = None
+        self.peer_directory: FleetPeerDirectory | None = None
         self._unsure = False  # what the fleet's configuration is: then this one has no part
         self._in_force: tuple[SiteSettings, ConfigVersion | None, int] | None = None
         if overlay is not None:
@@ -106,12 +106,12 @@
                 place.seed,
                 origin or StartReference(0),
                 lambda: loop.time() * 1000.0,
-                lambda peer, word: self.rounds.hear(peer, word),
+                lambda peer, word: self.rounds.receive_gossip(peer, word),
                 log,
                 self.in_force if overlay is not None else None,
                 overlay.judge if overlay is not None else None,
             )
-            self.company = FleetPeerDirectory(self.agent.membership, seat)
+            self.peer_directory = FleetPeerDirectory(self.agent.membership, seat)
         dispatcher = make(
             seed=place.seed,
             number=place.number,
@@ -122,7 +122,7 @@
             retry_budget=bearings.budget,
             policy=bearings.permits,
             key_rest_ms=bearings.key_rest_ms,
-            **({"peers": self.company} if self.company is not None else {}),
+            **({"peers": self.peer_directory} if self.peer_directory is not None else {}),
         )
         pace = pace or FlowControlSettings()
         pressed = partial(
@@ -136,7 +136,7 @@
         self.register_watch = RegisterWatch(
             place.register,
             place.name,
-            Book(self.nodes),
+            RegisteredNodes(self.nodes),
             bearings.permits.polls_endpoints,
             self.rounds.clock,
             self._heard,
@@ -152,33 +152,35 @@
             self._node_lines,
             self.come_back_ms,
             log,
-            self.lateness.saw,
+            self.lateness.record,
         )
-        self.words: Words | None = None
+        self.peer_messaging: PeerMessaging | None = None
         if places:
-            self.words = Words(places, place.number, place.name, self.rounds.clock, self.rounds.hear, log)
+            self.peer_messaging = PeerMessaging(
+                places, place.number, place.name, self.rounds.clock, self.rounds.receive_gossip, log
+            )
         self._server: asyncio.Server | None = None
-        self._alarm = Alarm(self.wheel, self.rounds.clock, self.before_round)
+        self._wake_timer = WakeTimer(self.wheel, self.rounds.clock, self.before_round)
         self._telling: asyncio.TimerHandle | None = None
 
-    # Life.
+    # Lifecycle.
 
     async def start(self) -> int:
         """Listen, follow the register; gives the port."""
         host = self.place.listen.rpartition(":")[0]
-        if self.words is not None:
-            await self.words.start()
+        if self.peer_messaging is not None:
+            await self.peer_messaging.start()
         if self.agent is not None:  # a version that was kept is in force before anybody is served
             await self.agent.start()
-            if self.agent.config is not None and self.company is not None:
+            if self.agent.config is not None and self.peer_directory is not None:
                 self._unsure = not self._sure()
-                self.company.has_quota = self.company.has_quota and not self._unsure
+                self.peer_directory.has_quota = self.peer_directory.has_quota and not self._unsure
         self._server = await listen(lambda: Session(self).conn, self.place.listen, BACKLOG, ABREAST)
         self.register_watch.start()
         if self.watch.pace.watch:
             self.watch.start()
         if self.register_watch.must_ask:
-            self.rounds.stir()  # the first round asks for the list
+            self.rounds.schedule_round()  # the first round asks for the list
         self._tell()
         bound: int = self._server.sockets[0].getsockname()[1]
         self.log("listening", address=f"{host}:{bound}", dispatcher=self.name)
@@ -187,17 +189,17 @@
     def leave(self) -> None:
         """Take nothing new, finish what is held inside its deadlines, end; a second call ends at once."""
         if self.leaving:
-            self._end(LEFT_BY_FORCE)
+            self._end(EXIT_FORCED)
             return
         self.leaving = True
-        self.log("leaving", held=len(self.held))
+        self.log("leaving", held=len(self.open_requests))
         if self.agent is not None:
             self.agent.leave()
         if self._server is not None:
             self._server.close()
         for session in self.sessions:
             session.conn.send(Leaving("dispatcher leaves", self.come_back_ms))
-        asyncio.get_running_loop().call_later(self.bounds.leave_ms / 1000.0, self._end, LEFT_BY_FORCE)
+        asyncio.get_running_loop().call_later(self.bounds.leave_ms / 1000.0, self._end, EXIT_FORCED)
         asyncio.get_running_loop().call_later(LINGER_MS / 1000.0, self._linger_over)
         self._look_done()
 
@@ -207,8 +209,8 @@
         self.rooms.tell()
         if self.agent is not None:
             self.log("fleet", side=self.agent.membership.partition_state.value, **self.agent.counts())
-        if self.words is not None:
-            words, module = self.words, self.rounds.module
+        if self.peer_messaging is not None:
+            words, module = self.peer_messaging, self.rounds.scheduler
             counts = {"said": words.said, "lost": words.lost, "dropped": words.dropped}
             if any(counts.values()) or module.load_gossip.malformed:
                 self.log("words", **counts, nonsense=module.load_gossip.malformed)
@@ -220,54 +222,54 @@
         self._look_done()
 
     def _look_done(self) -> None:
-        if self.leaving and not self.held and not (self._lingering and self.sessions):
+        if self.leaving and not self.open_requests and not (self._lingering and self.sessions):
             # What this round still writes goes out first.
-            asyncio.get_running_loop().call_soon(self._end, LEFT_CLEAN)
+            asyncio.get_running_loop().call_soon(self._end, EXIT_CLEAN)
 
     def _end(self, code: int) -> None:
         if self.done.done():
             return
-        self.rounds.end()
-        for held in [*self.held]:
+        self.rounds.stop()
+        for held in [*self.open_requests]:
             assert held.rpc is not None
             if not isinstance(held, InflightRequest):
                 held.drop()
-            self.final(held, Errored(held.rpc.id, "dispatcher ends"))
+            self.send_final_answer(held, Errored(held.rpc.id, "dispatcher ends"))
         if self._server is not None:
             self._server.close()
         self.register_watch.close()
-        if self.words is not None:
-            self.words.close()
+        if self.peer_messaging is not None:
+            self.peer_messaging.close()
         if self.agent is not None:
             self.agent.close()
         self._tell()
         self.ranges.close()
         self.watch.close()
         self.rooms.close()
-        for link in self.links.values():
+        for link in self.node_clients.values():
             link.close()
         for session in [*self.sessions]:
             session.conn.close("dispatcher leaves", self.come_back_ms)
-        self._alarm.close()
+        self._wake_timer.close()
         if self._telling is not None:
             self._telling.cancel()
         self.log("ended", code=code)
         self.done.set_result(code)
 
     def _crashed(self, trouble: Exception, round_: str) -> None:
-        module_broke(self.log, trouble, round_)
-        self._end(LEFT_BROKEN)
+        log_scheduler_crash(self.log, trouble, round_)
+        self._end(EXIT_BROKEN)
 
-    def _node_lines(self) -> list[NodeLine]:
-        return [line for link in self.links.values() for line in link.lines.values()]
+    def _node_lines(self) -> list[NodeConnection]:
+        return [line for link in self.node_clients.values() for line in link.lines.values()]
 
     # What sessions call.
 
     @property
     def full(self) -> bool:
-        return self.leaving or len(self.held) >= self.bounds.most_held
+        return self.leaving or len(self.open_requests) >= self.bounds.most_held
 
-    def enter(self, session: Session) -> bool:
+    def register_session(self, session: Session) -> bool:
         if self.leaving:
             return False
         place, goes = self.arrivals.came(session, len(self.sessions))
@@ -277,25 +279,25 @@
             self.sessions[session] = None
         return place
 
-    def spoke(self, session: Session) -> None:
+    def session_greeted(self, session: Session) -> None:
         self.arrivals.spoke(session)
 
-    def exit(self, session: Session, why: str) -> None:
+    def remove_session(self, session: Session, why: str) -> None:
         self.arrivals.spoke(session)
         if self.sessions.pop(session, self) is None:
             self.log("client left", client=session.name, peer=session.conn.peer, why=why)
             self._look_done()
 
-    def until(self, session: ClientSession, ask: ReadRpc | WriteRpc) -> float:
+    def answer_deadline_ms(self, session: ClientSession, ask: ReadRpc | WriteRpc) -> float:
         """When the RPC's answer must be on its way. To be asked once an RPC."""
         now = self.rounds.clock()
         waited = session.transit_ms(ask.at_ms, now)
         workload = self.trade.workloads.get(ask.workload)
         # Clients of one workload that give themselves more time than it has would make the others look late.
         left = min(ask.left_ms, workload.deadline_ms if workload else 1e7) - waited
-        return now + left - self.bounds.answer_ms - self.lateness.margin(left, now)
+        return now + left - self.bounds.answer_ms - self.lateness.margin_ms(left, now)
 
-    def make(
+    def new_request(
         self,
         session: ClientSession,
         ask: ReadRpc | WriteRpc,
@@ -330,12 +332,14 @@
         self, session: Session, ask: ReadRpc | WriteRpc, body: Any
     ) -> InflightRequest | RangeRequest | None:
         """An RPC on an extent that the client names itself, or on a range; None: answered at once."""
-        return self.take_plain(session, ask, body) if ask.key else self.ranges.take(session, ask, body)
+        return self.submit_direct(session, ask, body) if ask.key else self.ranges.take(session, ask, body)
 
-    def take_plain(self, session: ClientSession, ask: ReadRpc | WriteRpc, body: Body) -> InflightRequest:
+    def submit_direct(self, session: ClientSession, ask: ReadRpc | WriteRpc, body: Body) -> InflightRequest:
         """An RPC that no map is asked for."""
         length = ask.length if isinstance(ask, ReadRpc) else len(body or b"")
-        held = self.make(session, ask, body, ask.key, ask.shard, ask.offset, length, self.until(session, ask))
+        held = self.new_request(
+            session, ask, body, ask.key, ask.shard, ask.offset, length, self.answer_deadline_ms(session, ask)
+        )
         self.admit(held)
         return held
 
@@ -349,43 +353,43 @@
             left = held.deadline_ms - self.rounds.clock()
             held.claim = self.rooms.ask(session.account, work.name, held.volume, held.length, held, left)
         if not waits(held.claim):
-            self.rounds.take(held)
+            self.rounds.submit(held)
 
-    def admitted(self, held: InflightRequest) -> None:
+    def memory_admitted(self, held: InflightRequest) -> None:
         """Room for its bytes came."""
-        self.rounds.take(held)
+        self.rounds.submit(held)
 
-    def keep(self, taken: InflightRequest | RangeRequest) -> None:
-        self.held[taken] = None
+    def add_open_request(self, taken: InflightRequest | RangeRequest) -> None:
+        self.open_requests[taken] = None
 
-    def keeps(self, one: RangeRequest) -> bool:
-        return one in self.held
+    def is_open(self, one: RangeRequest) -> bool:
+        return one in self.open_requests
 
     def abandon(self, held: InflightRequest) -> None:
-        self.rounds.leave(held)
+        self.rounds.abandon(held)
 
     def clock(self) -> float:
         return self.rounds.clock()
 
-    def turn_away(self, held: InflightRequest) -> None:
+    def reject_without_memory(self, held: InflightRequest) -> None:
         """No room came in its time: it never was the module's."""
         held.finished = True
         if held.range is not None:
             held.range.rejected(held, self.come_back_ms)
         elif held.rpc is not None:
-            self.final(held, Rejected(held.rpc.id, self.come_back_ms, "no room for its bytes"))
+            self.send_final_answer(held, Rejected(held.rpc.id, self.come_back_ms, "no room for its bytes"))
 
-    def release(self, held: InflightRequest | RangeRequest) -> Claim | None:
+    def detach_claim(self, held: InflightRequest | RangeRequest) -> Claim | None:
         """The RPC needs its room no more: whoever gets it gives it back. Sends that are out still hold it."""
         if isinstance(held, InflightRequest) and held.purse is not None:
             held.purse.spent -= held.length
             held.purse = None
         claim, held.claim = held.claim, None
         if claim is not None and isinstance(held, InflightRequest):
-            self.pin_sends(held, claim)
+            self.pin_attempts(held, claim)
         return claim
 
-    def pin_sends(self, held: InflightRequest, claim: Claim) -> None:
+    def pin_attempts(self, held: InflightRequest, claim: Claim) -> None:
         """The RPC is over, its sends are not: their bytes have to go, or to come in."""
         for out in held.attempts:
             if (
@@ -397,23 +401,23 @@
                 claim.pin()
                 out.claim = claim
 
-    def let_go(self, held: InflightRequest | RangeRequest) -> None:
+    def discard_memory(self, held: InflightRequest | RangeRequest) -> None:
         """Nobody gets its bytes."""
-        self.rooms.leave(self.release(held))
+        self.rooms.leave(self.detach_claim(held))
 
-    def left(self, held: InflightRequest | RangeRequest) -> None:
-        self.held.pop(held, None)
+    def client_abandoned(self, held: InflightRequest | RangeRequest) -> None:
+        self.open_requests.pop(held, None)
         if isinstance(held, InflightRequest):
-            self.rounds.leave(held)
+            self.rounds.abandon(held)
         else:
             held.drop()
-        self.let_go(held)
+        self.discard_memory(held)
         self._look_done()
 
-    def look_again(self) -> None:
+    def extents_located(self) -> None:
         """RPCs that waited for their place have one now: the module looks at them as after a list."""
         self.rounds.inputs.endpoint_changes += [*self.nodes.by_address.values()][:1]
-        self.rounds.stir()
+        self.rounds.schedule_round()
 
     # The fleet's configuration.
 
@@ -452,12 +456,12 @@
         """Between two rounds. All is built first; behind that nothing fails."""
         from cherrygrade.fleet.config.joint_phase import quota_parts
         from cherrygrade.fleet.config.live_changes import quota_divisors
-        from cherrygrade.gateway.inforce import put, terms
+        from cherrygrade.gateway.settings_in_force import apply_settings, derive_settings
 
-        assert self.agent is not None and self.company is not None
+        assert self.agent is not None and self.peer_directory is not None
         sure = self._sure()
         old = version.old_divisors if version is not None and stage % 2 == 0 else None
-        into = terms(site, quota_parts(self.place.number, quota_divisors(site), old, sure), old)
+        into = derive_settings(site, quota_parts(self.place.number, quota_divisors(site), old, sure), old)
         pressed = partial(is_pressed_workload, highest_weight=into.top, tightest_objective_ms=into.tight)
         held = self._held()
         self.rooms.put(
@@ -467,7 +471,7 @@
             {one.workload.name for one in held if one.workload is not None},
             {one.volume for one in held},
         )
-        put(self.rounds.module, self.company, into, self.rounds.clock())
+        apply_settings(self.rounds.scheduler, self.peer_directory, into, self.rounds.clock())
         for one in held:  # its volume's plan is today's; its workload is that which it was taken with
             dealt = into.trade.volumes.get(one.volume)
             if dealt is not None and one.plan is not None:
@@ -476,12 +480,12 @@
         self.trade, self.bounds = into.trade, site.bounds
         self.come_back_ms = self.watch.come_back_ms = into.bearings.permits.max_retry_after_ms
         self.agent.membership.fleet_size = max(into.counts)
-        self.rounds.stir()
+        self.rounds.schedule_round()
 
     def _held(self) -> list[InflightRequest]:
         """All RPCs for the module that are not over, pieces of others among them."""
         found: list[InflightRequest] = []
-        for one in self.held:
+        for one in self.open_requests:
             found += [one] if isinstance(one, InflightRequest) else one.pieces
         return found
 
@@ -489,13 +493,13 @@
 
     def _heard(self, nodes: list[Node], answered: bool | None) -> None:
         for node in nodes:
-            link = self.links.get(node)
+            link = self.node_clients.get(node)
             if link is not None:
                 link.standing_heard()
         self.rounds.inputs.endpoint_changes += nodes
         if answered is not None:
             self.rounds.inputs.endpoint_list_received = answered
-        self.rounds.stir()
+        self.rounds.schedule_round()
 
     # What rounds carry out.
 
@@ -505,15 +509,15 @@
         if self.agent is not None:
             for send in self.rounds.inputs.outcomes:
                 self.agent.attempt_finished(send)
-        for out in self.wheel.due(now):
-            self.links[out.node].give_up(out, Outcome.TIMED_OUT)
+        for out in self.wheel.take_expired(now):
+            self.node_clients[out.node].give_up(out, Outcome.TIMED_OUT)
 
-    def carry(self, out: InflightAttempt, limit_ms: float) -> None:
+    def send_attempt(self, out: InflightAttempt, limit_ms: float) -> None:
         if out.carried_by is not None:
             return  # it goes with the one that carries it
-        link = self.links.get(out.node)
+        link = self.node_clients.get(out.node)
         if link is None:
-            link = self.links[out.node] = Link(
+            link = self.node_clients[out.node] = NodeClient(
                 out.node,
                 self.name,
                 f"{self.place.seed}:{self.name}>{out.node.address}",
@@ -530,20 +534,20 @@
             outs += [mate for mate in out.coalesced if isinstance(mate, InflightAttempt)]
             self.ranges.joined += len(out.coalesced)
         for one in outs:
-            one.timer_slot = self.wheel.put(one, one.request.deadline_ms)
+            one.timer_slot = self.wheel.add(one, one.request.deadline_ms)
         link.carry(outs)
-        self._alarm.set()
+        self._wake_timer.schedule()
 
-    def withdraw(self, out: InflightAttempt) -> None:
-        self.wheel.drop(out, out.timer_slot)
-        self.links[out.node].give_up(out, Outcome.CANCELLED)
+    def cancel_attempt(self, out: InflightAttempt) -> None:
+        self.wheel.remove(out, out.timer_slot)
+        self.node_clients[out.node].give_up(out, Outcome.CANCELLED)
 
     def answer_ok(self, held: InflightRequest, out: InflightAttempt) -> None:
         if held.range is not None:
             held.range.ok(held)
             return
         assert held.rpc is not None
-        self.final(held, Ok(held.rpc.id, out.node.shard), None if held.is_write else held.body)
+        self.send_final_answer(held, Ok(held.rpc.id, out.node.shard), None if held.is_write else held.body)
 
     def answer_rejected(self, held: InflightRequest, come_back_ms: float) -> None:
         if held.range is not None:
@@ -555,7 +559,7 @@
             reason = f"unknown workload '{held.rpc.workload}'"
         elif held.plan is None:
             reason = f"unknown volume '{held.volume}'"
-        self.final(held, Rejected(held.rpc.id, come_back_ms, reason))
+        self.send_final_answer(held, Rejected(held.rpc.id, come_back_ms, reason))
 
     def answer_errored(self, held: InflightRequest) -> None:
         if held.range is not None:
@@ -563,15 +567,15 @@
             return
         assert held.rpc is not None
         last = held.attempts[-1].outcome if held.attempts else None
-        self.final(held, Errored(held.rpc.id, f"last send: {last.value}" if last else ""))
+        self.send_final_answer(held, Errored(held.rpc.id, f"last send: {last.value}" if last else ""))
 
-    def final(
+    def send_final_answer(
         self, held: InflightRequest | RangeRequest, message: Ok | Rejected | Errored, body: Any = None
     ) -> None:
         """The one final answer."""
         assert held.session is not None
-        self.held.pop(held, None)
-        held.session.answer(message, body, self.release(held))
+        self.open_requests.pop(held, None)
+        held.session.answer(message, body, self.detach_claim(held))
         if isinstance(held, InflightRequest):
             held.body = None
         self._look_done()
@@ -579,11 +583,11 @@
     def _ask_map(self, volume: str, first: int, count: int) -> None:
         self.register_watch.ask_map(volume, first, count)
 
-    def tell(self, peer: int | None, payload: bytes) -> None:
+    def send_gossip(self, peer: int | None, payload: bytes) -> None:
         if self.agent is not None:
             self.agent.send_scheduler_message(peer, payload)
-        elif self.words is not None:
-            self.words.tell(peer, payload)
+        elif self.peer_messaging is not None:
+            self.peer_messaging.tell(peer, payload)
 
-    def ask_list(self, push: bool) -> None:
+    def request_endpoint_list(self, push: bool) -> None:
         self.register_watch.ask(push)
--- a/cherrygrade/gateway/register_watch.py
+++ b/cherrygrade/gateway/register_watch.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from cherrygrade.gateway.backoff import Backoff
-from cherrygrade.gateway.roster import Book
+from cherrygrade.gateway.registered_nodes import RegisteredNodes
 from cherrygrade.scheduling.model import Node
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, AskMap, Bye, Follow, Hello, MapPart, Roster, Welcome
@@ -27,7 +27,7 @@
         self,
         address: str,
         name: str,
-        book: Book,
+        book: RegisteredNodes,
         must_ask: bool,
         clock: Callable[[], float],
         heard: Callable[[list[Node], bool | None], None],
@@ -91,7 +91,7 @@
 
     def connected(self, conn: Connection) -> None:
         self._conn = conn
-        self._backoff.made(self._clock())
+        self._backoff.record_connected(self._clock())
         conn.send(Hello(VERSION, "dispatcher", self.name))
         if not self.must_ask or self._asked:
             conn.send(Follow(push=True))
@@ -101,7 +101,7 @@
 
     def frame(self, conn: Connection, message: Any, body: object) -> None:
         if isinstance(message, Roster):
-            learned = self.book.hear(message, self._clock())
+            learned = self.book.apply(message, self._clock())
             if learned is None:
                 if self.book.gap and not self._wanted:
                     self._wanted = True
@@ -131,5 +131,5 @@
         if self.must_ask and not self._asked:
             self._heard([], False)  # the subscription went with the connection
         now = self._clock()
-        wait = (self._backoff.lost(now) - now) / 1000.0
+        wait = (self._backoff.record_failure(now) - now) / 1000.0
         self._handle = asyncio.get_running_loop().call_later(wait, self.start)
--- a/cherrygrade/gateway/roster.py
+++ b/cherrygrade/gateway/registered_nodes.py
@@ -9,10 +9,10 @@
 from cherrygrade.scheduling.round_inputs import NodeTable
 from cherrygrade.wire.messages import Roster
 
-STANDINGS = {"live": NodeState.LIVE, "draining": NodeState.DRAINING, "gone": NodeState.GONE}
+NODE_STATES = {"live": NodeState.LIVE, "draining": NodeState.DRAINING, "gone": NodeState.GONE}
 
 
-class Book:
+class RegisteredNodes:
     """The node list as last told. Versions are compared within one epoch of the register; a later epoch
     (the register began anew) replaces an earlier one only by a whole list."""
 
@@ -22,7 +22,7 @@
         self.gap = False  # a change was missed: only the whole list helps
         self._starts: dict[str, int] = {}  # by address; one a machine, as the nodes
 
-    def hear(self, roster: Roster, now: float) -> list[Node] | None:
+    def apply(self, roster: Roster, now: float) -> list[Node] | None:
         """Nodes of which something was learned; None where the word is old or leaves a gap (see `gap`)."""
         if roster.epoch < self.epoch or (roster.epoch == self.epoch and roster.version <= self.version):
             if roster.full and roster.epoch == self.epoch and roster.version == self.version:
@@ -43,7 +43,7 @@
                 self._starts[entry.address] = entry.start
                 node.started_ms = now - entry.age_ms
             node.zone, node.kind, node.shard, node.size = entry.zone, entry.kind, entry.shard, entry.size
-            node.state = STANDINGS.get(entry.standing, NodeState.GONE)
+            node.state = NODE_STATES.get(entry.standing, NodeState.GONE)
             named.append(node)
         self.epoch, self.version, self.gap = roster.epoch, roster.version, False
         return self.nodes.apply_list(named, roster.full)
--- a/cherrygrade/gateway/rounds.py
+++ b/cherrygrade/gateway/rounds.py
@@ -19,9 +19,9 @@
 class Carrier(Protocol):
     """Who carries out what was decided."""
 
-    def carry(self, out: InflightAttempt, limit_ms: float) -> None: ...
+    def send_attempt(self, out: InflightAttempt, limit_ms: float) -> None: ...
 
-    def withdraw(self, out: InflightAttempt) -> None: ...
+    def cancel_attempt(self, out: InflightAttempt) -> None: ...
 
     def answer_ok(self, held: InflightRequest, out: InflightAttempt) -> None: ...
 
@@ -29,9 +29,9 @@
 
     def answer_errored(self, held: InflightRequest) -> None: ...
 
-    def ask_list(self, push: bool) -> None: ...
+    def request_endpoint_list(self, push: bool) -> None: ...
 
-    def tell(self, peer: int | None, payload: bytes) -> None: ...
+    def send_gossip(self, peer: int | None, payload: bytes) -> None: ...
 
     def before_round(self, now: float) -> None: ...
 
@@ -47,7 +47,7 @@
         self.inputs = RoundInputs()
         self.now = 0.0
         self.count = 0
-        self.module, self._carrier, self._crashed, self._log = dispatcher, carrier, crashed, log
+        self.scheduler, self._carrier, self._crashed, self._log = dispatcher, carrier, crashed, log
         self._loop = asyncio.get_running_loop()
         self._time = self._loop.time
         self._stirred = self._ended = self._deciding = False
@@ -63,37 +63,37 @@
         """Read anew, ms: within a turn that was held up, `clock` is older than what leaves at its end."""
         return self._time() * 1000.0
 
-    def stir(self) -> None:
+    def schedule_round(self) -> None:
         """Something came in: a round runs once the event loop has delivered what else it holds."""
         if not (self._stirred or self._ended):
             self._turn = self.clock()
             self._stirred = True
             self._loop.call_soon(self._round)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """No round runs any more; answers that came for the next one go out."""
         self._ended = True
         oks, self._oks = self._oks, []
         for held, out in oks:
             self._carrier.answer_ok(held, out)
 
-    def take(self, held: InflightRequest) -> None:
+    def submit(self, held: InflightRequest) -> None:
         self.inputs.arrivals.append(held)
-        self.stir()
+        self.schedule_round()
 
-    def leave(self, held: InflightRequest) -> None:
+    def abandon(self, held: InflightRequest) -> None:
         """The client does not want the answer any more."""
         if not held.finished:
             held.finished = True
             self.inputs.cancellations.append(held)
-            self.stir()
+            self.schedule_round()
 
-    def hear(self, peer: int, payload: bytes) -> None:
+    def receive_gossip(self, peer: int, payload: bytes) -> None:
         """A word of another dispatcher came."""
         self.inputs.gossip.append((peer, payload))
-        self.stir()
+        self.schedule_round()
 
-    def outcome(
+    def record_outcome(
         self, out: InflightAttempt, outcome: Outcome, body: bytearray | memoryview | None = None
     ) -> None:
         """A send ended. The first word counts; the caller has let go of it everywhere else."""
@@ -112,7 +112,7 @@
                 self._oks.append((held, out))
         out.outcome = outcome
         self.inputs.outcomes.append(out)
-        self.stir()
+        self.schedule_round()
 
     def _round(self) -> None:
         self._stirred = False
@@ -130,7 +130,7 @@
         self._carrier.before_round(self.now)
         oks, self._oks = self._oks, []
         try:
-            self.inputs.decide(self.module, self.now, self)
+            self.inputs.decide(self.scheduler, self.now, self)
         except Exception as trouble:  # the module's fault: nothing it wrote in this round can be trusted
             self._ended = True
             inputs = self.inputs
@@ -154,11 +154,11 @@
     def send(self, rpc: Request, node: Node, limit_ms: float) -> Attempt:
         out = InflightAttempt(request=rpc, node=node, number=len(rpc.attempts), sent_ms=self.now)
         rpc.attempts.append(out)
-        self._todo.append((self._carrier.carry, (out, limit_ms)))
+        self._todo.append((self._carrier.send_attempt, (out, limit_ms)))
         return out
 
     def cancel(self, send: Attempt) -> None:
-        self._todo.append((self._carrier.withdraw, (send,)))
+        self._todo.append((self._carrier.cancel_attempt, (send,)))
 
     def reject(self, rpc: Request, come_back_ms: float) -> None:
         rpc.finished = True
@@ -169,13 +169,13 @@
         self._todo.append((self._carrier.answer_errored, (request,)))
 
     def wake(self, after_ms: float) -> None:
-        self._loop.call_later(after_ms / 1000.0, self.stir)
+        self._loop.call_later(after_ms / 1000.0, self.schedule_round)
 
     def subscribe(self) -> None:
-        self._todo.append((self._carrier.ask_list, (True,)))
+        self._todo.append((self._carrier.request_endpoint_list, (True,)))
 
     def fetch(self) -> None:
-        self._todo.append((self._carrier.ask_list, (False,)))
+        self._todo.append((self._carrier.request_endpoint_list, (False,)))
 
     def check_health(self, node: Node) -> None:
         self._log(f"probe of {node.address} passed over: this gateway has none")
@@ -184,7 +184,7 @@
         self._log(f"release of {node.address} passed over: idle connections close by themselves")
 
     def send_gossip(self, peer: int | None, payload: bytes) -> None:
-        self._todo.append((self._carrier.tell, (peer, payload)))
+        self._todo.append((self._carrier.send_gossip, (peer, payload)))
 
     def log(self, text: str) -> None:
         self._log(text)
--- a/cherrygrade/gateway/sessions.py
+++ b/cherrygrade/gateway/sessions.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any, Protocol
 
-from cherrygrade.gateway.transit import Transit
+from cherrygrade.gateway.transit_time import TransitTime
 from cherrygrade.inflight import Body, InflightRequest, RangeRequest
 from cherrygrade.peers.ladder import Step
 from cherrygrade.peers.rooms import PURSE, Rooms
@@ -27,7 +27,7 @@
 )
 
 
-class House(Protocol):
+class RequestHost(Protocol):
     """The dispatcher, as its clients' sessions need it."""
 
     @property
@@ -54,36 +54,36 @@
     @property
     def rooms(self) -> Rooms: ...
 
-    def enter(self, session: Session) -> bool:
+    def register_session(self, session: Session) -> bool:
         """Whether there is a place for it."""
 
-    def spoke(self, session: Session) -> None:
+    def session_greeted(self, session: Session) -> None:
         """It greeted."""
 
-    def exit(self, session: Session, why: str) -> None: ...
+    def remove_session(self, session: Session, why: str) -> None: ...
 
     def take(
         self, session: Session, ask: ReadRpc | WriteRpc, body: Any
     ) -> InflightRequest | RangeRequest | None:
         """None where it was answered at once."""
 
-    def keep(self, taken: InflightRequest | RangeRequest) -> None:
+    def add_open_request(self, taken: InflightRequest | RangeRequest) -> None:
         """It is in the session's table, under its id."""
 
-    def admitted(self, held: InflightRequest) -> None: ...
+    def memory_admitted(self, held: InflightRequest) -> None: ...
 
-    def turn_away(self, held: InflightRequest) -> None: ...
+    def reject_without_memory(self, held: InflightRequest) -> None: ...
 
-    def left(self, held: InflightRequest | RangeRequest) -> None:
+    def client_abandoned(self, held: InflightRequest | RangeRequest) -> None:
         """Its client wants no answer any more."""
 
 
 class Session:
     """One client's connection. `rpcs` is emptied by final answers and by the connection's end."""
 
-    def __init__(self, house: House) -> None:
-        self.house = house
-        self.conn = Connection(self, house.most_body, taken=self.taken)
+    def __init__(self, host: RequestHost) -> None:
+        self.host = host
+        self.conn = Connection(self, host.most_body, taken=self.taken)
         self.name = ""
         self.rpcs: dict[int, InflightRequest | RangeRequest] = {}
         self.features: list[str] = []
@@ -94,7 +94,7 @@
         self.claim: Claim | None = None  # of the body that is coming in, or that waits to
         self.purse: Purse | None = None
         self._dropped = False  # the body that is being read off found no room
-        self.transit = Transit()
+        self.transit = TransitTime()
         self._greeting: asyncio.TimerHandle | None = None
 
     @property
@@ -102,24 +102,24 @@
         return self.account.step
 
     def connected(self, conn: Connection) -> None:
-        if not self.house.enter(self):
-            conn.close("too many clients", self.house.come_back_ms)
+        if not self.host.register_session(self):
+            conn.close("too many clients", self.host.come_back_ms)
             return
         conn.show_slowness()
-        wait = self.house.hello_ms / 1000.0
+        wait = self.host.hello_ms / 1000.0
         self._greeting = asyncio.get_running_loop().call_later(wait, conn.close, "no hello in time")
 
     def room(self, conn: Connection, message: Any, length: int) -> bytearray | Later | None:
         """A write that would not be taken is read off and dropped: it costs no memory."""
         if not (isinstance(message, WriteRpc) and self.name):
             return None
-        house, self._dropped = self.house, self.house.full
+        host, self._dropped = self.host, self.host.full
         if self._dropped:
             return None
-        self.claim = house.rooms.ask(
+        self.claim = host.rooms.ask(
             self.account, message.workload, message.volume, length, self, message.left_ms
         )
-        if self.claim is None and house.rooms.bounded:
+        if self.claim is None and host.rooms.bounded:
             return None  # of a workload or a volume that nobody knows
         return LATER if waits(self.claim) else bytearray(length)
 
@@ -135,11 +135,11 @@
     def reserve_small_read(self, held: InflightRequest, workload: str) -> bool:
         """Whether the purse pays for the bytes that a small read will bring."""
         conn = self.conn
-        if held.length > PURSE // 8 or conn.stuck or not self.house.rooms.bounded:
+        if held.length > PURSE // 8 or conn.stuck or not self.host.rooms.bounded:
             return False
         purse = self.purse
         if purse is None:
-            purse = self.purse = self.house.rooms.purse(self.account, workload, held.volume, self)
+            purse = self.purse = self.host.rooms.purse(self.account, workload, held.volume, self)
             if purse is None:
                 return False
         if not purse.spend(workload, held.volume, held.length, conn.waiting):
@@ -149,24 +149,24 @@
 
     def transit_ms(self, since_hello_ms: float, now: float) -> float:
         """How long its word was on its way, ms."""
-        return self.transit.waited(since_hello_ms, now)
+        return self.transit.excess_ms(since_hello_ms, now)
 
     def memory_granted(self, held: InflightRequest) -> None:
-        self.house.admitted(held)
+        self.host.memory_admitted(held)
 
     def memory_refused(self, held: InflightRequest) -> None:
-        self.house.turn_away(held)
+        self.host.reject_without_memory(held)
 
     def idle(self) -> None:
         """Now and then: a purse that pays for nothing is given back."""
         purse = self.purse
         if purse is not None and not (purse.spent or self.conn.waiting or self.conn.stuck):
             self.purse = None
-            self.house.rooms.leave(purse.claim)
+            self.host.rooms.leave(purse.claim)
 
     def taken(self, claim: Claim) -> None:
         """The client has a body; a narrowed one gets its next piece only then."""
-        self.house.rooms.unpin(claim)
+        self.host.rooms.unpin(claim)
         if self.waiting_ranges and not self.conn.waiting:
             self.feed_hungry()
 
@@ -181,7 +181,7 @@
         elif isinstance(message, Leave) and self.name:
             left = self.rpcs.pop(message.id, None)
             if left is not None:
-                self.house.left(left)
+                self.host.client_abandoned(left)
         elif isinstance(message, Hello) and not self.name:
             self._greet(message)
         elif isinstance(message, Bye):
@@ -198,20 +198,20 @@
             return
         assert self._greeting is not None
         self._greeting.cancel()
-        self.house.spoke(self)
+        self.host.session_greeted(self)
         self.name, self.features = hello.name, hello.features
-        house = self.house
-        self.conn.send(Welcome(min(VERSION, hello.version), house.name, [], house.most_body, house.most_open))
+        host = self.host
+        self.conn.send(Welcome(min(VERSION, hello.version), host.name, [], host.most_body, host.most_open))
 
     def _take(self, ask: ReadRpc | WriteRpc, body: bytearray | memoryview | None) -> None:
         claim, dropped = self.claim, self._dropped
         self.claim, self._dropped = None, False
         taken = self._taken(ask, body, dropped)
         if taken is None:
-            self.house.rooms.leave(claim)
+            self.host.rooms.leave(claim)
             return
         self.rpcs[ask.id] = taken
-        self.house.keep(taken)
+        self.host.add_open_request(taken)
         if claim is not None:
             taken.claim = claim
 
@@ -221,18 +221,18 @@
         if ask.id in self.rpcs:
             self.conn.close(f"two RPCs with the id {ask.id}")
             return None
-        if isinstance(ask, ReadRpc) and (ask.length > self.house.most_body or body is not None):
+        if isinstance(ask, ReadRpc) and (ask.length > self.host.most_body or body is not None):
             # Nothing was taken: an answer of this length cannot be carried.
-            self.conn.send(Errored(ask.id, f"a read of {ask.length} bytes; at most {self.house.most_body}"))
+            self.conn.send(Errored(ask.id, f"a read of {ask.length} bytes; at most {self.host.most_body}"))
             return None
-        if len(self.rpcs) >= self.house.most_open or self.house.full:
-            reason = "leaving" if self.house.leaving else "more held than there is room for"
-            self.conn.send(Rejected(ask.id, self.house.come_back_ms, reason))
+        if len(self.rpcs) >= self.host.most_open or self.host.full:
+            reason = "leaving" if self.host.leaving else "more held than there is room for"
+            self.conn.send(Rejected(ask.id, self.host.come_back_ms, reason))
             return None
         if dropped:  # there was no room when its body came; there may be now, but the body is gone
-            self.conn.send(Rejected(ask.id, self.house.come_back_ms, "no room for its bytes"))
+            self.conn.send(Rejected(ask.id, self.host.come_back_ms, "no room for its bytes"))
             return None
-        return self.house.take(self, ask, body)
+        return self.host.take(self, ask, body)
 
     def send_message(self, message: Ok | Rejected | Errored | Part, body: Body, claim: Claim | None) -> None:
         """To the client. A body's room goes with it, until the client has taken it."""
@@ -242,12 +242,12 @@
             self.conn.send(message, body, holds=(claim,))
         else:
             self.conn.send(message, body)
-            self.house.rooms.leave(claim)
+            self.host.rooms.leave(claim)
 
     def answer(self, message: Ok | Rejected | Errored, body: Body, claim: Claim | None) -> None:
         """The final answer; nothing where the client went away meanwhile."""
         if self.rpcs.pop(message.id, None) is None:
-            self.house.rooms.leave(claim)
+            self.host.rooms.leave(claim)
             return
         self.send_message(message, body, claim)
         if self.conn.full:  # it does not read its answers: no more of its RPCs are read either
@@ -265,11 +265,11 @@
         if self._greeting is not None:
             self._greeting.cancel()
         claim, self.claim = self.claim, None
-        self.house.rooms.leave(claim)
+        self.host.rooms.leave(claim)
         rpcs, self.rpcs = self.rpcs, {}
         for held in rpcs.values():
-            self.house.left(held)
+            self.host.client_abandoned(held)
         purse, self.purse = self.purse, None
         if purse is not None:
-            self.house.rooms.leave(purse.claim)
-        self.house.exit(self, why)
+            self.host.rooms.leave(purse.claim)
+        self.host.remove_session(self, why)
--- a/cherrygrade/gateway/inforce.py
+++ b/cherrygrade/gateway/settings_in_force.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class DerivedSettings:
     """All that the module goes by. `trade`: with the hosts that parts are dealt out over now; `fewest`: the
     smaller number of hosts while that moves; `counts`: dispatchers likewise, one or two numbers; `has`: False
     where this dispatcher has no part."""
@@ -46,7 +46,9 @@
     tight: float
 
 
-def terms(site: SiteSettings, parts: QuotaParts, old: QuotaDivisors | None = None) -> Terms:
+def derive_settings(
+    site: SiteSettings, parts: QuotaParts, old: QuotaDivisors | None = None
+) -> DerivedSettings:
     """`old`: what parts were dealt out over before, while they move. Raises ValueError where something would
     be dealt out over nobody."""
     volumes, fewest = {}, {}
@@ -62,12 +64,14 @@
     top = max((work.priority_weight for work in works), default=1.0)
     tight = min((work.latency_objective_ms for work in works), default=1000.0)
     trade = replace(site.trade, volumes=volumes)
-    return Terms(
+    return DerivedSettings(
         trade, site.bearings, parts.dispatcher_counts, fewest, parts.has_parts, float(top), float(tight)
     )
 
 
-def put(scheduler: Scheduler, company: FleetPeerDirectory, into: Terms, now: float) -> None:
+def apply_settings(
+    scheduler: Scheduler, company: FleetPeerDirectory, into: DerivedSettings, now: float
+) -> None:
     """`company`: the scheduler's; it is told of counts and part here, with all else."""
     bearings, settings = into.bearings, scheduler.settings
     slow_start, retry_budget = scheduler.admission.slow_start, scheduler.admission.retry_budget
@@ -117,7 +121,9 @@
             yield name, quota
 
 
-def _deal(quota: VolumeQuota, name: str, into: Terms, now: float, forfeited: bool, earns: bool) -> None:
+def _deal(
+    quota: VolumeQuota, name: str, into: DerivedSettings, now: float, forfeited: bool, earns: bool
+) -> None:
     dealt = into.trade.volumes.get(name)
     quota.refill(now)
     if forfeited:
--- a/cherrygrade/gateway/wheel.py
+++ b/cherrygrade/gateway/timer_wheel.py
@@ -8,7 +8,7 @@
 T = TypeVar("T")
 
 
-class Wheel(Generic[T]):
+class TimerWheel(Generic[T]):
     """Items due at a time, kept in slots of `grain` ms; an item comes out up to one grain late, never early.
 
     Emptied by `drop` and by `due`; the heap holds one number a slot that is in use.
@@ -19,7 +19,7 @@
         self._slots: dict[int, dict[T, None]] = {}
         self._order: list[int] = []
 
-    def put(self, item: T, at: float) -> int:
+    def add(self, item: T, at: float) -> int:
         """Gives the slot, which `drop` wants back."""
         slot = int(at // self.grain) + 1
         held = self._slots.get(slot)
@@ -29,20 +29,20 @@
         held[item] = None
         return slot
 
-    def drop(self, item: T, slot: int) -> None:
+    def remove(self, item: T, slot: int) -> None:
         """Nothing happens where the item came out already."""
         held = self._slots.get(slot)
         if held is not None:
             held.pop(item, None)
 
-    def due(self, now: float) -> list[T]:
+    def take_expired(self, now: float) -> list[T]:
         """Take out what is due, in the order of its times by slot, of its putting within one."""
         found: list[T] = []
         while self._order and self._order[0] * self.grain <= now:
             found.extend(self._slots.pop(heappop(self._order)))
         return found
 
-    def next_at(self) -> float | None:
+    def next_expiry_ms(self) -> float | None:
         """When to look again; slots that emptied meanwhile are cleared away here."""
         while self._order and not self._slots[self._order[0]]:
             del self._slots[heappop(self._order)]
--- a/cherrygrade/gateway/transit.py
+++ b/cherrygrade/gateway/transit_time.py
@@ -10,14 +10,14 @@
 SPAN_MS = 60_000.0  # clocks drift apart by a few ms in that time
 
 
-class Transit:
+class TransitTime:
     """One client's connection. Holds two numbers, whatever was heard."""
 
     def __init__(self) -> None:
         self._least = self._before = float("inf")
         self._until = 0.0
 
-    def waited(self, since_hello_ms: float, now: float) -> float:
+    def excess_ms(self, since_hello_ms: float, now: float) -> float:
         """How much longer than the quickest of the last minute or two this word took, ms; 0 where untold.
 
         Guards against taking an RPC for fresh that lay in the socket while this process was stopped: its
--- a/cherrygrade/lab/audits/broken.py
+++ b/cherrygrade/lab/audits/broken.py
@@ -17,8 +17,8 @@
 from cherrygrade.fleet.leases import lease_holder
 from cherrygrade.fleet.membership import failure_detector, load_aggregators, record_merger, seat_claims, table
 from cherrygrade.fleet.membership.table import Member, MembershipTable
-from cherrygrade.gateway import roster
-from cherrygrade.gateway.life import serve
+from cherrygrade.gateway import registered_nodes
+from cherrygrade.gateway.lifecycle import serve
 from cherrygrade.gateway.process import Gateway
 from cherrygrade.logs import make_log
 from cherrygrade.records.load import read_site
@@ -30,15 +30,15 @@
 
 def _loses(site: SiteSettings) -> SiteSettings:
     """One answer in twenty is never given."""
-    usual: Callable[..., None] = Gateway.final
+    usual: Callable[..., None] = Gateway.send_final_answer
     count = [0]
 
-    def final(self: Gateway, held: Any, message: Any, body: Any = None) -> None:
+    def send_final_answer(self: Gateway, held: Any, message: Any, body: Any = None) -> None:
         count[0] += 1
         if count[0] % 20:
             usual(self, held, message, body)
 
-    Gateway.final = final  # type: ignore[method-assign]
+    Gateway.send_final_answer = send_final_answer  # type: ignore[method-assign]
     return site
 
 
@@ -54,7 +54,7 @@
 
 def _drains(site: SiteSettings) -> SiteSettings:
     """The register's word of draining and gone nodes is passed over."""
-    roster.STANDINGS.update(draining=NodeState.LIVE, gone=NodeState.LIVE)
+    registered_nodes.NODE_STATES.update(draining=NodeState.LIVE, gone=NodeState.LIVE)
     return site
 
 
@@ -99,13 +99,13 @@
 
 def _older(site: SiteSettings) -> SiteSettings:
     """Any list of the register's is taken for newer than what is known."""
-    usual = roster.Book.hear
+    usual = registered_nodes.RegisteredNodes.apply
 
-    def hear(self: roster.Book, roster: Any, now: float) -> Any:
+    def apply(self: registered_nodes.RegisteredNodes, roster: Any, now: float) -> Any:
         self.version = -1
         return usual(self, roster, now)
 
-    roster.Book.hear = hear  # type: ignore[method-assign]
+    registered_nodes.RegisteredNodes.apply = apply  # type: ignore[method-assign]
     return site
 
 
--- a/cherrygrade/platform/connection_pool.py
+++ b/cherrygrade/platform/connection_pool.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from cherrygrade.gateway.rounds import Rounds
-from cherrygrade.gateway.wheel import Wheel
+from cherrygrade.gateway.timer_wheel import TimerWheel
 from cherrygrade.http.reader import Message
 from cherrygrade.inflight import InflightAttempt
 from cherrygrade.platform.endpoint_list import EndpointAddress
@@ -40,7 +40,7 @@
     address_of: Callable[[Node], EndpointAddress]
     """Raises KeyError for a node that discovery has removed."""
     rounds: Rounds
-    timeout_wheel: Wheel[InflightAttempt]
+    timeout_wheel: TimerWheel[InflightAttempt]
     socket_budget: SocketBudget
     receive_buffer: memoryview
     connect_timeout_ms: float
@@ -142,7 +142,7 @@
             return False
         if pending.client is None or pending.client.check_closed():
             return False
-        return self.rounds.module.admission.may_run_again(pending, self.node, now, attempt)
+        return self.rounds.scheduler.admission.may_run_again(pending, self.node, now, attempt)
 
     def _send_on(self, connection: NodeConnection, attempt: InflightAttempt) -> None:
         pending = attempt.request
@@ -263,9 +263,9 @@
 
     def finish(self, attempt: InflightAttempt, outcome: Outcome, body: bytes | None = None) -> None:
         """Report an attempt's outcome to the next round."""
-        self._resources.timeout_wheel.drop(attempt, attempt.timer_slot)
+        self._resources.timeout_wheel.remove(attempt, attempt.timer_slot)
         attempt.exchange = None
-        self.rounds.outcome(attempt, outcome, memoryview(body) if body is not None else None)
+        self.rounds.record_outcome(attempt, outcome, memoryview(body) if body is not None else None)
 
     # Called by the round carrier and the periodic tasks.
 
--- a/cherrygrade/platform/discovery.py
+++ b/cherrygrade/platform/discovery.py
@@ -46,7 +46,7 @@
         self._clock = clock
         self._endpoints_changed = endpoints_changed
         self._log = log
-        self._backoff = Backoff(name, most=MAX_RECONNECT_WAIT_MS)
+        self._backoff = Backoff(name, max_ms=MAX_RECONNECT_WAIT_MS)
         self._watch: EndpointWatch | None = None
         self._old_watch: EndpointWatch | None = None
         self._reconnect_timer: asyncio.TimerHandle | None = None
@@ -103,7 +103,7 @@
     def _received(self, watch: EndpointWatch, message: Any) -> None:
         nodes = self.endpoint_list.apply(message)
         if watch is self._watch:
-            self._backoff.made(self._clock())
+            self._backoff.record_connected(self._clock())
             self._whole_list_wanted = False
             if self._old_watch is not None:
                 self._old_watch.close()
@@ -120,7 +120,7 @@
         self._watch = None
         self._log("discovery watch ended", address=self.address, reason=reason)
         now = self._clock()
-        wait_s = (self._backoff.lost(now) - now) / 1000.0
+        wait_s = (self._backoff.record_failure(now) - now) / 1000.0
         self._reconnect_timer = asyncio.get_running_loop().call_later(wait_s, self.start)
 
     def _watch_silent(self, watch: EndpointWatch) -> None:
--- a/cherrygrade/platform/process.py
+++ b/cherrygrade/platform/process.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Mapping
 
 from cherrygrade.compiled import scheduler_class
-from cherrygrade.gateway.life import LEFT_BROKEN, LEFT_BY_FORCE, module_broke, serve
+from cherrygrade.gateway.lifecycle import EXIT_BROKEN, EXIT_FORCED, log_scheduler_crash, serve
 from cherrygrade.http.reader import BodyBudget, HttpError, Message
 from cherrygrade.logs import plain_log
 from cherrygrade.platform.client_connection import ClientConnection
@@ -51,7 +51,7 @@
 
 
 class PlatformDispatcher:
-    """One dispatcher. Implements `ConnectionOwner` for clients and `Life` for `serve`."""
+    """One dispatcher. Implements `ConnectionOwner` for clients and `HostProcess` for `serve`."""
 
     def __init__(
         self,
@@ -205,7 +205,7 @@
     def leave(self) -> None:
         """Begin the orderly shutdown (SIGTERM, SIGINT); a second call ends it at once."""
         if self.shutdown.ordered:
-            self.shutdown.end(LEFT_BY_FORCE)
+            self.shutdown.end(EXIT_FORCED)
             return
         self.log(
             "shutting down",
@@ -230,8 +230,8 @@
         self.done.set_result(exit_code)
 
     def _scheduler_broke(self, error: Exception, round_kind: str) -> None:
-        module_broke(self.log, error, round_kind)
-        self.shutdown.end(LEFT_BROKEN)
+        log_scheduler_crash(self.log, error, round_kind)
+        self.shutdown.end(EXIT_BROKEN)
 
     def _request_answered(self) -> None:
         self.shutdown.check_finished()
--- a/cherrygrade/platform/round_carrier.py
+++ b/cherrygrade/platform/round_carrier.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from cherrygrade.gateway.life import LEFT_BROKEN, Alarm
+from cherrygrade.gateway.lifecycle import EXIT_BROKEN, WakeTimer
 from cherrygrade.gateway.rounds import Rounds
-from cherrygrade.gateway.wheel import Wheel
+from cherrygrade.gateway.timer_wheel import TimerWheel
 from cherrygrade.inflight import InflightAttempt, InflightRequest
 from cherrygrade.platform.connection_pool import ConnectionPool, PoolResources
 from cherrygrade.platform.endpoint_list import EndpointList
@@ -56,7 +56,7 @@
         self.rounds = Rounds(scheduler, self, crashed, lambda text: log("module", text=text))
         self._answered = answered
         self._log = log
-        self._wheel: Wheel[InflightAttempt] = Wheel(GRAIN_MS)
+        self._wheel: TimerWheel[InflightAttempt] = TimerWheel(GRAIN_MS)
         self._pool_resources = PoolResources(
             address_of=endpoint_list.addresses.__getitem__,
             rounds=self.rounds,
@@ -66,21 +66,21 @@
             connect_timeout_ms=connect_timeout_ms,
             idle_timeout_ms=idle_timeout_ms,
         )
-        self._timeout_alarm = Alarm(self._wheel, self.rounds.clock, self.before_round)
+        self._timeout_alarm = WakeTimer(self._wheel, self.rounds.clock, self.before_round)
 
     # Called by the dispatcher.
 
     def submit(self, pending: PendingRequest) -> None:
         """Hand a client's request to the next round."""
         self.open_requests[pending.call_id] = pending
-        self.rounds.take(pending)
+        self.rounds.submit(pending)
 
     def abandon(self, pending: PendingRequest) -> None:
         """The client has closed: attempts that have not been sent whole are cancelled."""
         self.counts.abandoned += 1
         self.open_requests.pop(pending.call_id, None)
         pending.client = pending.body = None
-        self.rounds.leave(pending)
+        self.rounds.abandon(pending)
         for attempt in pending.attempts:
             pool = self.pools.get(attempt.node)
             if attempt.outcome is None and pool is not None:
@@ -93,15 +93,15 @@
             if pool is not None:
                 pool.node_state_changed()
         self.rounds.inputs.endpoint_changes += nodes
-        self.rounds.stir()
+        self.rounds.schedule_round()
 
     def answer_all(self, exit_code: int) -> None:
         """End the rounds, close all node connections and give every open request its final answer."""
-        self.rounds.end()
+        self.rounds.stop()
         for pool in self.pools.values():
             pool.close()
-        admission = self.rounds.module.admission
-        scheduler_works = exit_code != LEFT_BROKEN  # a broken scheduler's decision is not used
+        admission = self.rounds.scheduler.admission
+        scheduler_works = exit_code != EXIT_BROKEN  # a broken scheduler's decision is not used
         for pending in [*self.open_requests.values()]:
             rejected = scheduler_works and admission.may_reject(pending)
             self._final_answer(pending, STATUS_REJECTED if rejected else STATUS_ERRORED)
@@ -114,21 +114,21 @@
 
     def before_round(self, now: float) -> None:
         """Give up the attempts whose time is over. `now`: the rounds' clock, ms."""
-        for attempt in self._wheel.due(now):
+        for attempt in self._wheel.take_expired(now):
             self.pools[attempt.node].give_up(attempt, Outcome.TIMED_OUT)
 
-    def carry(self, attempt: InflightAttempt, limit_ms: float) -> None:
+    def send_attempt(self, attempt: InflightAttempt, limit_ms: float) -> None:
         """Send an attempt to its node; it times out after `limit_ms` or at its request's deadline."""
         node = attempt.node
         pool = self.pools.get(node)
         if pool is None:
             pool = self.pools[node] = ConnectionPool(node, self._pool_resources)
         attempt.expires_ms = min(attempt.request.deadline_ms, attempt.sent_ms + limit_ms)
-        attempt.timer_slot = self._wheel.put(attempt, attempt.expires_ms)
+        attempt.timer_slot = self._wheel.add(attempt, attempt.expires_ms)
         pool.send(attempt)
-        self._timeout_alarm.set()
+        self._timeout_alarm.schedule()
 
-    def withdraw(self, attempt: InflightAttempt) -> None:
+    def cancel_attempt(self, attempt: InflightAttempt) -> None:
         """Cancel an attempt."""
         pool = self.pools.get(attempt.node)
         if pool is not None:
@@ -162,9 +162,9 @@
             client.answer(status, body, fields)
         self._answered()
 
-    def ask_list(self, push: bool) -> None:
+    def request_endpoint_list(self, push: bool) -> None:
         """Nothing to do: discovery pushes its changes."""
 
-    def tell(self, peer: int | None, payload: bytes) -> None:
+    def send_gossip(self, peer: int | None, payload: bytes) -> None:
         """Drop a message to other dispatchers: the platform gives them no links to each other."""
         self._log("peer message dropped: dispatchers of the platform have no links to each other")
--- a/cherrygrade/platform/shutdown.py
+++ b/cherrygrade/platform/shutdown.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from cherrygrade.gateway.life import LEFT_BY_FORCE, LEFT_CLEAN
+from cherrygrade.gateway.lifecycle import EXIT_CLEAN, EXIT_FORCED
 from cherrygrade.platform.client_listener import ClientListener
 from cherrygrade.platform.client_registry import ClientRegistry
 
@@ -102,7 +102,7 @@
         self._open_requests = open_requests
         self._answer_all = answer_all
         self._exited = exited
-        self._exit_code = LEFT_CLEAN
+        self._exit_code = EXIT_CLEAN
         self._has_exited = False
         self._phase_timers: list[asyncio.TimerHandle] = []
         self._flush_timer: asyncio.TimerHandle | None = None
@@ -116,7 +116,7 @@
         self._phase_timers = [
             loop.call_later(ACCEPTING_MS / 1000.0, self._accepting_over),
             loop.call_later(self._schedule.turning_away_at_ms / 1000.0, self.turn_clients_away),
-            loop.call_later(self._schedule.final_answers_at_ms / 1000.0, self.end, LEFT_BY_FORCE),
+            loop.call_later(self._schedule.final_answers_at_ms / 1000.0, self.end, EXIT_FORCED),
         ]
 
     def _accepting_over(self) -> None:
@@ -145,7 +145,7 @@
         else:
             clients_may_come = self.phase is not ShutdownPhase.DRAINING
         if self.ordered and not (clients_may_come or clients.connections or self._open_requests()):
-            loop.call_soon(self.end, LEFT_CLEAN)
+            loop.call_soon(self.end, EXIT_CLEAN)
 
     def end(self, exit_code: int) -> None:
         """Give every request its final answer now and clients a moment to read it."""
--- a/tests/extents/test_extents.py
+++ b/tests/extents/test_extents.py
@@ -187,7 +187,7 @@
             task.cancel()
         assert right(await staying, ranges, data)
         await asyncio.sleep(0.1)
-        assert not house.gateways[0].held
+        assert not house.gateways[0].open_requests
 
     run(story)
 
@@ -201,7 +201,7 @@
         count = len(sends(house))
         await asyncio.sleep(0.15)
         assert len(sends(house)) == count  # nothing is sent for it any more
-        assert not house.gateways[0].held
+        assert not house.gateways[0].open_requests
 
     run(story)
 
@@ -346,7 +346,7 @@
         write = asyncio.create_task(
             client.write("ordered", "v", "", b"x" * 32 * K, offset=0, deadline_ms=1400)
         )
-        while not gateway.held:
+        while not gateway.open_requests:
             await asyncio.sleep(0.005)
         house.register.silent = False
         house.volume()
@@ -447,7 +447,7 @@
             else:
                 house.nodes[step[1]].resets = 1
         await asyncio.sleep(0.02)
-        assert all(count == 1 for count in answered.values()) and not gateway.held
+        assert all(count == 1 for count in answered.values()) and not gateway.open_requests
 
     run(story)
 
--- a/tests/fleet/runtime/test_config_in_force.py
+++ b/tests/fleet/runtime/test_config_in_force.py
@@ -17,7 +17,7 @@
 from cherrygrade.fleet.config.versions import NO_DIGEST, ConfigVersion, QuotaDivisors
 from cherrygrade.fleet.runtime.sealed_file import SealedFile
 from cherrygrade.fleet.runtime.voter_store import create_founding_store
-from cherrygrade.gateway import inforce
+from cherrygrade.gateway import settings_in_force
 from cherrygrade.gateway.overlay import Overlay
 from cherrygrade.gateway.process import Gateway
 from cherrygrade.records.load import RecordError, read_site
@@ -91,14 +91,14 @@
     async def sure(self, gateway: Gateway) -> None:
         while not gateway._sure():
             await asyncio.sleep(0.01)
-        gateway.rounds.stir()
+        gateway.rounds.schedule_round()
         await asyncio.sleep(0.01)
-        assert not gateway.company.forfeits_quota
+        assert not gateway.peer_directory.forfeits_quota
 
 
 def told(gateway: Gateway) -> dict[str, Any]:
     """All that hangs on a configuration."""
-    scheduler, rooms = gateway.rounds.module, gateway.rooms
+    scheduler, rooms = gateway.rounds.scheduler, gateway.rooms
     settings, admission = scheduler.settings, scheduler.admission
     return {
         "trade": gateway.trade,
@@ -172,7 +172,7 @@
         assert isinstance(await client.write("scan", "x", "k", b"x", shard=0, deadline_ms=3000), Ok)
         assert await gateway.in_force(version(2, ""), 5) == ""  # and back to its own file
         assert gateway.trade == gateway.overlay.own.trade
-        assert gateway.rounds.module.admission.retry_budget.settings is None
+        assert gateway.rounds.scheduler.admission.retry_budget.settings is None
 
     run(story)
 
@@ -188,7 +188,7 @@
         before = told(gateway)
         if broken == "terms":
             text = "place: dispatchers: 3"
-            monkeypatch.setattr(inforce, "max", lambda *_, **__: 1 / 0, raising=False)
+            monkeypatch.setattr(settings_in_force, "max", lambda *_, **__: 1 / 0, raising=False)
         else:
             text = "plans: gold: weight: 4"
             monkeypatch.setattr("cherrygrade.peers.rooms.Share", lambda *_: 1 / 0)
@@ -237,12 +237,12 @@
         client = house.client(gateway)
         await client.write("write", "v", "k", b"x", shard=0, deadline_ms=2000)
         await asyncio.sleep(0.5)
-        due = gateway.rounds.module.volumes["v"]
+        due = gateway.rounds.scheduler.volumes["v"]
         due.refill(gateway.clock())
         assert due.limit_tokens > 35.0  # of 120 over three
         lower = "plans: gold: {usual_rate: 1000, limit_rate: 30, limit_depth: 12}"
         assert await gateway.in_force(version(1, lower), 3) == ""
-        assert due.limit_tokens <= 4.0 and gateway.rounds.module.volumes["v"] is due
+        assert due.limit_tokens <= 4.0 and gateway.rounds.scheduler.volumes["v"] is due
         goes = [client.write("write", "v", f"k{at}", b"x", shard=0, deadline_ms=400) for at in range(20)]
         answers = await asyncio.gather(*goes)
         assert sum(isinstance(answer, Ok) for answer in answers) <= 4 + 10 * 0.45 + 1
@@ -262,7 +262,7 @@
             for at in range(4)
         ]
         await asyncio.sleep(0.05)
-        held = [*gateway.held]
+        held = [*gateway.open_requests]
         assert len(held) >= 3  # its limit lets four a second through
         other = Overlay(one.file, (), gateway.overlay.own)
         other._below = [("file", one.file.read_text().replace("export:", "other:"))]
@@ -291,7 +291,9 @@
         body = bytes(range(256)) * 512  # eight extents, two pieces of it out at once
         house.nodes[0].build.unit_ms = 20.0
         write = asyncio.ensure_future(client.write("write", "v", "", body, offset=0, deadline_ms=2900))
-        while not gateway.held or not any(hasattr(held, "helds") and held.helds for held in gateway.held):
+        while not gateway.open_requests or not any(
+            hasattr(held, "helds") and held.helds for held in gateway.open_requests
+        ):
             await asyncio.sleep(0.001)
         other = Overlay(one.file, (), gateway.overlay.own)
         gone = one.file.read_text().replace("\twrite:", "\tother:").replace("volumes: v:", "volumes: u:")
@@ -315,7 +317,7 @@
             assert await gateway.in_force(version(number, text), 2 * number + 1) == ""
             for key in ("a", "b"):
                 assert isinstance(await client.write("write", "w", key, b"x", shard=0, deadline_ms=2000), Ok)
-            assert bool(gateway.rounds.module.admission.retry_budget.arrivals_ms) == (text == budget)
+            assert bool(gateway.rounds.scheduler.admission.retry_budget.arrivals_ms) == (text == budget)
 
     run(story)
 
@@ -326,13 +328,13 @@
         # It votes in no council that anybody leads: nobody tells it.
         gateway = await one.open(1, own=OWN.replace('voters: ["d0"]', 'voters: ["d9"]'))
         client = house.client(gateway)
-        assert gateway.company.forfeits_quota
+        assert gateway.peer_directory.forfeits_quota
         assert isinstance(await client.write("write", "w", "k", b"x", shard=0, deadline_ms=500), Ok)
         limited = await client.write("write", "v", "k", b"x", shard=0, deadline_ms=500)
         assert not isinstance(limited, Ok)
         gateway.agent.config.replica._is_certain = True  # witnesses told it
         assert isinstance(await client.write("write", "v", "k", b"x", shard=0, deadline_ms=900), Ok)
-        assert not gateway.company.forfeits_quota
+        assert not gateway.peer_directory.forfeits_quota
 
     run(story)
 
@@ -343,11 +345,11 @@
         gateway = await one.open(1, own=OWN.replace('voters: ["d0"]', 'voters: ["d9"]'))
         client = house.client(gateway)
         await client.write("write", "v", "k", b"x", shard=0, deadline_ms=500)
-        due = gateway.rounds.module.volumes["v"]
+        due = gateway.rounds.scheduler.volumes["v"]
         due.refill(gateway.clock())
         assert due.limit_tokens > 20.0  # earned by a part that it did not have
         gateway.agent.config.replica._is_certain = True
-        gateway.rounds.stir()
+        gateway.rounds.schedule_round()
         await asyncio.sleep(0.01)
         assert due.limit_tokens < 5.0
 
@@ -375,16 +377,16 @@
         assert old == QuotaDivisors(3, (("v", 3), ("w", 2)))
         more, fewer = "place: dispatchers: 5", "place: dispatchers: 2"
         assert await gateway.in_force(version(1, more, old), 2) == ""
-        assert gateway.company.dispatcher_counts == (3, 5) and gateway.trade.volumes["v"].hosts == 5
-        assert gateway.agent.membership.fleet_size == 5 and not gateway.company.forfeits_quota
+        assert gateway.peer_directory.dispatcher_counts == (3, 5) and gateway.trade.volumes["v"].hosts == 5
+        assert gateway.agent.membership.fleet_size == 5 and not gateway.peer_directory.forfeits_quota
         assert await gateway.in_force(version(1, more, old), 3) == ""
-        assert gateway.company.dispatcher_counts == (5,)
+        assert gateway.peer_directory.dispatcher_counts == (5,)
         grown = gateway.overlay.judge("", more)[1]
         assert await gateway.in_force(version(2, fewer, grown), 4) == ""
-        assert gateway.company.dispatcher_counts == (2, 5) and gateway.trade.volumes["v"].hosts == 5
-        assert gateway.company.forfeits_quota and gateway.place.number == 2  # outside of the new count
+        assert gateway.peer_directory.dispatcher_counts == (2, 5) and gateway.trade.volumes["v"].hosts == 5
+        assert gateway.peer_directory.forfeits_quota and gateway.place.number == 2  # outside of the new count
         assert await gateway.in_force(version(2, fewer, grown), 5) == ""
-        assert gateway.company.dispatcher_counts == (2,) and gateway.company.forfeits_quota
+        assert gateway.peer_directory.dispatcher_counts == (2,) and gateway.peer_directory.forfeits_quota
         assert gateway.agent.membership.fleet_size == 2
         client = house.client(gateway)
         assert isinstance(await client.write("write", "w", "k", b"x", shard=0, deadline_ms=900), Ok)
--- a/tests/gateway/test_bad_input.py
+++ b/tests/gateway/test_bad_input.py
@@ -111,7 +111,7 @@
     frames, told = collect()
     feed(frames, got, [4096])
     assert isinstance(await good.read("read", "v", "k", shard=0, length=1, deadline_ms=1000), Ok)
-    assert len(gateway.sessions) == 1 and not gateway.held
+    assert len(gateway.sessions) == 1 and not gateway.open_requests
     writer.close()
     return [message for message, _ in told]
 
--- a/tests/gateway/test_carrying.py
+++ b/tests/gateway/test_carrying.py
@@ -6,10 +6,10 @@
 from hypothesis import strategies as st
 
 from cherrygrade.gateway.backoff import Backoff
-from cherrygrade.gateway.pool import Pool
-from cherrygrade.gateway.roster import Book
-from cherrygrade.gateway.transit import Transit
-from cherrygrade.gateway.wheel import Wheel
+from cherrygrade.gateway.node_connection_pool import NodeConnectionPool
+from cherrygrade.gateway.registered_nodes import RegisteredNodes
+from cherrygrade.gateway.timer_wheel import TimerWheel
+from cherrygrade.gateway.transit_time import TransitTime
 from cherrygrade.scheduling.model import NodeState
 from cherrygrade.scheduling.round_inputs import NodeTable
 from cherrygrade.wire.messages import Entry, Roster
@@ -19,43 +19,43 @@
     return Entry(address, "z", "k", 0, standing, 1.0, start, age)
 
 
-def standings(book: Book) -> dict[str, NodeState]:
+def standings(book: RegisteredNodes) -> dict[str, NodeState]:
     return {address: node.state for address, node in book.nodes.by_address.items()}
 
 
 def test_a_missed_change_is_noticed_and_the_whole_list_mends_it():
-    book = Book(NodeTable())
-    book.hear(Roster(1, 1, -1, [entry("a"), entry("b")]), 0.0)
-    assert book.hear(Roster(1, 3, 2, [entry("a", "draining")]), 1.0) is None and book.gap
+    book = RegisteredNodes(NodeTable())
+    book.apply(Roster(1, 1, -1, [entry("a"), entry("b")]), 0.0)
+    assert book.apply(Roster(1, 3, 2, [entry("a", "draining")]), 1.0) is None and book.gap
     assert standings(book)["a"] is NodeState.LIVE
-    book.hear(Roster(1, 3, -1, [entry("a", "draining")]), 2.0)
+    book.apply(Roster(1, 3, -1, [entry("a", "draining")]), 2.0)
     assert not book.gap and standings(book) == {"a": NodeState.DRAINING, "b": NodeState.GONE}
 
 
 def test_a_list_from_the_past_changes_nothing():
-    book = Book(NodeTable())
-    book.hear(Roster(1, 5, -1, [entry("a", "draining")]), 0.0)
-    assert book.hear(Roster(1, 2, -1, [entry("a")]), 1.0) is None
+    book = RegisteredNodes(NodeTable())
+    book.apply(Roster(1, 5, -1, [entry("a", "draining")]), 0.0)
+    assert book.apply(Roster(1, 2, -1, [entry("a")]), 1.0) is None
     assert not book.gap and standings(book)["a"] is NodeState.DRAINING
 
 
 def test_a_register_that_began_anew_is_believed_only_in_whole():
-    book = Book(NodeTable())
-    book.hear(Roster(1, 50, -1, [entry("a")]), 0.0)
-    assert book.hear(Roster(2, 2, 1, [entry("a", "gone")]), 1.0) is None and book.gap
-    book.hear(Roster(2, 2, -1, [entry("a", "draining")]), 2.0)
+    book = RegisteredNodes(NodeTable())
+    book.apply(Roster(1, 50, -1, [entry("a")]), 0.0)
+    assert book.apply(Roster(2, 2, 1, [entry("a", "gone")]), 1.0) is None and book.gap
+    book.apply(Roster(2, 2, -1, [entry("a", "draining")]), 2.0)
     assert standings(book)["a"] is NodeState.DRAINING
-    assert book.hear(Roster(1, 51, 50, [entry("a")]), 3.0) is None
+    assert book.apply(Roster(1, 51, 50, [entry("a")]), 3.0) is None
 
 
 def test_a_nodes_birth_is_taken_from_the_first_word_of_its_start():
-    book = Book(NodeTable())
-    book.hear(Roster(1, 1, -1, [entry("a", age=300.0)]), 1000.0)
-    book.hear(Roster(1, 2, 1, [entry("a", age=5000.0)]), 1500.0)
+    book = RegisteredNodes(NodeTable())
+    book.apply(Roster(1, 1, -1, [entry("a", age=300.0)]), 1000.0)
+    book.apply(Roster(1, 2, 1, [entry("a", age=5000.0)]), 1500.0)
     assert book.nodes.by_address["a"].started_ms == 700.0
-    book.hear(Roster(1, 3, 2, [entry("a", start=2, age=50.0)]), 9000.0)
+    book.apply(Roster(1, 3, 2, [entry("a", start=2, age=50.0)]), 9000.0)
     assert book.nodes.by_address["a"].started_ms == 8950.0
-    book.hear(Roster(1, 4, 3, [entry("a", "gone", start=1)]), 9001.0)
+    book.apply(Roster(1, 4, 3, [entry("a", "gone", start=1)]), 9001.0)
     assert standings(book)["a"] is NodeState.LIVE  # a word of its life before
 
 
@@ -70,11 +70,11 @@
 
 @given(st.lists(words, max_size=20))
 def test_versions_and_starts_never_run_backwards(heard):
-    book, seen = Book(NodeTable()), (-1, -1)
+    book, seen = RegisteredNodes(NodeTable()), (-1, -1)
     starts = 0
     for epoch, version, whole, standing, start in heard:
         base = -1 if whole else version - 1
-        learned = book.hear(Roster(epoch, version, base, [entry("a", standing, start)]), 0.0)
+        learned = book.apply(Roster(epoch, version, base, [entry("a", standing, start)]), 0.0)
         assert (book.epoch, book.version) >= seen
         if learned:
             assert whole or (book.epoch, version) > seen
@@ -86,17 +86,17 @@
 
 @given(st.lists(st.tuples(st.integers(0, 400), st.booleans()), max_size=40))
 def test_the_wheel_gives_each_item_once_never_early_and_at_most_a_grain_late(items):
-    wheel: Wheel[int] = Wheel(5.0)
-    slots = {number: wheel.put(number, float(at)) for number, (at, _) in enumerate(items)}
+    wheel: TimerWheel[int] = TimerWheel(5.0)
+    slots = {number: wheel.add(number, float(at)) for number, (at, _) in enumerate(items)}
     kept = {number for number, (_, keep) in enumerate(items) if keep}
     for number in slots.keys() - kept:
-        wheel.drop(number, slots[number])
+        wheel.remove(number, slots[number])
     found: dict[int, float] = {}
     now = 0.0
-    while (at := wheel.next_at()) is not None:
+    while (at := wheel.next_expiry_ms()) is not None:
         assert at > now or now == 0.0
         now = at
-        for number in wheel.due(now):
+        for number in wheel.take_expired(now):
             assert number not in found
             found[number] = now
     assert found.keys() == kept
@@ -109,8 +109,8 @@
     backoff, other = Backoff(f"a{seed}"), Backoff(f"b{seed}")
     differ = False
     for _ in range(losses):
-        waits.append(backoff.lost(0.0))
-        differ = differ or other.lost(0.0) != waits[-1]
+        waits.append(backoff.record_failure(0.0))
+        differ = differ or other.record_failure(0.0) != waits[-1]
     assert all(0.0 < wait <= 1000.0 for wait in waits) and differ
     assert all(wait >= min(1000.0, 20.0 * 2**n) * 0.25 for n, wait in enumerate(waits))
 
@@ -119,15 +119,15 @@
     backoff = Backoff("x")
     now = 0.0
     for _ in range(8):
-        now = backoff.lost(now)
-        backoff.made(now)
+        now = backoff.record_failure(now)
+        backoff.record_connected(now)
     assert backoff.losses == 8
     now += 5000.0
-    assert backoff.lost(now) <= now + 20.0 and backoff.losses == 1
+    assert backoff.record_failure(now) <= now + 20.0 and backoff.losses == 1
 
 
 def test_the_pool_opens_connects_for_what_waits_and_never_too_many():
-    pool = Pool("s", most_lines=3, streams=2, idle_ms=100.0)
+    pool = NodeConnectionPool("s", most_lines=3, streams=2, idle_ms=100.0)
     assert not pool.wants(0, 0.0)
     first = pool.begin(0.0)
     assert not pool.wants(4, 0.0) and pool.wants(5, 0.0)
@@ -149,7 +149,7 @@
 
 
 def test_after_a_failed_connect_the_next_waits_though_more_is_sent():
-    pool = Pool("s", most_lines=3, streams=2, idle_ms=100.0)
+    pool = NodeConnectionPool("s", most_lines=3, streams=2, idle_ms=100.0)
     line = pool.begin(10.0)
     pool.gone(line, 10.0, wanted=True)
     assert not pool.wants(50, 10.0) and pool.wants(50, 10.0 + 20.0)
@@ -160,10 +160,10 @@
     st.floats(-1e6, 1e6),
 )
 def test_what_waited_on_the_way_is_told_whatever_the_clocks_say(words, offset):
-    transit, at, quickest = Transit(), 1.0, None
+    transit, at, quickest = TransitTime(), 1.0, None
     for gap, delay in words:
         at += gap
-        waited = transit.waited(at, at + delay + offset)
+        waited = transit.excess_ms(at, at + delay + offset)
         quickest = delay if quickest is None else min(quickest, delay)
         assert abs(waited - (delay - quickest)) < 1e-6 * max(1.0, abs(offset))
 
--- a/tests/gateway/test_gateway_failures.py
+++ b/tests/gateway/test_gateway_failures.py
@@ -9,7 +9,7 @@
 from support.gateway_site import GatewaySite, run
 
 from cherrygrade.client import Client, Errored, Ok, Rejected
-from cherrygrade.gateway.life import LEFT_BROKEN, LEFT_BY_FORCE, LEFT_CLEAN
+from cherrygrade.gateway.lifecycle import EXIT_BROKEN, EXIT_CLEAN, EXIT_FORCED
 from cherrygrade.scheduling.model import Outcome, SitePolicy
 from cherrygrade.scheduling.scheduler import Scheduler
 from cherrygrade.settings import LimitSettings, NodeConnectionSettings
@@ -126,7 +126,11 @@
         time.sleep(0.3)  # everybody stands still past the answer and the deadline
         await task
         await asyncio.sleep(0.1)
-        assert len(answers) <= 1 and not gateway.held and not gateway.links[next(iter(gateway.links))].waiting
+        assert (
+            len(answers) <= 1
+            and not gateway.open_requests
+            and not gateway.node_clients[next(iter(gateway.node_clients))].waiting
+        )
 
     run(story)
 
@@ -139,7 +143,7 @@
         burst = [client.write("write", "v", f"k{n}", bytes(4096), deadline_ms=1400) for n in range(60)]
         tasks = [asyncio.create_task(each) for each in burst]
         await asyncio.sleep(0.03)
-        assert len(gateway.held) == 10
+        assert len(gateway.open_requests) == 10
         answers = await asyncio.gather(*tasks)
         told = [answer for answer in answers if isinstance(answer, Rejected) and "more held" in answer.reason]
         assert len(told) == 50 and all(answer.come_back_ms == 500.0 for answer in told)
@@ -155,10 +159,10 @@
         node.silent = True  # connects stand, no welcome comes
         task = asyncio.create_task(client.read("read", "v", "k", shard=0, length=1, deadline_ms=1000))
         await asyncio.sleep(0.05)
-        assert sum(len(link.waiting) for link in gateway.links.values()) == 1
+        assert sum(len(link.waiting) for link in gateway.node_clients.values()) == 1
         house.list(node, "draining")
         await asyncio.sleep(0.02)
-        assert not any(link.waiting for link in gateway.links.values())
+        assert not any(link.waiting for link in gateway.node_clients.values())
         node.silent = False
         assert isinstance(await task, Rejected)
         assert not [line for line in node.record.lines if line[1] == "recv"]
@@ -210,10 +214,10 @@
         gateway._server.close()
         for session in [*gateway.sessions]:
             session.conn.abort("killed")
-        for link in gateway.links.values():
+        for link in gateway.node_clients.values():
             for carried in [*link.lines.values()]:
                 carried.conn.abort("killed")
-        gateway.rounds.end()
+        gateway.rounds.stop()
         assert all(isinstance(answer, Errored) for answer in await asyncio.gather(*flying))
         port = int(gateway.address.rpartition(":")[2])
         again = await house.gateway()
@@ -297,7 +301,7 @@
         await asyncio.sleep(0.04)
         gateway.leave()
         assert isinstance(await held, Ok)
-        assert await gateway.done == LEFT_CLEAN
+        assert await gateway.done == EXIT_CLEAN
         after = await client.read("read", "v", "k", shard=0, length=1, deadline_ms=200)
         assert isinstance(after, Rejected) and "no connection" in after.reason
 
@@ -313,7 +317,7 @@
         await asyncio.sleep(0.04)
         gateway.leave()
         gateway.leave()
-        assert isinstance(await held, Errored) and await gateway.done == LEFT_BY_FORCE
+        assert isinstance(await held, Errored) and await gateway.done == EXIT_FORCED
 
     run(story)
 
@@ -333,7 +337,7 @@
         await asyncio.sleep(0.03)
         bad = await client.read("read", "v", "poison", shard=0, length=1, deadline_ms=1400)
         assert isinstance(bad, Errored) and isinstance(await held, Errored)
-        assert await gateway.done == LEFT_BROKEN
+        assert await gateway.done == EXIT_BROKEN
         facts = next(facts for event, facts in house.logs if event == "module broke")
         assert "poisoned" in facts["traceback"] and "1 taken" in facts["round"]
 
@@ -353,9 +357,9 @@
         for task in tasks:
             task.cancel()
         await asyncio.sleep(0.05)
-        assert not gateway.held and not any(session.rpcs for session in gateway.sessions)
+        assert not gateway.open_requests and not any(session.rpcs for session in gateway.sessions)
         await asyncio.sleep(0.8)
-        assert not gateway.rounds.module.requests  # sends that were out have ended there too
+        assert not gateway.rounds.scheduler.requests  # sends that were out have ended there too
 
     run(story)
 
@@ -367,11 +371,11 @@
         gateway = await house.gateway()
         client = house.client(gateway)
         assert isinstance(await client.read("read", "v", "k", shard=0, length=1, deadline_ms=1000), Ok)
-        link = next(iter(gateway.links.values()))
-        lane = gateway.rounds.module.node_queues[link.node]
+        link = next(iter(gateway.node_clients.values()))
+        lane = gateway.rounds.scheduler.node_queues[link.node]
         before = len(gateway.rounds.inputs.outcomes)
         out = lane.newest_attempt
-        gateway.rounds.outcome(out, outcome)
+        gateway.rounds.record_outcome(out, outcome)
         assert out.outcome is Outcome.OK and len(gateway.rounds.inputs.outcomes) == before
 
     run(story)
@@ -400,7 +404,7 @@
             await asyncio.sleep(0.03)
         while not got.endswith(b"bytes"):
             got += await asyncio.wait_for(reader.read(1), 1.0)
-        assert not gateway.held
+        assert not gateway.open_requests
         writer.close()
 
     run(story)
--- a/tests/gateway/test_gossip_connections.py
+++ b/tests/gateway/test_gossip_connections.py
@@ -42,7 +42,7 @@
     async def story(house: GatewaySite) -> None:
         node = await house.node()
         gateways = await pair(house, house.reserve(2))
-        modules = [gateway.rounds.module for gateway in gateways]
+        modules = [gateway.rounds.scheduler for gateway in gateways]
         lane = next(iter(modules[0].node_queues.values()))
         keeper = lane.node_hash % 2
         client = house.client(gateways[1 - keeper])
@@ -76,7 +76,7 @@
         await use(house.client(gateways[0]), 3)
         assert not gateways[0].done.done()
         writer.close()
-        await until(lambda: not [ear for ear in gateways[0].words.ears if ear.number < 0])
+        await until(lambda: not [ear for ear in gateways[0].peer_messaging.ears if ear.number < 0])
 
     run(story)
 
@@ -101,7 +101,7 @@
         assert b"another fleet" in await knock(places[0], Hello(1, "peer", "x", ["0/2"]))  # it is itself 0
         assert b"only dispatchers' words" in await knock(places[0], Word(b"\x03" * 6))
         assert b"only dispatchers' words" in await knock(places[0], Hello(1, "client", "x"))
-        assert gateways[0].rounds.module.load_gossip.malformed == 0  # none of it came that far
+        assert gateways[0].rounds.scheduler.load_gossip.malformed == 0  # none of it came that far
         await use(house.client(gateways[0]), 3)
 
     run(story)
@@ -116,7 +116,7 @@
         host, _, port = places[0].rpartition(":")
         _, writer = await asyncio.open_connection(host, int(port))
         writer.write(encode(Hello(1, "peer", "x", ["1/2"]), 0) + encode(Word(b"\xff" * 7), 0) * 5000)
-        words, module = gateways[0].words, gateways[0].rounds.module
+        words, module = gateways[0].peer_messaging, gateways[0].rounds.scheduler
         await until(lambda: words.dropped > 3000 and module.load_gossip.malformed > 100)
         assert not any(
             lane.latency.reported_at_ms > 0.0 for lane in module.node_queues.values()
@@ -133,8 +133,8 @@
         gateways = await pair(house, house.reserve(2))
         gateways[1]._end(0)
         await use(house.client(gateways[0]), 10)
-        words = gateways[0].words
-        assert words.said + words.lost > 0 or gateways[0].rounds.module.load_gossip.aggregators
+        words = gateways[0].peer_messaging
+        assert words.said + words.lost > 0 or gateways[0].rounds.scheduler.load_gossip.aggregators
 
     run(story)
 
@@ -144,7 +144,7 @@
         await house.node()
         gateway = await house.gateway()
         await use(house.client(gateway), 3)
-        assert gateway.words is None and not gateway.rounds.module.load_gossip.aggregators
+        assert gateway.peer_messaging is None and not gateway.rounds.scheduler.load_gossip.aggregators
 
     run(story)
     site = read_site(EXAMPLE)
--- a/tests/gateway/test_quota_parts_in_force.py
+++ b/tests/gateway/test_quota_parts_in_force.py
@@ -17,7 +17,7 @@
 from cherrygrade.fleet.config.joint_phase import quota_parts
 from cherrygrade.fleet.config.versions import QuotaDivisors
 from cherrygrade.fleet.runtime.peer_directory import FleetPeerDirectory
-from cherrygrade.gateway.inforce import put, terms
+from cherrygrade.gateway.settings_in_force import apply_settings, derive_settings
 from cherrygrade.scheduling import scheduler
 from cherrygrade.scheduling.latency_estimate import SharedLatency
 from cherrygrade.scheduling.model import (
@@ -107,9 +107,9 @@
     def into(self, new: SiteSettings, old: QuotaDivisors | None, now: float, sure: bool = True) -> None:
         """In force; `old` while parts move."""
         dealt = quota_parts(self.number, divisors(new), old, sure)
-        made = terms(new, dealt, old)
+        made = derive_settings(new, dealt, old)
         self.trade, self.fewest = made.trade, made.fewest
-        put(self.module, self.company, made, now)
+        apply_settings(self.module, self.company, made, now)
 
     def wants_all(self, nodes: list[Node], now: float, *, quiet: bool = False) -> None:
         """All that rules 4 and 7 let through, each node asked in turn."""
--- a/tests/golden/test_command_line.py
+++ b/tests/golden/test_command_line.py
@@ -14,7 +14,7 @@
 from support import golden
 
 from cherrygrade.cli import app
-from cherrygrade.gateway import life
+from cherrygrade.gateway import lifecycle
 from cherrygrade.logs import plain_log
 
 ROOT = Path(__file__).parent.parent.parent
@@ -59,7 +59,7 @@
 
 
 def test_exit_codes_of_a_dispatcher_are_the_recorded_ones():
-    assert [life.LEFT_CLEAN, life.LEFT_BROKEN, life.LEFT_BY_FORCE] == RECORDED["ends"]
+    assert [lifecycle.EXIT_CLEAN, lifecycle.EXIT_BROKEN, lifecycle.EXIT_FORCED] == RECORDED["ends"]
 
 
 def test_log_line_has_the_recorded_form(capsys):
--- a/tests/http/test_http_forms.py
+++ b/tests/http/test_http_forms.py
@@ -402,7 +402,7 @@
         answered = await caller.read_answer()
         assert answered is not None and answered.status == 200
         assert answered.body == (b"mine" if wanted.outcome is Outcome.OK else b"of " + TARGET)
-        assert platform.rounds.module.told[0] == (wanted.outcome, wanted.used, dict(wanted.load))
+        assert platform.rounds.scheduler.told[0] == (wanted.outcome, wanted.used, dict(wanted.load))
         # The next one goes on the same connection, unless this one was its last.
         assert (await caller.exchange(client_request())).status == 200
         assert node.made == (2 if wanted.ends else 1)
--- a/tests/peers/test_slow_peers.py
+++ b/tests/peers/test_slow_peers.py
@@ -171,7 +171,7 @@
         steps = [facts["step"] for event, facts in house.logs if event == "slow peer"]
         assert steps[:3] == ["held", "narrow", "cut"]
         assert not any(session.name == "slow" for session in house.gateways[0].sessions)
-        assert set(house.gateways[0].held) <= set()
+        assert set(house.gateways[0].open_requests) <= set()
         writer.transport.abort()
 
     run(story)
--- a/tests/platform/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -18,7 +18,7 @@
 from support.platform_site import SETTINGS, PlatformSite, client_request, run_case
 from test_platform import TARGET, Watched
 
-from cherrygrade.gateway.life import LEFT_CLEAN
+from cherrygrade.gateway.lifecycle import EXIT_CLEAN
 from cherrygrade.http.reader import MessageReader
 from cherrygrade.http.writer import encode_response
 from cherrygrade.platform import client_connection, connection_pool, node_connection, periodic_tasks, shutdown
@@ -110,7 +110,7 @@
             await site.wait_until(lambda count=gone: platform.round_carrier.counts.abandoned == count)
         await barrier(site)
         assert len(node.came) == 2 and not platform.round_carrier.open_requests
-        await site.wait_until(lambda: not platform.rounds.module.requests)
+        await site.wait_until(lambda: not platform.rounds.scheduler.requests)
 
     run_case(tmp_path, story)
 
@@ -220,7 +220,7 @@
     async def story(site: PlatformSite) -> None:
         node = await site.add_node(work_ms=40.0)
         platform = await site.start()
-        module = platform.rounds.module
+        module = platform.rounds.scheduler
         clients = [raw(site, client_request(X_Budget_Ms="2000")) for _ in range(40)]
         await site.wait_until(lambda: node.came and len(module.requests) == 40)
         real, before = module.decide, []
@@ -440,7 +440,7 @@
             assert orderly
             told += statuses(data)
         assert len(told) == 40 and {200} <= set(told) <= {200, 503}
-        assert await asyncio.wait_for(platform.done, 2.0) == LEFT_CLEAN
+        assert await asyncio.wait_for(platform.done, 2.0) == EXIT_CLEAN
 
     run_case(tmp_path, story)
 
@@ -529,7 +529,7 @@
         node = await site.add_node()
         node.script.append(None)
         platform = await site.start()
-        client, outcome = raw(site, client_request()), platform.rounds.outcome
+        client, outcome = raw(site, client_request()), platform.rounds.record_outcome
         await site.wait_until(lambda: node.came)
 
         def came(*parts):
@@ -537,7 +537,7 @@
             platform.leave()
             platform.leave()
 
-        platform.rounds.outcome = came
+        platform.rounds.record_outcome = came
         node._answer(node.peers[0], node.came[0])
         data, orderly = await ends(client)
         assert statuses(data) == [200] and orderly
@@ -577,7 +577,7 @@
         platform.leave()
         data, _ = await ends(client)
         assert statuses(data) == [503]
-        assert await asyncio.wait_for(platform.done, 2.0) == LEFT_CLEAN
+        assert await asyncio.wait_for(platform.done, 2.0) == EXIT_CLEAN
         asked, moved = len(site.discovery.asked), type(site.discovery)()
         await moved.open()
         site.write_config(discovery=moved.address)
@@ -618,7 +618,7 @@
         if end == "reset":
             peer.cut()
         answered = await client
-        assert platform.rounds.module.told == [told]
+        assert platform.rounds.scheduler.told == [told]
         if told is Outcome.OK:
             assert (answered.status, answered.body) == (200, b"made for it")
         else:
@@ -647,7 +647,7 @@
         await site.wait_until(lambda: node.came)
         node.peers[0].write(cut)
         node.peers[0].transport.close()
-        assert (await client).status == 502 and platform.rounds.module.told == [Outcome.RESET]
+        assert (await client).status == 502 and platform.rounds.scheduler.told == [Outcome.RESET]
 
     run_case(tmp_path, story)
 
@@ -664,7 +664,7 @@
         await site.wait_until(lambda: node.came)
         peer = node.peers[0]
         peer.write(OK + b"\r\nmade for it")
-        assert (await client).status == 502 and platform.rounds.module.told == [Outcome.TIMED_OUT]
+        assert (await client).status == 502 and platform.rounds.scheduler.told == [Outcome.TIMED_OUT]
         peer.cut()
         assert (await caller.exchange(client_request())).body == b"of " + TARGET
 
@@ -713,7 +713,7 @@
         await asyncio.sleep(0.45)
         free.set()  # decided within the window, there to leave behind it
         assert (await first).status == 503  # its nodes drop repeats, so its client may ask again
-        assert len(node.came) == 1 and platform.rounds.module.told == [Outcome.RESET, Outcome.NOT_SENT]
+        assert len(node.came) == 1 and platform.rounds.scheduler.told == [Outcome.RESET, Outcome.NOT_SENT]
 
     run_case(tmp_path, story)
 
@@ -753,7 +753,7 @@
         loop.create_connection = connect
         asked = loop.time()
         assert (await caller.exchange(client_request(X_Budget_Ms="2000"))).status == 200
-        assert loop.time() - asked < 1.0 and platform.rounds.module.told == [Outcome.RESET, Outcome.OK]
+        assert loop.time() - asked < 1.0 and platform.rounds.scheduler.told == [Outcome.RESET, Outcome.OK]
         assert sum(pool.connecting for pool in platform.round_carrier.pools.values()) == 0
         assert platform.socket_budget.used == len(node.peers) or len(node.peers) == 2
 
@@ -811,7 +811,7 @@
         assert not line.is_fully_sent
         node.peers[0].write(encode_response(503, fields=b"X-Rejected: 1\r\n"))
         assert (await write).status == 200  # turned away unread, so it went again
-        assert platform.rounds.module.told == [Outcome.REJECTED, Outcome.OK] and node.made == 2
+        assert platform.rounds.scheduler.told == [Outcome.REJECTED, Outcome.OK] and node.made == 2
 
     run_case(tmp_path, story)
 
@@ -830,7 +830,7 @@
         pool.close_idle(platform.rounds.clock() + 1e6)
         assert not pool.idle and not pool.connections
         assert (await caller.exchange(client_request())).body == b"of " + TARGET
-        assert node.made == 2 and platform.rounds.module.told == [Outcome.OK, Outcome.OK]
+        assert node.made == 2 and platform.rounds.scheduler.told == [Outcome.OK, Outcome.OK]
         assert platform.socket_budget.used == 1
 
     run_case(tmp_path, story)
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -12,7 +12,7 @@
 import pytest
 from support.platform_site import SETTINGS, PlatformSite, client_request, run_case
 
-from cherrygrade.gateway.life import LEFT_BROKEN, LEFT_CLEAN
+from cherrygrade.gateway.lifecycle import EXIT_BROKEN, EXIT_CLEAN
 from cherrygrade.http.reader import MAX_BODY_BYTES, MAX_LONG_BODY_BYTES
 from cherrygrade.http.writer import encode_response
 from cherrygrade.platform import connection_pool, node_connection, process, round_carrier, watch_liveness
@@ -159,7 +159,7 @@
         caller = await site.connect_client()
         read = await caller.exchange(client_request())
         assert (read.status, read.body) == (200, b"of " + TARGET)
-        assert platform.rounds.module.told == [Outcome.FAILED, Outcome.OK]
+        assert platform.rounds.scheduler.told == [Outcome.FAILED, Outcome.OK]
         assert (await caller.exchange(client_request())).body == b"of " + TARGET
 
     run_case(tmp_path, story)
@@ -187,14 +187,14 @@
         await site.start()
         caller = await site.connect_client()
         assert (await caller.exchange(client_request())).status == 200
-        peer, decide = node.peers[0], site.platform.rounds.module.decide
+        peer, decide = node.peers[0], site.platform.rounds.scheduler.decide
 
         def late(now, writer, **came):  # in the socket as the module decides, and not yet read here
             if came["arrivals"]:
                 peer.transport._sock.send(encode_response(200, b"somebody else's"))
             decide(now, writer, **came)
 
-        site.platform.rounds.module.decide = late
+        site.platform.rounds.scheduler.decide = late
         assert (await caller.exchange(client_request())).body == b"of " + TARGET
         assert len(node.came) == 2
 
@@ -228,7 +228,7 @@
         node.script.append(script)
         once = {"X_Call_Class": "once", "method": "PUT", "body": b"x"}
         answered = await (await site.connect_client()).exchange(client_request(**once))
-        assert platform.rounds.module.told[0] is told
+        assert platform.rounds.scheduler.told[0] is told
         # What may have run and must not run again is errored and never sent anew.
         assert (answered.status, len(node.came)) == ((200, 2) if told is Outcome.REJECTED else (502, 1))
 
@@ -242,7 +242,7 @@
         node.close()
         once = {"X_Call_Class": "once", "method": "PUT", "body": b"x"}
         answered = await (await site.connect_client()).exchange(client_request(**once))
-        assert answered.status == 503 and Outcome.CONNECT_FAILED in platform.rounds.module.told
+        assert answered.status == 503 and Outcome.CONNECT_FAILED in platform.rounds.scheduler.told
 
     run_case(tmp_path, story)
 
@@ -265,7 +265,7 @@
 
         loop.create_connection = connect
         assert (await caller.exchange(client_request())).status == 200
-        assert platform.rounds.module.told == told
+        assert platform.rounds.scheduler.told == told
 
     run_case(tmp_path, story)
 
@@ -297,7 +297,7 @@
         await site.wait_until(lambda: site.discovery.peers)
         late_connects(site, [1.2])
         assert (await caller.exchange(client_request(X_Budget_Ms="1100"))).status == 200
-        assert platform.rounds.module.told == [Outcome.OK] and node.made == 1
+        assert platform.rounds.scheduler.told == [Outcome.OK] and node.made == 1
         await site.wait_until(lambda: node.made == 2)  # the late one is there for whoever comes next
         (pool,) = platform.round_carrier.pools.values()
         assert (len(pool.idle), pool.connecting, platform.socket_budget.used) == (2, 0, 2)
@@ -312,7 +312,7 @@
         platform = await site.start(Watched, settings=slow(1.9))
         callers = [await site.connect_client() for _ in range(3)]
         await site.wait_until(lambda: site.discovery.peers)
-        (lane,) = platform.rounds.module.node_queues.values()
+        (lane,) = platform.rounds.scheduler.node_queues.values()
         lane.limit.window = 6.0
         calls = [asyncio.create_task(callers[0].exchange(client_request(X_Budget_Ms="5000")))]
         await site.wait_until(lambda: node.came)
@@ -322,7 +322,7 @@
             asyncio.create_task(one.exchange(client_request(X_Budget_Ms="5000"))) for one in callers[1:]
         ]
         assert [answered.status for answered in await asyncio.gather(*calls)] == [200] * 3
-        assert platform.rounds.module.told == [Outcome.OK] * 3
+        assert platform.rounds.scheduler.told == [Outcome.OK] * 3
 
     run_case(tmp_path, story)
 
@@ -339,7 +339,7 @@
         late_connects(site, [9.0] * 20)
         begun = time.monotonic()
         answering = asyncio.create_task(caller.exchange(client_request(X_Budget_Ms="1500")))
-        told = platform.rounds.module
+        told = platform.rounds.scheduler
         await site.wait_until(lambda: getattr(told, "told", []))
         assert told.told[0] is Outcome.CONNECT_FAILED and time.monotonic() - begun >= 0.25
         assert (await answering).status == 503 and not node.made
@@ -378,13 +378,13 @@
         node = await site.add_node()
         platform = await site.start(Watched)
         node.script.extend([None] * 9)
-        caller, asks, carried, real = await site.connect_client(), [], [], platform.round_carrier.carry
+        caller, asks, carried, real = await site.connect_client(), [], [], platform.round_carrier.send_attempt
 
         def carry(out, limit_ms):
             real(out, limit_ms)
             carried.append(out)
 
-        platform.round_carrier.carry = carry
+        platform.round_carrier.send_attempt = carry
         caller.writer.write(client_request(X_Budget_Ms="300"))
         await site.wait_until(lambda: platform.round_carrier.open_requests)
         asks += platform.round_carrier.open_requests.values()
@@ -393,7 +393,7 @@
         # By its own clock, as a busy machine turns the loop late: the timer that gives it up stands in time.
         assert asks[0].deadline_ms <= carried[0].sent_ms + 300.0 - process.ANSWER_MS
         assert carried[0].timer_slot * round_carrier.GRAIN_MS <= asks[0].deadline_ms + round_carrier.GRAIN_MS
-        assert Outcome.TIMED_OUT in platform.rounds.module.told
+        assert Outcome.TIMED_OUT in platform.rounds.scheduler.told
         await site.wait_until(lambda: not node.peers)
         assert not platform.round_carrier.open_requests and not platform.socket_budget.used
 
@@ -414,7 +414,7 @@
         platform.answer_budget.max_bytes = 100_000
         node.script.extend([encode_response(200, large)] * 9)
         assert (await caller.exchange(client_request())).status == 503
-        assert Outcome.FAILED in platform.rounds.module.told and not platform.answer_budget.held_bytes
+        assert Outcome.FAILED in platform.rounds.scheduler.told and not platform.answer_budget.held_bytes
 
     run_case(tmp_path, story)
 
@@ -552,7 +552,7 @@
         await site.wait_until(lambda: node.came)
         caller.writer.close()
         await site.wait_until(lambda: not platform.round_carrier.open_requests)
-        await site.wait_until(lambda: not platform.rounds.module.requests)
+        await site.wait_until(lambda: not platform.rounds.scheduler.requests)
 
     run_case(tmp_path, story)
 
@@ -640,7 +640,7 @@
             return await connects(factory, host, port)
 
         def stand(pool, connection):
-            platform.rounds.stir()
+            platform.rounds.schedule_round()
             time.sleep(held_up.pop(0))
             stands(pool, connection)
 
@@ -660,7 +660,7 @@
         caller, stands = await site.connect_client(), connection_pool.ConnectionPool.connected
 
         def stand(pool, connection):
-            platform.rounds.stir()
+            platform.rounds.schedule_round()
             time.sleep(0.4)
             stands(pool, connection)
 
@@ -722,7 +722,7 @@
         caller.writer.write(client_request())
         await site.wait_until(lambda: any(pool.waiting for pool in platform.round_carrier.pools.values()))
         site.discovery.tell(node.entry("terminating"))
-        await site.wait_until(lambda: Outcome.NOT_SENT in platform.rounds.module.told)
+        await site.wait_until(lambda: Outcome.NOT_SENT in platform.rounds.scheduler.told)
         platform.socket_budget.max_sockets = 9
         assert (await caller.read_answer()).status == 503 and not node.came
 
@@ -743,7 +743,9 @@
         site.discovery.tell(node.entry(born_ms=born))
         await site.wait_until(lambda: met.started_ms)
         assert abs(platform.rounds.clock() - met.started_ms - 60000.0) < 2000.0
-        await site.wait_until(lambda: not platform.rounds.module.node_queues[met].health.consecutive_failures)
+        await site.wait_until(
+            lambda: not platform.rounds.scheduler.node_queues[met].health.consecutive_failures
+        )
         assert (await caller.exchange(client_request())).status == 200
         site.discovery.tell(node.entry("terminated"))
         await site.wait_until(
@@ -972,7 +974,7 @@
         answered = await busy.read_answer()
         assert (answered.status, answered.fields[b"connection"]) == (200, b"close")
         assert await idle.read_answer() is None
-        assert await asyncio.wait_for(platform.done, 1.0) == LEFT_CLEAN
+        assert await asyncio.wait_for(platform.done, 1.0) == EXIT_CLEAN
         assert platform.rounds.clock() < left - 60.0
 
     run_case(tmp_path, story)
@@ -993,7 +995,7 @@
         await asyncio.sleep(1.2)
         caller.writer.write(client_request(X_Budget_Ms="2000"))
         assert (await caller.read_answer()).status in (502, 503)
-        assert await asyncio.wait_for(platform.done, 1.0) == LEFT_CLEAN
+        assert await asyncio.wait_for(platform.done, 1.0) == EXIT_CLEAN
         assert platform.rounds.clock() < left - 60.0
 
     run_case(tmp_path, story)
@@ -1003,7 +1005,7 @@
     async def story(site: PlatformSite) -> None:
         platform = await site.start()
         platform.leave()
-        assert await asyncio.wait_for(platform.done, 1.0) == LEFT_CLEAN
+        assert await asyncio.wait_for(platform.done, 1.0) == EXIT_CLEAN
 
     run_case(tmp_path, story)
 
@@ -1017,7 +1019,7 @@
         await site.add_node()
         platform = await site.start(Broken)
         assert (await (await site.connect_client()).exchange(client_request())).status == 502
-        assert await platform.done == LEFT_BROKEN
+        assert await platform.done == EXIT_BROKEN
 
     run_case(tmp_path, story)
 
--- a/tests/scheduling/test_failures.py
+++ b/tests/scheduling/test_failures.py
@@ -366,11 +366,11 @@
 def test_an_rpc_is_answered_in_time_by_a_process_whose_clockwork_is_late():
     # On a machine whose cores are all taken five RPCs of a day were never answered in time.
     lateness = Lateness(0.0)
-    assert lateness.margin(2000.0, 0.0) == 0.0
-    lateness.saw(180.0, 100.0)
-    lateness.saw(3.0, 200.0)
-    assert lateness.margin(2000.0, 300.0) == 180.0
-    assert lateness.margin(100.0, 300.0) == 50.0  # it still has a chance
-    assert lateness.margin(2000.0, 6000.0) == 180.0 and lateness.margin(2000.0, 11_000.0) == 0.0
-    lateness.saw(30_000.0, 12_000.0)
-    assert lateness.margin(5000.0, 12_000.0) == 1000.0
+    assert lateness.margin_ms(2000.0, 0.0) == 0.0
+    lateness.record(180.0, 100.0)
+    lateness.record(3.0, 200.0)
+    assert lateness.margin_ms(2000.0, 300.0) == 180.0
+    assert lateness.margin_ms(100.0, 300.0) == 50.0  # it still has a chance
+    assert lateness.margin_ms(2000.0, 6000.0) == 180.0 and lateness.margin_ms(2000.0, 11_000.0) == 0.0
+    lateness.record(30_000.0, 12_000.0)
+    assert lateness.margin_ms(5000.0, 12_000.0) == 1000.0
