--- a/tests/platform/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -18,7 +18,7 @@
 from support.platform_site import SETTINGS, PlatformSite, client_request, run_case
 from test_platform import TARGET, OutcomeRecorder
 
-from cherrygrade.gateway.life import LEFT_CLEAN
+from cherrygrade.gateway.lifecycle import EXIT_CLEAN
 from cherrygrade.http.reader import MessageReader
 from cherrygrade.http.writer import encode_response
 from cherrygrade.platform import client_connection, connection_pool, node_connection, periodic_tasks, shutdown
@@ -113,7 +113,7 @@
             await site.wait_until(lambda count=abandoned: dispatcher.round_carrier.counts.abandoned == count)
         await wait_for_round_trip(site)
         assert len(node.came) == 2 and not dispatcher.round_carrier.open_requests
-        await site.wait_until(lambda: not dispatcher.rounds.module.requests)
+        await site.wait_until(lambda: not dispatcher.rounds.scheduler.requests)
 
     run_case(tmp_path, case)
 
@@ -226,7 +226,7 @@
     async def case(site: PlatformSite) -> None:
         node = await site.add_node(work_ms=40.0)
         dispatcher = await site.start()
-        scheduler = dispatcher.rounds.module
+        scheduler = dispatcher.rounds.scheduler
         clients = [connect_and_send(site, client_request(X_Budget_Ms="2000")) for _ in range(40)]
         await site.wait_until(lambda: node.came and len(scheduler.requests) == 40)
         decide, received_before = scheduler.decide, []
@@ -454,7 +454,7 @@
             assert orderly
             received += statuses(data)
         assert len(received) == 40 and {200} <= set(received) <= {200, 503}
-        assert await asyncio.wait_for(dispatcher.done, 2.0) == LEFT_CLEAN
+        assert await asyncio.wait_for(dispatcher.done, 2.0) == EXIT_CLEAN
 
     run_case(tmp_path, case)
 
@@ -550,7 +550,7 @@
         node = await site.add_node()
         node.script.append(None)
         dispatcher = await site.start()
-        client, outcome = connect_and_send(site, client_request()), dispatcher.rounds.outcome
+        client, outcome = connect_and_send(site, client_request()), dispatcher.rounds.record_outcome
         await site.wait_until(lambda: node.came)
 
         def report_outcome_and_end(*args):
@@ -558,7 +558,7 @@
             dispatcher.leave()
             dispatcher.leave()
 
-        dispatcher.rounds.outcome = report_outcome_and_end
+        dispatcher.rounds.record_outcome = report_outcome_and_end
         node._answer(node.peers[0], node.came[0])
         data, orderly = await read_to_end(client)
         assert statuses(data) == [200] and orderly
@@ -598,7 +598,7 @@
         dispatcher.leave()
         data, _ = await read_to_end(client)
         assert statuses(data) == [503]
-        assert await asyncio.wait_for(dispatcher.done, 2.0) == LEFT_CLEAN
+        assert await asyncio.wait_for(dispatcher.done, 2.0) == EXIT_CLEAN
         watches_before, new_discovery = len(site.discovery.asked), type(site.discovery)()
         await new_discovery.open()
         site.write_config(discovery=new_discovery.address)
@@ -639,7 +639,7 @@
         if end == "reset":
             peer.cut()
         answer = await pending_answer
-        assert dispatcher.rounds.module.outcomes == [outcome]
+        assert dispatcher.rounds.scheduler.outcomes == [outcome]
         if outcome is Outcome.OK:
             assert (answer.status, answer.body) == (200, b"made for it")
         else:
@@ -668,7 +668,9 @@
         await site.wait_until(lambda: node.came)
         node.peers[0].write(partial_response)
         node.peers[0].transport.close()
-        assert (await pending_answer).status == 502 and dispatcher.rounds.module.outcomes == [Outcome.RESET]
+        assert (await pending_answer).status == 502 and dispatcher.rounds.scheduler.outcomes == [
+            Outcome.RESET
+        ]
 
     run_case(tmp_path, case)
 
@@ -685,7 +687,7 @@
         await site.wait_until(lambda: node.came)
         peer = node.peers[0]
         peer.write(OK + b"\r\nmade for it")
-        assert (await pending_answer).status == 502 and dispatcher.rounds.module.outcomes == [
+        assert (await pending_answer).status == 502 and dispatcher.rounds.scheduler.outcomes == [
             Outcome.TIMED_OUT
         ]
         peer.cut()
@@ -736,7 +738,10 @@
         await asyncio.sleep(0.45)
         released.set()  # the retry was decided within the window, and could be sent only after its end
         assert (await pending_answer).status == 503  # nodes drop repeats, so the client may retry
-        assert len(node.came) == 1 and dispatcher.rounds.module.outcomes == [Outcome.RESET, Outcome.NOT_SENT]
+        assert len(node.came) == 1 and dispatcher.rounds.scheduler.outcomes == [
+            Outcome.RESET,
+            Outcome.NOT_SENT,
+        ]
 
     run_case(tmp_path, case)
 
@@ -776,7 +781,7 @@
         loop.create_connection = connect
         started_s = loop.time()
         assert (await client.exchange(client_request(X_Budget_Ms="2000"))).status == 200
-        assert loop.time() - started_s < 1.0 and dispatcher.rounds.module.outcomes == [
+        assert loop.time() - started_s < 1.0 and dispatcher.rounds.scheduler.outcomes == [
             Outcome.RESET,
             Outcome.OK,
         ]
@@ -850,7 +855,7 @@
         assert not connection.is_fully_sent
         node.peers[0].write(encode_response(503, fields=b"X-Rejected: 1\r\n"))
         assert (await pending_answer).status == 200  # a rejected request did not run, so it is retried
-        assert dispatcher.rounds.module.outcomes == [Outcome.REJECTED, Outcome.OK] and node.made == 2
+        assert dispatcher.rounds.scheduler.outcomes == [Outcome.REJECTED, Outcome.OK] and node.made == 2
 
     run_case(tmp_path, case)
 
@@ -869,7 +874,7 @@
         pool.close_idle(dispatcher.rounds.clock() + 1e6)
         assert not pool.idle and not pool.connections
         assert (await client.exchange(client_request())).body == b"of " + TARGET
-        assert node.made == 2 and dispatcher.rounds.module.outcomes == [Outcome.OK, Outcome.OK]
+        assert node.made == 2 and dispatcher.rounds.scheduler.outcomes == [Outcome.OK, Outcome.OK]
         assert dispatcher.socket_budget.used == 1
 
     run_case(tmp_path, case)
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -15,7 +15,7 @@
 import pytest
 from support.platform_site import SETTINGS, PlatformSite, client_request, run_case
 
-from cherrygrade.gateway.life import LEFT_BROKEN, LEFT_CLEAN
+from cherrygrade.gateway.lifecycle import EXIT_BROKEN, EXIT_CLEAN
 from cherrygrade.http.reader import MAX_BODY_BYTES, MAX_LONG_BODY_BYTES
 from cherrygrade.http.writer import encode_response
 from cherrygrade.platform import connection_pool, node_connection, process, round_carrier, watch_liveness
@@ -164,7 +164,7 @@
         client = await site.connect_client()
         read = await client.exchange(client_request())
         assert (read.status, read.body) == (200, b"of " + TARGET)
-        assert dispatcher.rounds.module.outcomes == [Outcome.FAILED, Outcome.OK]
+        assert dispatcher.rounds.scheduler.outcomes == [Outcome.FAILED, Outcome.OK]
         assert (await client.exchange(client_request())).body == b"of " + TARGET
 
     run_case(tmp_path, case)
@@ -192,7 +192,7 @@
         await site.start()
         client = await site.connect_client()
         assert (await client.exchange(client_request())).status == 200
-        peer, decide = node.peers[0], site.dispatcher.rounds.module.decide
+        peer, decide = node.peers[0], site.dispatcher.rounds.scheduler.decide
 
         # During the round the late bytes are in the dispatcher's socket and not read yet.
         def decide_after_late_bytes(now, writer, **inputs):
@@ -200,7 +200,7 @@
                 peer.transport._sock.send(encode_response(200, b"somebody else's"))
             decide(now, writer, **inputs)
 
-        site.dispatcher.rounds.module.decide = decide_after_late_bytes
+        site.dispatcher.rounds.scheduler.decide = decide_after_late_bytes
         assert (await client.exchange(client_request())).body == b"of " + TARGET
         assert len(node.came) == 2
 
@@ -234,7 +234,7 @@
         node.script.append(response)
         once = {"X_Call_Class": "once", "method": "PUT", "body": b"x"}
         answer = await (await site.connect_client()).exchange(client_request(**once))
-        assert dispatcher.rounds.module.outcomes[0] is outcome
+        assert dispatcher.rounds.scheduler.outcomes[0] is outcome
         # A request that may have run and must not run twice is answered with an error and not sent again.
         assert (answer.status, len(node.came)) == ((200, 2) if outcome is Outcome.REJECTED else (502, 1))
 
@@ -248,7 +248,7 @@
         node.close()
         once = {"X_Call_Class": "once", "method": "PUT", "body": b"x"}
         answer = await (await site.connect_client()).exchange(client_request(**once))
-        assert answer.status == 503 and Outcome.CONNECT_FAILED in dispatcher.rounds.module.outcomes
+        assert answer.status == 503 and Outcome.CONNECT_FAILED in dispatcher.rounds.scheduler.outcomes
 
     run_case(tmp_path, case)
 
@@ -272,7 +272,7 @@
 
         loop.create_connection = connect
         assert (await client.exchange(client_request())).status == 200
-        assert dispatcher.rounds.module.outcomes == outcomes
+        assert dispatcher.rounds.scheduler.outcomes == outcomes
 
     run_case(tmp_path, case)
 
@@ -308,7 +308,7 @@
         await site.wait_until(lambda: site.discovery.peers)
         delay_connects(site, [1.2])
         assert (await client.exchange(client_request(X_Budget_Ms="1100"))).status == 200
-        assert dispatcher.rounds.module.outcomes == [Outcome.OK] and node.made == 1
+        assert dispatcher.rounds.scheduler.outcomes == [Outcome.OK] and node.made == 1
         await site.wait_until(lambda: node.made == 2)  # the slow connection becomes idle for later attempts
         (pool,) = dispatcher.round_carrier.pools.values()
         assert (len(pool.idle), pool.connecting, dispatcher.socket_budget.used) == (2, 0, 2)
@@ -323,7 +323,7 @@
         dispatcher = await site.start(OutcomeRecorder, settings=long_deadline_settings(1.9))
         clients = [await site.connect_client() for _ in range(3)]
         await site.wait_until(lambda: site.discovery.peers)
-        (node_queue,) = dispatcher.rounds.module.node_queues.values()
+        (node_queue,) = dispatcher.rounds.scheduler.node_queues.values()
         node_queue.limit.window = 6.0
         calls = [asyncio.create_task(clients[0].exchange(client_request(X_Budget_Ms="5000")))]
         await site.wait_until(lambda: node.came)
@@ -334,7 +334,7 @@
             asyncio.create_task(one.exchange(client_request(X_Budget_Ms="5000"))) for one in clients[1:]
         ]
         assert [answer.status for answer in await asyncio.gather(*calls)] == [200] * 3
-        assert dispatcher.rounds.module.outcomes == [Outcome.OK] * 3
+        assert dispatcher.rounds.scheduler.outcomes == [Outcome.OK] * 3
 
     run_case(tmp_path, case)
 
@@ -351,7 +351,7 @@
         delay_connects(site, [9.0] * 20)
         started_s = time.monotonic()
         answering = asyncio.create_task(client.exchange(client_request(X_Budget_Ms="1500")))
-        scheduler = dispatcher.rounds.module
+        scheduler = dispatcher.rounds.scheduler
         await site.wait_until(lambda: getattr(scheduler, "outcomes", []))
         assert scheduler.outcomes[0] is Outcome.CONNECT_FAILED and time.monotonic() - started_s >= 0.25
         assert (await answering).status == 503 and not node.made
@@ -394,14 +394,14 @@
             await site.connect_client(),
             [],
             [],
-            dispatcher.round_carrier.carry,
+            dispatcher.round_carrier.send_attempt,
         )
 
         def record_attempt(attempt, limit_ms):
             carry(attempt, limit_ms)
             attempts.append(attempt)
 
-        dispatcher.round_carrier.carry = record_attempt
+        dispatcher.round_carrier.send_attempt = record_attempt
         client.writer.write(client_request(X_Budget_Ms="300"))
         await site.wait_until(lambda: dispatcher.round_carrier.open_requests)
         requests += dispatcher.round_carrier.open_requests.values()
@@ -414,7 +414,7 @@
             attempts[0].timer_slot * round_carrier.TIMEOUT_RESOLUTION_MS
             <= requests[0].deadline_ms + round_carrier.TIMEOUT_RESOLUTION_MS
         )
-        assert Outcome.TIMED_OUT in dispatcher.rounds.module.outcomes
+        assert Outcome.TIMED_OUT in dispatcher.rounds.scheduler.outcomes
         await site.wait_until(lambda: not node.peers)
         assert not dispatcher.round_carrier.open_requests and not dispatcher.socket_budget.used
 
@@ -436,7 +436,7 @@
         node.script.extend([encode_response(200, large)] * 9)
         assert (await client.exchange(client_request())).status == 503
         assert (
-            Outcome.FAILED in dispatcher.rounds.module.outcomes
+            Outcome.FAILED in dispatcher.rounds.scheduler.outcomes
             and not dispatcher.answer_budget.reserved_bytes
         )
 
@@ -580,7 +580,7 @@
         await site.wait_until(lambda: node.came)
         client.writer.close()
         await site.wait_until(lambda: not dispatcher.round_carrier.open_requests)
-        await site.wait_until(lambda: not dispatcher.rounds.module.requests)
+        await site.wait_until(lambda: not dispatcher.rounds.scheduler.requests)
 
     run_case(tmp_path, case)
 
@@ -687,7 +687,7 @@
             return await create_connection(factory, host, port)
 
         def stall_and_connect(pool, connection):
-            dispatcher.rounds.stir()
+            dispatcher.rounds.schedule_round()
             time.sleep(stalls_s.pop(0))
             connected(pool, connection)
 
@@ -711,7 +711,7 @@
         client, connected = await site.connect_client(), connection_pool.ConnectionPool.connected
 
         def stall_and_connect(pool, connection):
-            dispatcher.rounds.stir()
+            dispatcher.rounds.schedule_round()
             time.sleep(0.4)
             connected(pool, connection)
 
@@ -774,7 +774,7 @@
         client.writer.write(client_request())
         await site.wait_until(lambda: any(pool.waiting for pool in dispatcher.round_carrier.pools.values()))
         site.discovery.tell(node.entry("terminating"))
-        await site.wait_until(lambda: Outcome.NOT_SENT in dispatcher.rounds.module.outcomes)
+        await site.wait_until(lambda: Outcome.NOT_SENT in dispatcher.rounds.scheduler.outcomes)
         dispatcher.socket_budget.max_sockets = 9
         assert (await client.read_answer()).status == 503 and not node.came
 
@@ -796,7 +796,7 @@
         await site.wait_until(lambda: known.started_ms)
         assert abs(dispatcher.rounds.clock() - known.started_ms - 60000.0) < 2000.0
         await site.wait_until(
-            lambda: not dispatcher.rounds.module.node_queues[known].health.consecutive_failures
+            lambda: not dispatcher.rounds.scheduler.node_queues[known].health.consecutive_failures
         )
         assert (await client.exchange(client_request())).status == 200
         site.discovery.tell(node.entry("terminated"))
@@ -1024,7 +1024,7 @@
         answer = await busy.read_answer()
         assert (answer.status, answer.fields[b"connection"]) == (200, b"close")
         assert await idle.read_answer() is None
-        assert await asyncio.wait_for(dispatcher.done, 1.0) == LEFT_CLEAN
+        assert await asyncio.wait_for(dispatcher.done, 1.0) == EXIT_CLEAN
         assert dispatcher.rounds.clock() < kill_ms - 60.0
 
     run_case(tmp_path, case)
@@ -1046,7 +1046,7 @@
         await asyncio.sleep(1.2)
         client.writer.write(client_request(X_Budget_Ms="2000"))
         assert (await client.read_answer()).status in (502, 503)
-        assert await asyncio.wait_for(dispatcher.done, 1.0) == LEFT_CLEAN
+        assert await asyncio.wait_for(dispatcher.done, 1.0) == EXIT_CLEAN
         assert dispatcher.rounds.clock() < kill_ms - 60.0
 
     run_case(tmp_path, case)
@@ -1056,7 +1056,7 @@
     async def case(site: PlatformSite) -> None:
         dispatcher = await site.start()
         dispatcher.leave()
-        assert await asyncio.wait_for(dispatcher.done, 1.0) == LEFT_CLEAN
+        assert await asyncio.wait_for(dispatcher.done, 1.0) == EXIT_CLEAN
 
     run_case(tmp_path, case)
 
@@ -1070,7 +1070,7 @@
         await site.add_node()
         dispatcher = await site.start(FaultyScheduler)
         assert (await (await site.connect_client()).exchange(client_request())).status == 502
-        assert await dispatcher.done == LEFT_BROKEN
+        assert await dispatcher.done == EXIT_BROKEN
 
     run_case(tmp_path, case)
 
