--- a/cherrygrade/fleet/leases/__init__.py
+++ b/cherrygrade/fleet/leases/__init__.py
@@ -1,2 +1,5 @@
-"""The right to do one named task for the fleet: granted by the council, held by one member and life, with a
-number that only grows and an end (docs/leases-design.md)."""
+"""Leases: the exclusive right of one dispatcher to do a named task for the fleet.
+
+The council grants a lease to one incarnation of a dispatcher, with a fencing number that only grows and
+a duration (docs/leases-design.md).
+"""
--- a/cherrygrade/fleet/leases/lease_client.py
+++ b/cherrygrade/fleet/leases/lease_client.py
@@ -1,10 +1,11 @@
-"""Which tasks a member asks for, and when: spread over the living, not all at once, and none for ever.
+"""Which free tasks a member requests, and when: spread over the living members, and not all at once.
 
-A member asks which of the tasks that it wants are free, a few names at a time, and only for those where it is
-among the first few by rendezvous; the first takes a free one at once, the others when it stays free. So a
-dead holder's tasks go to many, and what all ask together does not grow with the members.
+A member polls the council for which of its tasks are free, at most MAX_TASKS_PER_POLL at a time, and polls
+only for tasks for which it is among the first POLLERS_PER_TASK members by rendezvous hashing. The first of
+these requests a free task at once, the others if the task stays free. So the tasks of a failed holder go to
+many members, and the number of polls does not grow with the number of members.
 
-Free of I/O and clock; what varies comes from a seed and a counter.
+This module does no I/O and reads no clock. Its random numbers follow from a seed and a counter.
 """
 
 from __future__ import annotations
@@ -13,75 +14,114 @@
 
 from cherrygrade.fleet.leases.lease_holder import rendezvous_rank
 
-POLL_MS = 400.0  # while somebody came or went of late, or something is free
-REST_MS, RECENT_CHANGE_MS = 4000.0, 15_000.0  # else: finds what ends otherwise; how long "of late" is
-SOON_MS = 150.0  # after something was free: whoever is next looks again
-MOST_NAMES = 64  # in one ask
-FIRST = 3  # of the living by rendezvous that ask for a task at all
+POLL_INTERVAL_MS = 400.0
+"""Between polls while a task was seen free, or the living members have changed recently."""
+IDLE_POLL_INTERVAL_MS, RECENT_CHANGE_MS = 4000.0, 15_000.0
+"""Between polls otherwise; for how long after a change of the living members polls stay frequent."""
+REPEAT_POLL_DELAY_MS = 150.0
+"""Before the next poll when a free task was left to a member of lower rank."""
+MAX_TASKS_PER_POLL = 64
+POLLERS_PER_TASK = 3
+"""How many of the living members poll for a task, by rank."""
 NEVER = 1e15
+"""A time in ms that is never reached."""
 
 
 class LeaseClient:
-    """`times_seen_free` holds what was free at the last look, how often in a row; emptied by what is not."""
+    """Decides for which tasks a member polls, and which of the free ones it acquires.
+
+    Attributes:
+        name: The name of the member.
+        seed: Of the random part of the poll interval.
+        tasks: The tasks that the member would do; an ordered set, the values are None.
+        times_seen_free: How many polls in a row found a task free; a task is removed when it is held here or
+            by another member.
+        poll_at: The time in ms of the next poll.
+    """
 
     def __init__(self, name: str, seed: int, now: float) -> None:
         self.name, self.seed = name, seed
         self.tasks: dict[str, None] = {}
         self.times_seen_free: dict[str, int] = {}
         self.poll_at = now
-        self._count = 0
-        self._next: list[str] = []
-        self._ranks: dict[str, int] = {}  # of these living
+        self._poll_count = 0
+        self._unpolled: list[str] = []  # the tasks that remain of the present pass over all tasks
+        self._ranks: dict[str, int] = {}  # by task, among `_living`
         self._living: list[str] = []
-        self._changed_at = now
+        self._living_changed_at = now
 
     def add_task(self, task: str) -> None:
+        """Begin to poll for a task."""
         self.tasks[task] = None
 
     def remove_task(self, task: str) -> None:
+        """Stop polling for a task."""
         self.tasks.pop(task, None)
         self.times_seen_free.pop(task, None)
 
     def rank(self, task: str, living: list[str]) -> int:
+        """Return this member's rank for a task among the living members, from 0; ranks are cached."""
         if task not in self._ranks:
             self._ranks[task] = rendezvous_rank(task, living, self.name)
         return self._ranks[task]
 
     def poll(self, now: float, living: list[str], held: set[str]) -> list[str]:
-        """Tasks to ask about now, each in its turn; empty where it is not time."""
+        """Return the tasks to poll for now; empty before `poll_at`.
+
+        Args:
+            now: The time in ms.
+            living: The names of the living members.
+            held: The tasks whose leases are held here.
+        """
         if living != self._living:
-            self._living, self._ranks, self._changed_at = [*living], {}, now
-            self.poll_at = min(self.poll_at, now + POLL_MS)
+            self._living, self._ranks, self._living_changed_at = [*living], {}, now
+            self.poll_at = min(self.poll_at, now + POLL_INTERVAL_MS)
         if now < self.poll_at:
             return []
-        # What is held here is not asked about any more: it would count as free for good.
+        # A task that is held here is not polled for: it would stay counted as free and keep polls frequent.
         self.times_seen_free = {
             task: times for task, times in self.times_seen_free.items() if task not in held
         }
-        self._count += 1
-        chance = crc32(f"{self.seed}:{self._count}".encode()) / 2.0**32
-        pause = POLL_MS if self.times_seen_free or now < self._changed_at + RECENT_CHANGE_MS else REST_MS
-        self.poll_at = now + pause * (0.75 + 0.5 * chance)
-        if not self._next:
-            self._next = [task for task in self.tasks if task not in held]
-        some: list[str] = []
-        while self._next and len(some) < MOST_NAMES:
-            task = self._next.pop()
-            if task in self.tasks and task not in held and self.rank(task, living) < FIRST:
-                some.append(task)
-        return some
-
-    def tasks_to_acquire(self, asked: list[str], free: list[str], living: list[str], now: float) -> list[str]:
-        """Of those asked about these are free; gives the ones to take now."""
-        take, found = [], {*free}
-        for task in asked:
+        self._poll_count += 1
+        fraction = crc32(f"{self.seed}:{self._poll_count}".encode()) / 2.0**32
+        interval_ms = (
+            POLL_INTERVAL_MS
+            if self.times_seen_free or now < self._living_changed_at + RECENT_CHANGE_MS
+            else IDLE_POLL_INTERVAL_MS
+        )
+        self.poll_at = now + interval_ms * (0.75 + 0.5 * fraction)
+        if not self._unpolled:
+            self._unpolled = [task for task in self.tasks if task not in held]
+        polled: list[str] = []
+        while self._unpolled and len(polled) < MAX_TASKS_PER_POLL:
+            task = self._unpolled.pop()
+            if task in self.tasks and task not in held and self.rank(task, living) < POLLERS_PER_TASK:
+                polled.append(task)
+        return polled
+
+    def tasks_to_acquire(
+        self, polled: list[str], free: list[str], living: list[str], now: float
+    ) -> list[str]:
+        """Handle the reply to a poll.
+
+        Args:
+            polled: The tasks of the poll.
+            free: Those of them that are free.
+            living: The names of the living members.
+            now: The time in ms.
+
+        Returns:
+            The tasks whose leases are to be requested now; the others are polled for again soon.
+        """
+        acquire, found = [], {*free}
+        for task in polled:
             if task not in found:
                 self.times_seen_free.pop(task, None)
                 continue
             times = self.times_seen_free[task] = self.times_seen_free.get(task, 0) + 1
             if times > self.rank(task, living):
-                take.append(task)
-        if len(take) < len(found):
-            self.poll_at = min(self.poll_at, now + SOON_MS)
-            self._next += [task for task in asked if task in found and task not in take]
-        return take
+                acquire.append(task)
+        if len(acquire) < len(found):
+            self.poll_at = min(self.poll_at, now + REPEAT_POLL_DELAY_MS)
+            self._unpolled += [task for task in polled if task in found and task not in acquire]
+        return acquire
--- a/cherrygrade/fleet/leases/renewal_tracker.py
+++ b/cherrygrade/fleet/leases/renewal_tracker.py
@@ -1,12 +1,12 @@
-"""A leader's count of how long leases still run, in its memory and by its own clock.
+"""How long leases still run, as their leader counts it in memory by its own clock.
 
-After Gray and Cheriton (1989): the holder reckons its end from when it asked, by its clock; who grants counts
-all of it again from the last answer that it may have given, by its own. A leader that begins counts every
-lease from then on, whatever was counted before it: a renewal by the one before may have been answered until
-then, since each answer waits for a majority's proof (Raft's read index, Ongaro 2014, 6.4). Wall clocks decide
-nothing; `drift` is by how much two clocks' pace may differ.
+After Gray and Cheriton (1989): the holder counts the duration from when it sent the request, by its clock.
+The leader counts the full duration from the last reply that it may have sent, by its own clock. A new leader
+counts every lease from the beginning of its leadership: the previous leader may have replied to a renewal
+until then, because each reply waits until a majority confirms the leadership (Raft's read index, Ongaro 2014,
+section 6.4). No wall clock is used; `drift` is the share by which the rates of two clocks may differ.
 
-Free of I/O and clock.
+This module does no I/O and reads no clock. Times are ms of the leader's clock.
 """
 
 from __future__ import annotations
@@ -14,11 +14,19 @@
 from cherrygrade.fleet.leases.lease_table import Lease, LeaseTable
 
 NEVER = 1e15
+"""A time in ms that is never reached."""
 
 
 class RenewalTracker:
-    """`answered_at` holds the lives that hold leases; `expiring` what is on its way to be freed in
-    this lead."""
+    """The leader's count of the leases' durations.
+
+    Attributes:
+        drift: The share by which the rates of two clocks may differ.
+        leading_since: The time in ms at which the leadership began; NEVER while not leader.
+        answered_at: The time in ms of the last reply that renewed leases, by holder and incarnation; an entry
+            is removed once its incarnation holds no lease.
+        expiring: The numbers of leases for which this leader has begun to write an `Expire` entry.
+    """
 
     def __init__(self, drift: float) -> None:
         self.drift = drift
@@ -27,46 +35,65 @@
         self.expiring: set[int] = set()
 
     def reset(self, now: float) -> None:
-        """A lead begins, or goes on being none (`now` NEVER)."""
+        """Begin a leadership at a time in ms; NEVER ends it."""
         self.leading_since = now
         self.answered_at.clear()
         self.expiring.clear()
 
-    def renew(self, grants: LeaseTable, holder: str, incarnation: int, now: float) -> dict[str, int]:
-        """What an answer that leaves now renews, numbers by task. What is on its way to be freed is not
-        renewed any more: the entry may be agreed already."""
+    def renew(self, table: LeaseTable, holder: str, incarnation: int, now: float) -> dict[str, int]:
+        """Renew the leases of one incarnation of a holder by a reply that is sent now.
+
+        A lease that is expiring is not renewed: its `Expire` entry may be committed already.
+
+        Returns:
+            The numbers of the renewed leases, by task.
+        """
         self.answered_at[(holder, incarnation)] = now
-        return {t: n for t, n in grants.numbers_of(holder, incarnation).items() if n not in self.expiring}
+        return {
+            task: number
+            for task, number in table.numbers_of(holder, incarnation).items()
+            if number not in self.expiring
+        }
 
     def expiry_of(self, lease: Lease) -> float:
-        return self._since((lease.holder, lease.incarnation)) + lease.duration_ms * (1.0 + self.drift)
+        """Return the time in ms at which a lease expires."""
+        return self._counted_from((lease.holder, lease.incarnation)) + lease.duration_ms * (1.0 + self.drift)
+
+    def _counted_from(self, owner: tuple[str, int]) -> float:
+        return max(self.leading_since, self.answered_at.get(owner, -NEVER))
+
+    def take_expired(self, table: LeaseTable, now: float, max_count: int = 1 << 30) -> list[Lease]:
+        """Return leases that have expired, each one once in a leadership, and mark them as expiring.
 
-    def _since(self, life: tuple[str, int]) -> float:
-        return max(self.leading_since, self.answered_at.get(life, -NEVER))
+        The cost grows with the number of holders, not with the number of their leases.
 
-    def take_expired(self, grants: LeaseTable, now: float, most: int = 1 << 30) -> list[Lease]:
-        """Those whose time is counted to the end, so many at most; each is told once in a lead. What it costs
-        goes by how many live, not by how many leases they hold."""
-        found: list[Lease] = []
-        for life, leases in grants.by_holder.items():
-            if len(found) >= most or now < self._first(grants, life):
+        Args:
+            table: The table of leases.
+            now: The time in ms.
+            max_count: How many leases are returned at most.
+        """
+        expired: list[Lease] = []
+        for owner, leases in table.by_holder.items():
+            if len(expired) >= max_count or now < self._earliest_expiry(table, owner):
                 continue
-            free = [one for one in leases.values() if one.number not in self.expiring]
-            found += [one for one in free if self.expiry_of(one) <= now][: most - len(found)]
-        if found:
-            self.expiring |= {one.number for one in found}
-            self.expiring &= {one.number for one in grants.leases.values()}
-        self.answered_at = {life: at for life, at in self.answered_at.items() if life in grants.by_holder}
-        return found
-
-    def next_expiry(self, grants: LeaseTable) -> float:
-        """When one may be over next; it is looked for a life at a time."""
-        counts = [life for life, leases in grants.by_holder.items() if self._counts(leases)]
-        return min((self._first(grants, life) for life in counts), default=NEVER)
-
-    def _first(self, grants: LeaseTable, life: tuple[str, int]) -> float:
-        """None of this life's is over before."""
-        return self._since(life) + grants.min_duration_ms[life] * (1.0 + self.drift)
-
-    def _counts(self, leases: dict[str, Lease]) -> bool:
-        return not self.expiring or any(one.number not in self.expiring for one in leases.values())
+            running = [lease for lease in leases.values() if lease.number not in self.expiring]
+            expired += [lease for lease in running if self.expiry_of(lease) <= now][
+                : max_count - len(expired)
+            ]
+        if expired:
+            self.expiring |= {lease.number for lease in expired}
+            self.expiring &= {lease.number for lease in table.leases.values()}
+        self.answered_at = {owner: at for owner, at in self.answered_at.items() if owner in table.by_holder}
+        return expired
+
+    def next_expiry(self, table: LeaseTable) -> float:
+        """Return a time in ms before which no lease expires; NEVER if none runs."""
+        owners = [owner for owner, leases in table.by_holder.items() if self._has_running(leases)]
+        return min((self._earliest_expiry(table, owner) for owner in owners), default=NEVER)
+
+    def _earliest_expiry(self, table: LeaseTable, owner: tuple[str, int]) -> float:
+        """Return a time in ms before which no lease of this holder expires."""
+        return self._counted_from(owner) + table.min_duration_ms[owner] * (1.0 + self.drift)
+
+    def _has_running(self, leases: dict[str, Lease]) -> bool:
+        return not self.expiring or any(lease.number not in self.expiring for lease in leases.values())
