--- a/cherrygrade/fleet/consensus/council_messages.py
+++ b/cherrygrade/fleet/consensus/council_messages.py
@@ -1,6 +1,6 @@
-"""Requests of fleet members to the council, and its replies.
+"""The requests of fleet members to the council, and its replies.
 
-All structs here are positional on the wire: their field order, defaults and tags are fixed.
+All structs in this module are positional on the wire: their field order, defaults and tags are fixed.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
     """Base of the requests to the council.
 
     Attributes:
-        id: Chosen by the client; a request that is repeated under its id has an effect once.
+        id: The id that the client chose; a request that is repeated under its id has an effect once.
     """
 
     id: str
 
 
 class AcquireLease(CouncilRequest, frozen=True, tag="take"):
-    """A request for the lease of a task.
+    """Requests the lease of a task.
 
     Attributes:
-        task: The task.
-        holder: The name of the dispatcher that asks.
-        incarnation: Identifies the life of the holder's process.
+        task: The name of the task.
+        holder: The name of the dispatcher that requests the lease.
+        incarnation: The incarnation of the holder's process.
         duration_ms: How long the lease runs without renewal.
     """
 
@@ -40,12 +40,12 @@
 
 
 class ReleaseLease(CouncilRequest, frozen=True, tag="give"):
-    """Gives a lease back.
+    """Releases a lease.
 
     Attributes:
-        task: The task.
-        number: The lease's number.
-        failure: Why the holder could not do the task; "" if it did.
+        task: The name of the task.
+        number: The number of the lease.
+        failure: Why the holder could not do the task; "" if it did not fail.
     """
 
     task: str
@@ -54,12 +54,13 @@
 
 
 class RenewLeases(CouncilRequest, frozen=True, tag="renew"):
-    """Renews all leases of one life of a holder.
+    """Renews all leases of one incarnation of a holder.
 
     Attributes:
         holder: The name of the holder.
-        incarnation: Identifies the life of the holder's process.
-        held_digest: The digest of the leases that it holds, so that the reply need not list them.
+        incarnation: The incarnation of the holder's process.
+        held_digest: The digest of the leases that the holder has; if it is right, the reply need
+            not list them.
     """
 
     holder: str
@@ -68,22 +69,26 @@
 
 
 class ListFreeTasks(CouncilRequest, frozen=True, tag="free"):
-    """Asks which of these tasks are free and not resting after a failure."""
+    """Asks which of some tasks would be granted now.
+
+    Attributes:
+        tasks: The names of the tasks.
+    """
 
     tasks: list[str]
 
 
 class ShowCouncil(CouncilRequest, frozen=True, tag="show"):
-    """Asks for the council's voters, leader and leases, for people."""
+    """Asks for the council's voters, leader and leases, for operators."""
 
 
 class PutConfig(CouncilRequest, frozen=True, tag="put"):
-    """A new version of the configuration; its text is judged before the voter gets it.
+    """Requests a new version of the configuration; its text is checked before the voter gets the request.
 
     Attributes:
-        text: The whole text.
+        text: The complete text.
         based_on: The number of the newest version that the author saw; 0 for the first one.
-        author: Who changes it.
+        author: The author of the change.
     """
 
     text: str
@@ -95,7 +100,7 @@
     """Asks for the versions of the configuration in the log.
 
     Attributes:
-        number: The version whose text is wanted; 0 for none.
+        number: The version whose text is requested; 0 for none.
     """
 
     number: int = 0
@@ -112,11 +117,11 @@
 
 
 class NotLeader(CouncilReply, frozen=True, tag="elsewhere"):
-    """The request was not carried out here; it may be repeated, at the leader if one is named.
+    """The request was not carried out by this voter; it may be repeated, at the leader if one is named.
 
     Attributes:
-        leader: The leader's name; "" where none is known.
-        reason: Why it was not carried out.
+        leader: The name of the leader; "" if none is known.
+        reason: Why the request was not carried out.
     """
 
     leader: str
@@ -124,16 +129,20 @@
 
 
 class LeaseAcquired(CouncilReply, frozen=True, tag="took"):
-    """What became of an `AcquireLease` or a `ReleaseLease`: granted, done, or refused."""
+    """The result of an `AcquireLease` or a `ReleaseLease`.
+
+    Attributes:
+        outcome: Whether the lease was granted or ended, or why it was not.
+    """
 
     outcome: LeaseOutcome
 
 
 class LeasesRenewed(CouncilReply, frozen=True, tag="renewed"):
-    """Which leases are renewed.
+    """The leases that a `RenewLeases` has renewed.
 
     Attributes:
-        numbers: The lease numbers by task; empty where `unchanged`.
+        numbers: The numbers of the renewed leases by task; empty if `unchanged`.
         unchanged: Exactly the leases of the request's digest are renewed.
     """
 
@@ -142,13 +151,24 @@
 
 
 class FreeTasks(CouncilReply, frozen=True, tag="freed"):
-    """The tasks of a `ListFreeTasks` that are free."""
+    """The tasks of a `ListFreeTasks` that are free.
+
+    Attributes:
+        tasks: The names of the tasks.
+    """
 
     tasks: list[str]
 
 
 class LeaseSummary(NamedTuple):
-    """A lease in a `CouncilStatus`; `remaining_ms` by the leader's count."""
+    """A lease in a `CouncilStatus`.
+
+    Attributes:
+        task: The name of the task.
+        holder: The name of the holder.
+        number: The number of the lease.
+        remaining_ms: How long the lease still runs, by the leader's clock.
+    """
 
     task: str
     holder: str
@@ -160,10 +180,10 @@
     """A failed task in a `CouncilStatus`.
 
     Attributes:
-        task: The task.
-        failure_count: How often it has failed in a row.
-        reason: The last failure.
-        retry_after_ms: For how long it is not granted yet.
+        task: The name of the task.
+        failure_count: How often the task has failed in a row.
+        reason: The reason of the last failure.
+        retry_after_ms: For how long the task is not granted yet.
     """
 
     task: str
@@ -173,15 +193,15 @@
 
 
 class CouncilStatus(CouncilReply, frozen=True, tag="shown"):
-    """The state of the council, as its leader has it.
+    """The state of the council, as its leader knows it.
 
     Attributes:
-        leader: The leader's name.
+        leader: The name of the leader.
         term: The leader's term.
         commit_index: The leader's commit index.
-        voters: The voters, as `NAME/MARK`.
+        voters: The voters, as `NAME/STORE_ID`.
         leases: The leases that are held.
-        failed: The tasks that failed and rest.
+        failed: The tasks whose last holder released them with a failure.
     """
 
     leader: str
@@ -193,20 +213,26 @@
 
 
 class ConfigPut(CouncilReply, frozen=True, tag="put"):
-    """The version that a `PutConfig` became, or why it did not."""
+    """The result of a `PutConfig`.
+
+    Attributes:
+        outcome: The number of the new version, or why there is none.
+    """
 
     outcome: PutOutcome
 
 
 class VersionSummary(msgspec.Struct, array_like=True, frozen=True):
-    """A version of the configuration without its text; the field names are keys of the operator's JSON.
+    """A version of the configuration without its text.
+
+    The field names are keys of the JSON that operators read, so they must not change.
 
     Attributes:
-        number: The version's number.
-        digest: Its digest, as hexadecimal.
-        by: Its author.
-        at: The leaders' time when it was put, in ms.
-        length: Characters of its text.
+        number: The number of the version.
+        digest: The digest of its text, in hexadecimal.
+        by: The author.
+        at: The leader's time when the version was made, in ms.
+        length: The length of the text in characters.
     """
 
     number: int
@@ -220,12 +246,12 @@
     """The versions of the configuration in the log.
 
     Attributes:
-        stage: The stage of the newest version; 0 for no configuration.
+        stage: The stage of the newest version; 0 if there is no configuration.
         settled: The newest version whose quota parts are settled.
         moving: The version whose quota parts still move; 0 for none.
-        versions: Those that are stored, the newest last.
-        text: The text that was asked for; None where it is not stored.
-        leader: The leader's name.
+        versions: The versions that are stored, the newest last.
+        text: The text that was requested; None if it is not stored.
+        leader: The name of the leader.
     """
 
     stage: int
@@ -237,6 +263,6 @@
 
 
 AnyRequest = AcquireLease | ReleaseLease | RenewLeases | ListFreeTasks | ShowCouncil | PutConfig | ShowConfig
-"""Every request to the council."""
+"""Any request to the council."""
 AnyReply = NotLeader | LeaseAcquired | LeasesRenewed | FreeTasks | CouncilStatus | ConfigPut | ConfigStatus
-"""Every reply of the council."""
+"""Any reply of the council."""
--- a/cherrygrade/fleet/consensus/council_reads.py
+++ b/cherrygrade/fleet/consensus/council_reads.py
@@ -1,7 +1,7 @@
-"""Replies to requests that change nothing in the log: renewals of leases, and what people are shown.
+"""Replies to requests that write no log entry: renewals of leases, and queries.
 
-Each is given only once the leadership is confirmed after the request (Raft's read index, Ongaro 2014, section
-6.4). A renewal lives in the leader's memory alone.
+The leader replies only once its leadership is confirmed after the request (Raft's read index, Ongaro 2014,
+section 6.4). A renewal is recorded in the leader's memory alone.
 """
 
 from __future__ import annotations
@@ -34,15 +34,15 @@
     now: float,
     leader_time: float,
 ) -> AnyReply:
-    """Carry out a request whose leadership is confirmed.
+    """Carry out a request after which the leadership was confirmed, and return the reply.
 
     Args:
         request: A `RenewLeases`, `ListFreeTasks`, `ShowConfig` or `ShowCouncil`.
-        raft: The leader's log.
-        state_machine: The leader's state.
-        renewals: The leader's count of leases; a renewal is recorded there.
+        raft: The leader's Raft state.
+        state_machine: The leader's state machine.
+        renewals: The leader's count of lease durations; a renewal is recorded there.
         now: The leader's clock, in ms.
-        leader_time: The time of the log, in ms.
+        leader_time: The leader's time as it stands in log entries, in ms.
     """
     if isinstance(request, RenewLeases):
         return _renew(request, state_machine, renewals, now)
@@ -81,13 +81,21 @@
 
 
 def _config_status(request: ShowConfig, state_machine: StateMachine, leader: str) -> ConfigStatus:
-    log = state_machine.versions
+    version_log = state_machine.versions
     summaries = [
         VersionSummary(
             version.number, version.digest.hex(), version.author, version.created_at, len(version.text)
         )
-        for version in log.versions.values()
+        for version in version_log.versions.values()
     ]
-    wanted = log.versions.get(request.number)
+    wanted = version_log.versions.get(request.number)
     text = wanted.text if wanted is not None else None
-    return ConfigStatus(request.id, log.stage, log.settled_number, log.moving_number, summaries, text, leader)
+    return ConfigStatus(
+        request.id,
+        version_log.stage,
+        version_log.settled_number,
+        version_log.moving_number,
+        summaries,
+        text,
+        leader,
+    )
--- a/cherrygrade/fleet/consensus/disruption_budget.py
+++ b/cherrygrade/fleet/consensus/disruption_budget.py
@@ -1,7 +1,8 @@
-"""The disruption budget: which dispatchers and nodes are out of use, and how many more may be drained.
+"""The disruption budget: which dispatchers and nodes are out of use, and whether another one may be drained.
 
-What failed, what was drained without a permit and what is unknown counts against the same limits as what was
-drained by permit: failures make drains wait. Free of I/O, clock and chance.
+A resource that failed, was drained without a permit or is in an unknown state counts against the same limits
+as one that was drained with a permit, so that failures delay drains. This module does no I/O and uses no
+clock or random source. Times are the leader's, in ms.
 """
 
 from __future__ import annotations
@@ -11,6 +12,7 @@
 import msgspec
 
 MAX_NAMES_IN_REFUSAL = 8
+"""Resources that one refusal names."""
 NEVER_DRAINED = -1e15
 """A time in ms before any other."""
 
@@ -19,10 +21,10 @@
     """A dispatcher or node of the fleet of record.
 
     Attributes:
-        name: Unique in the fleet.
-        kind: What it is; resources of one kind share a limit.
-        zone: Its zone; "" where it has none.
-        shards: The shards that it holds.
+        name: The name of the resource, unique in the fleet.
+        kind: The kind of the resource, such as "node"; resources of one kind share a limit.
+        zone: The zone of the resource; "" if it has none.
+        shards: The shards that the resource holds.
     """
 
     name: str
@@ -32,14 +34,15 @@
 
 
 class DisruptionLimit(msgspec.Struct, array_like=True, frozen=True):
-    """How many resources of one kind may be out at a time.
+    """How many resources of one kind may be out of use at a time.
 
     Attributes:
-        max_count: As a number.
-        max_share: As a share of all; it allows one at least, so that a small fleet can be maintained.
-        max_per_zone: In one zone; 0 for no such limit.
-        min_holders: How many holders of each shard stay in use.
-        min_interval_ms: Between two drains.
+        max_count: The maximum as a number.
+        max_share: The maximum as a share of all; it allows at least one, so that a small fleet
+            can be maintained.
+        max_per_zone: The maximum in one zone; 0 for no such limit.
+        min_holders: How many holders of each shard must stay in use.
+        min_interval_ms: The shortest time between two drains.
     """
 
     max_count: int = 1
@@ -49,31 +52,35 @@
     min_interval_ms: float = 0.0
 
     def max_out_of(self, count: int) -> int:
-        """How many may be out of this many resources."""
+        """Return how many of `count` resources may be out of use."""
         return min(self.max_count, max(1, int(self.max_share * count)))
 
 
 class ResourceState(Enum):
-    """The state of a resource; it is out in all but IN. The values are stored and shown."""
+    """The state of a resource; it is out of use in all states but IN_USE.
 
-    IN = "in use"
+    The values are stored, sent and shown to operators, so they must not change. WARMING: in use again,
+    with cold caches.
+    """
+
+    IN_USE = "in use"
     UNKNOWN = "nobody knows"
     GRANTED = "granted"
     FAILED = "failed"
-    UNASKED = "drained unasked"
-    GONE = "gone"
-    COLD = "back and cold"
+    DRAINED_WITHOUT_PERMIT = "drained unasked"
+    REMOVED = "gone"
+    WARMING = "back and cold"
 
 
 class DisruptionBudget:
-    """The resources of record and their states.
+    """The fleet of record: the resources that the fleet should have, with their states and limits.
 
     Attributes:
-        limits: By kind; a kind without one has the default limit.
+        limits: The limit of each kind; a kind without one has the default limit.
         resources: The fleet of record, by name.
         states: The state of each resource; has the keys of `resources`.
-        state_since: The leaders' time in ms since when; has the keys of `resources`.
-        last_drain_at: By kind, the leaders' time in ms of the last permit.
+        state_since: The leader's time in ms at which the state began; has the keys of `resources`.
+        last_drain_at: By kind, the leader's time in ms of the last permit.
     """
 
     def __init__(self, limits: dict[str, DisruptionLimit]) -> None:
@@ -84,34 +91,34 @@
         self.last_drain_at: dict[str, float] = {}
 
     def add(self, resource: Resource, now: float) -> None:
-        """Add or replace a resource; a new one counts as out until it was seen in use."""
+        """Add or replace a resource; a new one counts as out of use until it is reported in use."""
         self.resources[resource.name] = resource
         if resource.name not in self.states:
             self.states[resource.name] = ResourceState.UNKNOWN
             self.state_since[resource.name] = now
 
     def remove(self, name: str) -> None:
-        """Remove a resource that is gone for good."""
+        """Remove a resource from the fleet of record."""
         self.resources.pop(name, None)
         self.states.pop(name, None)
         self.state_since.pop(name, None)
 
     def set_state(self, name: str, state: ResourceState, now: float) -> None:
-        """Record the state of a resource; an unknown name is ignored."""
+        """Record the state of a resource; a name that is not of the fleet of record is ignored."""
         if name in self.resources and self.states[name] is not state:
             self.states[name] = state
             self.state_since[name] = now
 
     def names_out(self, kind: str, except_name: str = "") -> list[str]:
-        """The names of resources of a kind that are out."""
+        """Return the names of the resources of a kind that are out of use, except one."""
         return [
             name
             for name, resource in self.resources.items()
-            if resource.kind == kind and name != except_name and self.states[name] is not ResourceState.IN
+            if resource.kind == kind and name != except_name and self.states[name] is not ResourceState.IN_USE
         ]
 
     def refusals(self, name: str, now: float) -> list[str]:
-        """Why a resource may not be drained now, each as a text for people; empty where it may."""
+        """Return why a resource may not be drained now, each reason as a text for people; empty if it may."""
         resource = self.resources.get(name)
         if resource is None:
             return [f"{name} is not of the fleet of record"]
@@ -142,7 +149,7 @@
         others = [other for other in self._of_kind(resource.kind) if other.name != resource.name]
         for shard in resource.shards:
             holders = [other.name for other in others if shard in other.shards]
-            in_use = [name for name in holders if self.states[name] is ResourceState.IN]
+            in_use = [name for name in holders if self.states[name] is ResourceState.IN_USE]
             if len(in_use) < limit.min_holders:
                 missing = [name for name in holders if name not in in_use]
                 lacking = self._describe(missing) or "no other holds it"
--- a/cherrygrade/fleet/consensus/drain_permits.py
+++ b/cherrygrade/fleet/consensus/drain_permits.py
@@ -1,10 +1,13 @@
-"""Permits to drain dispatchers and nodes, as the council's log grants them.
+"""Permits to drain dispatchers and nodes, as the council's replicated log grants them.
 
-The same entries lead to the same permits on every voter. A permit's number is the index of its entry: a later
-one is higher, whoever led. When a permit expires, people are told that something is late; it frees nothing:
-only proof by its number that the resource is in use again does, or its removal from the fleet of record.
+The same entries lead to the same permits on every voter. A permit's number is the index of its log entry, so
+a later permit has a higher number, whichever voter led. When a drain takes longer than its permit allows,
+operators see the permit as late, but it still counts against the limits. A permit ends only when it is
+returned under its number, which proves that the resource is in use again, or when the resource is removed
+from the fleet of record.
 
-Free of I/O, clock and chance; time is the leaders', given in the entries, and never goes back.
+This module does no I/O and uses no clock or random source. Its time is the leader's, in ms; the entries
+contain it, and it never goes back.
 """
 
 from __future__ import annotations
@@ -21,34 +24,39 @@
 )
 
 MAX_ANSWERED_REQUESTS = 256
-"""Grants that are remembered for requests that are repeated."""
+"""Grants that are stored to answer repeated requests."""
 
 
 class DrainCommand(msgspec.Struct, array_like=True, frozen=True, tag_field="op", tag="Op"):
     """Base of the commands in the log; positional on the wire and on disk.
 
     Attributes:
-        at: The clock of whoever led, in ms.
+        at: The leader's time when it appended the command, in ms.
     """
 
     at: float
 
 
 class SetResources(DrainCommand, frozen=True, tag="r"):
-    """The fleet of record and its limits from now on; a resource that is not named is gone for good."""
+    """Replaces the fleet of record and its limits.
+
+    Attributes:
+        resources: All resources of the fleet; one that is not listed is removed, with its permit.
+        limits: The limits by kind of resource.
+    """
 
     resources: tuple[Resource, ...]
     limits: dict[str, DisruptionLimit]
 
 
 class RequestPermit(DrainCommand, frozen=True, tag="a"):
-    """A request for a permit.
+    """Requests a permit.
 
     Attributes:
-        id: Chosen by the client, so that a repeated request is granted once.
+        id: The id that the client chose; a request that is repeated under its id is granted once.
         name: The resource to be drained.
-        owner: Who drains it.
-        duration_ms: After which the drain is late.
+        owner: The operator or tool that drains it.
+        duration_ms: The time after which the drain is late.
     """
 
     id: str
@@ -58,11 +66,11 @@
 
 
 class ObserveResource(DrainCommand, frozen=True, tag="s"):
-    """The state in which somebody saw a resource; ignored while a permit is out for it.
+    """Reports the observed state of a resource; ignored while a permit is out for it.
 
     Attributes:
         name: The resource.
-        state: The value of a `ResourceState`.
+        state: The value of a `ResourceState`; GRANTED and unknown values are ignored.
     """
 
     name: str
@@ -70,18 +78,23 @@
 
 
 class ReturnPermit(DrainCommand, frozen=True, tag="b"):
-    """Proof that the resource that was drained by this permit is in use again."""
+    """Proves that the resource that was drained with a permit is in use again.
+
+    Attributes:
+        name: The resource.
+        number: The number of the permit.
+    """
 
     name: str
     number: int
 
 
 class HaltDrains(DrainCommand, frozen=True, tag="h"):
-    """Halts all drains, or lets them go on.
+    """Halts all drains, or ends the halt; while it lasts no permit is granted.
 
     Attributes:
-        by: Who halts them.
-        halted: False lets them go on.
+        by: The operator or tool that halts drains.
+        halted: False ends the halt.
     """
 
     by: str
@@ -89,7 +102,7 @@
 
 
 AnyDrainCommand = SetResources | RequestPermit | ObserveResource | ReturnPermit | HaltDrains
-"""Every command of this part of the log."""
+"""Any command about drain permits."""
 
 _decoder = msgspec.msgpack.Decoder(AnyDrainCommand)
 
@@ -98,10 +111,10 @@
     """A permit that is out.
 
     Attributes:
-        number: The index of the entry that granted it.
+        number: The index of the log entry that granted the permit.
         name: The resource.
-        owner: Who drains it.
-        late_at: The leaders' time in ms from which on it is late.
+        owner: The operator or tool that drains it.
+        late_at: The leader's time in ms after which the drain is late.
     """
 
     number: int
@@ -111,11 +124,11 @@
 
 
 class PermitOutcome(msgspec.Struct, array_like=True, frozen=True):
-    """What a command came to.
+    """The result of a command about drain permits.
 
     Attributes:
-        number: The permit's number; 0 where there is none.
-        refusals: Why it was refused, each as a text for people.
+        number: The number of the permit that was granted or returned; 0 if there is none.
+        refusals: Why the command was refused, each as a text for people; empty if it was not.
     """
 
     number: int = 0
@@ -123,7 +136,7 @@
 
 
 class DrainPermitsState(msgspec.Struct, array_like=True):
-    """The whole state, for a snapshot; the fields are those of `DrainPermits` and `DisruptionBudget`."""
+    """The full state, for a snapshot; the fields are those of `DrainPermits` and `DisruptionBudget`."""
 
     now: float
     halted_by: str
@@ -140,10 +153,11 @@
     """The permits that are out.
 
     Attributes:
-        now: The leaders' time in ms, as of the newest entry; never goes back.
-        halted_by: Who halted all drains; "" for nobody.
+        now: The leader's time in ms, as of the newest entry; it never goes back.
+        halted_by: The operator or tool that halted all drains; "" if drains are not halted.
         budget: The fleet of record and its limits.
-        permits: By resource, one at most; until it is in use again or gone for good.
+        permits: By resource, one at most; until it is returned or the resource is removed from the
+            fleet of record.
         answered_requests: By request id, the last MAX_ANSWERED_REQUESTS grants, the oldest first.
     """
 
@@ -155,7 +169,7 @@
         self.answered_requests: OrderedDict[str, PermitOutcome] = OrderedDict()
 
     def apply(self, index: int, payload: bytes) -> PermitOutcome:
-        """Apply one committed entry; one that can't be read changes nothing, on every voter alike."""
+        """Apply one committed entry; one that can't be decoded changes nothing, on every voter alike."""
         try:
             command = _decoder.decode(payload)
         except (msgspec.MsgspecError, UnicodeDecodeError):
@@ -173,12 +187,12 @@
         return PermitOutcome()
 
     def late_permits(self) -> list[DrainPermit]:
-        """Permits whose drain is late, by number; for people."""
+        """Return the permits whose drain is late, in the order of their numbers."""
         late = [permit for permit in self.permits.values() if self.now > permit.late_at]
         return sorted(late, key=lambda permit: permit.number)
 
     def snapshot(self) -> bytes:
-        """The whole state, encoded."""
+        """Return the full state, encoded."""
         budget = self.budget
         state = DrainPermitsState(
             self.now,
@@ -197,7 +211,7 @@
         """Replace the state by an encoded one.
 
         Raises:
-            msgspec.ValidationError: It is no snapshot.
+            msgspec.ValidationError: The data is not an encoded state.
         """
         state = msgspec.msgpack.decode(data, type=DrainPermitsState)
         self.now = state.now
@@ -212,8 +226,8 @@
 
     def _set_resources(self, command: SetResources) -> PermitOutcome:
         self.budget.limits = dict(command.limits)
-        named = {resource.name for resource in command.resources}
-        for name in [name for name in self.budget.resources if name not in named]:
+        listed = {resource.name for resource in command.resources}
+        for name in [name for name in self.budget.resources if name not in listed]:
             self.budget.remove(name)
             self.permits.pop(name, None)
         for resource in command.resources:
@@ -243,7 +257,8 @@
         return outcome
 
     def _observe(self, command: ObserveResource) -> PermitOutcome:
-        # Of a resource that a permit is out for nothing is believed but proof by its number.
+        # While a permit is out for a resource, reports of its state are ignored: only the return of the
+        # permit under its number proves that the resource is in use again.
         observable = {state.value: state for state in ResourceState if state is not ResourceState.GRANTED}
         if command.state in observable and command.name not in self.permits:
             self.budget.set_state(command.name, observable[command.state], self.now)
@@ -254,5 +269,5 @@
         if held is None or held.number != command.number:
             return PermitOutcome(refusals=(f"{command.name} is not out by permit {command.number}",))
         del self.permits[command.name]
-        self.budget.set_state(command.name, ResourceState.IN, self.now)
+        self.budget.set_state(command.name, ResourceState.IN_USE, self.now)
         return PermitOutcome(command.number)
--- a/cherrygrade/fleet/consensus/fencing.py
+++ b/cherrygrade/fleet/consensus/fencing.py
@@ -1,6 +1,6 @@
-"""Fencing: an order with a lower number than one that was accepted before is refused.
+"""Fencing: a receiver refuses an order whose number is lower than one that it accepted before.
 
-For whoever carries out the orders of leaders and lease holders. Free of I/O and clock.
+Receivers of orders from leaders and lease holders use it. This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -10,15 +10,20 @@
     """Refuses the orders of former leaders and holders.
 
     Attributes:
-        highest: By resource or task, the highest number accepted; never decreases. Whoever has something to
-            lose stores it, before an order is carried out, and gives it back after a restart.
+        highest: By resource or task, the highest number accepted; never decreases. A receiver for which
+            a late order does harm stores it before it carries an order out, and passes it in again
+            after a restart.
     """
 
     def __init__(self, highest: dict[str, int] | None = None) -> None:
         self.highest = dict(highest or {})
 
     def accept(self, name: str, number: int) -> bool:
-        """Whether to carry an order out; one that is repeated is, as its answer may be lost."""
+        """Return whether to carry an order out, and remember its number.
+
+        An order whose number equals the highest one is carried out: it may repeat an order whose
+        reply was lost.
+        """
         if number < self.highest.get(name, 0):
             return False
         self.highest[name] = number
--- a/cherrygrade/fleet/consensus/raft.py
+++ b/cherrygrade/fleet/consensus/raft.py
@@ -1,13 +1,14 @@
 """The Raft state machine of one voter: messages and time in, effects out.
 
-After Ongaro and Ousterhout (2014), with these parts of Ongaro's thesis (2014): pre-vote (9.6), a leader that
-steps down once no majority answers it (6.2), membership changes of one voter at a time (4.1) and only behind
-an entry of the leader's own term (the correction of 2015), snapshots (5.1), and confirmation of leadership by
-a round of messages begun after the request (6.4). One thing differs: a voter is identified by its name and
-the mark of its store, so that a voter whose store was lost is another one, without a vote until it is added.
-
-Free of I/O and chance. Times are milliseconds of any one clock, which may stand still or jump: that costs an
-election, never agreement.
+The algorithm is that of Ongaro and Ousterhout (2014) with these parts of Ongaro's thesis (2014): pre-vote
+(section 9.6), a leader that steps down once no majority replies to it (6.2), membership changes of one voter
+at a time (4.1) and only after a committed entry of the leader's own term (the correction of 2015), snapshots
+(5.1), and confirmation of the leadership by a round of messages begun after the request (6.4). One thing
+differs: a voter is identified by its name and the id of its store. A voter whose store was lost is a new
+voter, without a vote until it is added.
+
+This module does no I/O and uses no random source. Times are ms of any one clock. A clock that stands still or
+jumps may cause an election, but never a disagreement.
 """
 
 from __future__ import annotations
@@ -34,29 +35,37 @@
 from cherrygrade.fleet.consensus.replication_progress import ReplicationProgress, replication_message
 
 HEARTBEAT_INTERVAL_MS = 120.0
-"""Between two messages of a leader to the same voter."""
+"""The time between two heartbeats of a leader."""
 
 
 class Raft:
     """One voter of the replicated log.
 
     Attributes:
-        name: This voter, as `NAME/MARK`.
+        name: This voter, as `NAME/STORE_ID`.
         term: The newest term entered; never decreases.
-        vote: Who got this voter's vote in `term`, "" for none; set once a term.
+        vote: The candidate that this voter voted for in `term`, "" for none; set once a term.
         log: The log in memory; equal to the one on disk once all effects were carried out.
-        commit_index: The highest committed index known; at least the snapshot's index, never decreases.
+        commit_index: The highest index that is known to be committed; at least the snapshot's
+            index, never decreases.
         role: The role in `term`.
-        leader: The leader of `term` as far as it is known, else "".
-        votes: Who granted a vote or pre-vote; empty for followers and leaders.
-        progress: What is known of the others while this voter leads; empty otherwise.
-        elections: How many elections this voter has started since it was made.
+        leader: The leader of `term`; "" if it is not known.
+        votes: The voters that granted a vote or pre-vote; empty for followers and leaders.
+        progress: The replication state of the other voters while this voter leads; empty otherwise.
+        elections: How many elections this voter has started since its process started.
         heartbeat_at: The time in ms of the next heartbeat; NEVER unless leader.
-        election_timer: When the next election begins; has no meaning while leader.
+        election_timer: Decides when the next election begins; has no meaning while leader.
     """
 
     def __init__(self, name: str, stored: PersistentState, seed: int, now: float) -> None:
-        """Begin as a follower with what is on disk."""
+        """Begin as a follower with the state on disk.
+
+        Args:
+            name: The voter, as `NAME/STORE_ID`.
+            stored: The state on disk.
+            seed: The seed of the random part of election timeouts.
+            now: The time in ms.
+        """
         self.name = name
         self.term = stored.term
         self.vote = stored.vote
@@ -73,7 +82,7 @@
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The voters, by the newest entry that changes them, committed or not."""
+        """The voters of the newest entry that changes them, committed or not."""
         return self.log.voters
 
     def is_majority(self, names: Iterable[str]) -> bool:
@@ -96,7 +105,7 @@
 
     @property
     def confirmed_round(self) -> int:
-        """The newest round answered by a majority, behind a committed entry of this term; 0 for none."""
+        """The newest round that a majority has answered; 0 before an entry of this term is committed."""
         if not self.is_leader or not self.commits_own_term:
             return 0
         for number in sorted({self.progress.round, *self.progress.answered_rounds.values()}, reverse=True):
@@ -105,7 +114,7 @@
         return 0
 
     def tick(self, now: float) -> RaftEffects:
-        """Do what is due: heartbeat, step down, or begin an election."""
+        """Send a heartbeat, step down or begin an election, if its time has come."""
         if self.is_leader:
             self._leader_tick(now)
         elif now >= self.election_timer.expires_at:
@@ -118,7 +127,8 @@
         """Append a command.
 
         Returns:
-            The index that it gets if it is committed, 0 unless leader; and the effects.
+            The log index of the command, 0 unless leader; and the effects. The command is committed at this
+            index or never.
         """
         if not self.is_leader:
             return 0, self._take_effects()
@@ -131,7 +141,7 @@
 
         Returns:
             The number of the round, 0 unless leader; and the effects. Once `confirmed_round` has reached the
-            number, this voter was leader after the call.
+            number, it is proven that this voter was still the leader after the call.
         """
         if not self.is_leader:
             return 0, self._take_effects()
@@ -140,7 +150,7 @@
         return self.progress.round, self._take_effects()
 
     def add_learner(self, name: str, now: float) -> RaftEffects:
-        """Replicate the log to a newcomer without a vote; `change_voters` gives it one."""
+        """Begin to replicate the log to a voter that has no vote yet; `change_voters` gives it one."""
         if self.is_leader and name not in self.voters:
             self.progress.learners.add(name)
             self.progress.track(name, self.log.last_index + 1)
@@ -151,8 +161,8 @@
         """Add or remove one voter.
 
         Returns:
-            Whether the change was appended, and the effects. It is not unless leader, while another change
-            is uncommitted, before an entry of this term is committed, or for a learner that lags.
+            Whether the change was appended, and the effects. It is refused unless leader, while another
+            change is uncommitted, before an entry of this term is committed, and for a learner that lags.
         """
         old = {*self.voters}
         new = {*voters}
@@ -173,7 +183,7 @@
         return self._take_effects()
 
     def receive(self, message: AnyRaftMessage, now: float) -> RaftEffects:
-        """Handle a message of another voter."""
+        """Handle a message from another voter."""
         if isinstance(message, RequestVote):
             self._on_request_vote(message, now)
         elif isinstance(message, VoteReply):
@@ -187,7 +197,7 @@
         return self._take_effects()
 
     def start_election(self, now: float) -> None:
-        """Become candidate in the next term."""
+        """Become a candidate in the next term, and request votes."""
         self._enter(Role.CANDIDATE, leader="", votes={self.name})
         self.elections += 1
         self._set_term_and_vote(self.term + 1, self.name)
@@ -197,22 +207,20 @@
             return
         self._request_votes(self.term, pre_vote=False)
 
-    # Elections.
-
     def _leader_tick(self, now: float) -> None:
         answering = self.progress.replied_since(now, ELECTION_TIMEOUT_MS)
         removed = self.name not in self.voters and self.commits_own_term
         if removed or not self.is_majority([*answering, self.name]):
-            # Clients that ask this voter turn to another one.
+            # Step down, so that clients send their requests to another voter.
             self._become_follower(self.term, "", now)
         elif now >= self.heartbeat_at:
             self.heartbeat_at = now + HEARTBEAT_INTERVAL_MS
             self._replicate_to_all()
 
     def _start_pre_vote(self, now: float) -> None:
-        """Ask whether an election could be won.
+        """Ask the other voters whether they would vote for this one.
 
-        A voter that was cut off, or whose link flaps, so causes no election.
+        This keeps a voter that was partitioned off, or whose connection flaps, from causing an election.
         """
         self._enter(Role.PRE_CANDIDATE, leader="", votes={self.name})
         if self.is_majority(self.votes):
@@ -236,7 +244,7 @@
             self._send(request.sender, VoteReply(self.name, term, granted, True))
             return
         if request.term > self.term and has_leader:
-            # A removed voter may still ask: it must not depose a leader that is heard from.
+            # A removed voter may still request votes; it must not depose a leader that sends heartbeats.
             return
         if request.term > self.term:
             self._become_follower(request.term, "", now)
@@ -277,7 +285,7 @@
             self._set_term_and_vote(term, "")
 
     def _become_leader(self, now: float) -> None:
-        """Lead, and append an empty entry: all before it is committed with it."""
+        """Lead, and append an empty entry: its commit also commits all entries before it."""
         self._enter(Role.LEADER, leader=self.name, votes=set())
         others = [name for name in self.voters if name != self.name]
         self.progress = ReplicationProgress.of_new_leader(others, self.log.last_index, now)
@@ -294,11 +302,9 @@
         one_voter = len(old ^ new) == 1 and bool(new)
         return one_voter and not pending and not lagging
 
-    # The log.
-
     def _append(self, entries: list[LogEntry]) -> None:
         self._replace_from(self.log.last_index + 1, entries)
-        # A single voter commits at once: nobody's reply would do it.
+        # A council of one voter commits at once: it gets no replies that would do so.
         self._advance_commit_index()
 
     def _replace_from(self, first_index: int, entries: list[LogEntry]) -> None:
@@ -319,7 +325,7 @@
         index = message.prev_log_index
         entries = message.entries
         if index < self.log.snapshot.index:
-            # What the snapshot covers is committed, and so the same.
+            # Entries that the snapshot covers are committed, and therefore the same in both logs.
             entries = entries[self.log.snapshot.index - index :]
             index = self.log.snapshot.index
         elif self.log.term_at(index) != message.prev_log_term:
@@ -355,14 +361,15 @@
             if progress.next_index[name] <= self.log.last_index:
                 self._replicate_to(name)
         elif reply.match_index + 1 < progress.next_index[name]:
-            # Otherwise the refusal is of an older message, and has been acted on.
+            # Any other refusal answers an older message, and was handled already.
             progress.next_index[name] = max(progress.match_index[name], reply.match_index) + 1
             self._replicate_to(name)
 
     def _advance_commit_index(self) -> None:
-        """Commit what a majority has on disk, up to an entry of this term.
+        """Commit the newest entry that a majority has on disk, if it is of this term.
 
-        Entries of older terms alone prove nothing (figure 8 of the paper).
+        An entry of an older term is not committed by its replicas alone: a voter without it could still be
+        elected and replace it (figure 8 of the paper). It is committed with a later entry of this term.
         """
         for index in range(self.log.last_index, self.commit_index, -1):
             if self.log.term_at(index) != self.term:
--- a/cherrygrade/fleet/consensus/raft_log.py
+++ b/cherrygrade/fleet/consensus/raft_log.py
@@ -1,4 +1,4 @@
-"""The log of one Raft voter in memory: a snapshot and the entries behind it."""
+"""The log of one Raft voter in memory: a snapshot and the entries after it."""
 
 from __future__ import annotations
 
@@ -6,16 +6,21 @@
 
 MAX_ENTRIES_PER_MESSAGE = 64
 MAX_BYTES_PER_MESSAGE = 1_048_576
-"""Of payload, but always one entry: what is not acknowledged yet is sent again at each heartbeat."""
+"""Bytes of payload; an entry larger than this is sent alone.
+
+The limit matters because entries that are not acknowledged yet are sent again with each heartbeat.
+"""
 UNKNOWN_TERM = -1
+"""The term of an entry that the log does not have."""
 
 
 class RaftLog:
     """A log whose oldest part may be replaced by a snapshot.
 
     Attributes:
-        snapshot: What the log begins with; its index never decreases.
-        entries: The entries behind `snapshot`, the first at `snapshot.index + 1`; shortened by `compact`.
+        snapshot: The state that replaces the oldest entries; its index never decreases.
+        entries: The entries after `snapshot`, the first at `snapshot.index + 1`; `compact`
+            removes the oldest.
     """
 
     def __init__(self, snapshot: Snapshot, entries: list[LogEntry]) -> None:
@@ -24,7 +29,7 @@
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry; the snapshot's where there is none."""
+        """The index of the last entry; the snapshot's index if there is no entry."""
         return self.snapshot.index + len(self.entries)
 
     @property
@@ -34,26 +39,26 @@
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The voters, by the newest entry that changes them, committed or not."""
+        """The voters of the newest entry that changes them, committed or not."""
         return self._voters_of(self.entries)
 
     def term_at(self, index: int) -> int:
-        """The term of the entry at an index; UNKNOWN_TERM where the log does not have it (any more)."""
+        """Return the term of the entry at an index; UNKNOWN_TERM if the log never had it, or compacted it."""
         if index == self.snapshot.index:
             return self.snapshot.term
         offset = index - self.snapshot.index - 1
         return self.entries[offset].term if 0 <= offset < len(self.entries) else UNKNOWN_TERM
 
     def entry_at(self, index: int) -> LogEntry:
-        """The entry at an index behind the snapshot."""
+        """Return the entry at an index, which must be greater than the snapshot's."""
         return self.entries[index - self.snapshot.index - 1]
 
     def changes_voters_after(self, index: int) -> bool:
-        """Whether an entry behind this index changes the voters; at least the snapshot's index."""
+        """Return whether an entry after this index changes the voters; the snapshot must not be newer."""
         return any(entry.voters for entry in self.entries[index - self.snapshot.index :])
 
     def batch_after(self, index: int) -> tuple[LogEntry, ...]:
-        """The entries behind an index that fit into one message: at least one, if there is any."""
+        """Return the entries after an index that fit into one message: at least one, if there is any."""
         first = index - self.snapshot.index
         batch: list[LogEntry] = []
         bytes_left = MAX_BYTES_PER_MESSAGE
@@ -65,7 +70,7 @@
         return tuple(batch)
 
     def replace_from(self, first_index: int, entries: list[LogEntry]) -> None:
-        """Replace all entries from an index on."""
+        """Replace all entries from an index to the end."""
         del self.entries[first_index - self.snapshot.index - 1 :]
         self.entries += entries
 
@@ -77,7 +82,7 @@
         del self.entries[:count]
 
     def install(self, snapshot: Snapshot) -> None:
-        """Take over a newer snapshot; entries behind it stay where the log matches it."""
+        """Replace the snapshot by a newer one; entries after it stay only if the log agrees with it."""
         matches = self.term_at(snapshot.index) == snapshot.term
         self.entries = self.entries[snapshot.index - self.snapshot.index :] if matches else []
         self.snapshot = snapshot
--- a/cherrygrade/fleet/consensus/raft_messages.py
+++ b/cherrygrade/fleet/consensus/raft_messages.py
@@ -1,6 +1,7 @@
 """Records and messages of the Raft log.
 
-All structs here are positional on the wire and on disk: their field order, defaults and tags are fixed.
+All structs in this module are positional on the wire and on disk: their field order, defaults and tags are
+fixed.
 """
 
 from __future__ import annotations
@@ -16,8 +17,8 @@
 
     Attributes:
         term: The term of the leader that appended it.
-        payload: The command for the state machine; empty for entries of Raft's own.
-        voters: The set of voters from this entry on; empty where the entry does not change it.
+        payload: The command for the state machine; empty for entries that Raft itself appends.
+        voters: The set of voters from this entry on; empty if the entry does not change it.
     """
 
     term: int
@@ -29,7 +30,7 @@
     """The state that replaces all log entries up to an index.
 
     Attributes:
-        index: The last log index that it covers; 0 for an empty log.
+        index: The last log index that the snapshot covers; 0 for an empty log.
         term: The term of the entry at `index`.
         voters: The set of voters at `index`.
         data: The encoded state of the state machine.
@@ -42,13 +43,13 @@
 
 
 class PersistentState(msgspec.Struct, array_like=True):
-    """What a voter has on disk.
+    """The state of a voter on disk.
 
     Attributes:
-        term: The newest term that it has entered.
-        vote: The voter that it voted for in `term`; "" for none.
+        term: The newest term that the voter has entered.
+        vote: The candidate that it voted for in `term`; "" for none.
         snapshot: The state that its log begins with.
-        entries: The log behind the snapshot; the first one has index `snapshot.index + 1`.
+        entries: The log after the snapshot; the first entry has index `snapshot.index + 1`.
     """
 
     term: int = 0
@@ -61,8 +62,8 @@
     """Base of the messages between voters.
 
     Attributes:
-        sender: The voter that sent it.
-        term: The sender's term; for a pre-vote the term that it is about.
+        sender: The voter that sent the message.
+        term: The sender's term; in a pre-vote, the term of the election that the sender would begin.
     """
 
     sender: str
@@ -75,7 +76,7 @@
     Attributes:
         last_log_index: The index of the candidate's last log entry.
         last_log_term: The term of that entry.
-        pre_vote: Only asks whether the vote would be granted (Ongaro 2014, section 9.6).
+        pre_vote: The request only asks whether the vote would be granted (Ongaro 2014, section 9.6).
     """
 
     last_log_index: int
@@ -84,11 +85,11 @@
 
 
 class VoteReply(RaftMessage, frozen=True, tag="g"):
-    """The answer to a `RequestVote`.
+    """The reply to a `RequestVote`.
 
     Attributes:
-        granted: Whether the sender votes for the candidate, or would.
-        pre_vote: The answer is to a pre-vote.
+        granted: Whether the sender votes for the candidate or, in a pre-vote, would do so.
+        pre_vote: Whether this is the reply to a pre-vote.
     """
 
     granted: bool
@@ -96,14 +97,14 @@
 
 
 class AppendEntries(RaftMessage, frozen=True, tag="a"):
-    """A leader's entries behind `prev_log_index`; an empty one is its heartbeat.
+    """A leader's entries after `prev_log_index`; without entries it is a heartbeat.
 
     Attributes:
-        prev_log_index: The index just before the first of `entries`.
+        prev_log_index: The index right before the first of `entries`.
         prev_log_term: The term of the leader's entry at that index.
         entries: The entries, in order.
         commit_index: The leader's commit index.
-        round: The leader's count of its leadership confirmations; the reply brings it back.
+        round: The newest round of leadership confirmation; the reply repeats it.
     """
 
     prev_log_index: int
@@ -114,13 +115,13 @@
 
 
 class AppendReply(RaftMessage, frozen=True, tag="d"):
-    """The answer to an `AppendEntries` or an `InstallSnapshot`.
+    """The reply to an `AppendEntries` or an `InstallSnapshot`.
 
     Attributes:
         success: Whether the sender's log matched at the previous index.
-        match_index: On success the index up to which the sender's log equals the leader's; otherwise the
-            highest index up to which it may.
-        round: The round of the message that is answered.
+        match_index: On success, the index up to which the sender's log equals the leader's; otherwise the
+            highest index up to which it may be equal.
+        round: The round of the message to which this is the reply.
     """
 
     success: bool
@@ -129,11 +130,11 @@
 
 
 class InstallSnapshot(RaftMessage, frozen=True, tag="i"):
-    """A leader's snapshot, for a voter that lacks entries which the leader has compacted.
+    """A leader's snapshot, for a voter that lacks entries which the leader has compacted already.
 
     Attributes:
-        snapshot: The snapshot, whole.
-        round: As in `AppendEntries`.
+        snapshot: The complete snapshot.
+        round: The newest round of leadership confirmation; the reply repeats it.
     """
 
     snapshot: Snapshot
@@ -141,25 +142,40 @@
 
 
 AnyRaftMessage = RequestVote | VoteReply | AppendEntries | AppendReply | InstallSnapshot
-"""Every message between voters."""
+"""Any message between voters."""
 
 
 class TermAndVote(NamedTuple):
-    """A voter's term and the candidate that it voted for in that term; "" for none."""
+    """A voter's term and vote.
+
+    Attributes:
+        term: The newest term that the voter has entered.
+        vote: The candidate that it voted for in that term; "" for none.
+    """
 
     term: int
     vote: str
 
 
 class OutgoingMessage(NamedTuple):
-    """A message and the voter or learner that it is for."""
+    """A message to be sent.
+
+    Attributes:
+        to: The voter or learner that is to receive it.
+        message: The message.
+    """
 
     to: str
     message: AnyRaftMessage
 
 
 class CommittedEntry(NamedTuple):
-    """A log entry that is committed, and its index in the log."""
+    """A committed log entry.
+
+    Attributes:
+        log_index: The index of the entry.
+        entry: The entry.
+    """
 
     log_index: int
     entry: LogEntry
@@ -167,19 +183,19 @@
 
 @dataclass(slots=True)
 class RaftEffects:
-    """What a call to `Raft` asks its caller to do.
+    """The work that a call to `Raft` leaves to its caller.
 
-    Order: first write `term_and_vote`, `snapshot` and `entries` to disk, in one transaction. Only then take
-    over `restored`, apply `committed` in order, and send `messages`.
+    The caller first writes `term_and_vote`, `snapshot` and `entries` to disk, in one transaction. Only then
+    it restores the state machine from `restored`, applies `committed` in order, and sends `messages`.
 
     Attributes:
-        term_and_vote: To be stored; None where it is unchanged.
-        snapshot: To be stored in place of all entries up to its index; None for no change.
-        first_index: The log index from which on `entries` replace the log; 0 for no change.
+        term_and_vote: The term and vote to be stored; None if they are unchanged.
+        snapshot: The snapshot to be stored in place of all entries up to its index; None for no change.
+        first_index: The log index from which on `entries` replace the log on disk; 0 for no change.
         entries: The log from `first_index` to its end.
-        messages: To be sent; each may be lost, repeated or overtaken.
-        committed: The entries that were committed by this call, in the order of their index.
-        restored: The state machine's state is this one from now on, whatever it was; None for no change.
+        messages: The messages to be sent; each may be lost, repeated or reordered.
+        committed: The entries that this call committed, in the order of their index.
+        restored: The snapshot that replaces the state machine's state; None for no change.
     """
 
     term_and_vote: TermAndVote | None = None
@@ -192,11 +208,11 @@
 
     @property
     def has_writes(self) -> bool:
-        """Whether anything has to be on disk before the rest is carried out."""
+        """Whether anything has to be written to disk before the other effects are carried out."""
         return self.term_and_vote is not None or self.snapshot is not None or self.first_index > 0
 
     def write_entries(self, first_index: int, entries: list[LogEntry]) -> None:
-        """Replace the log from an index on; entries before it that are to be written already stay."""
+        """Replace the log from an index on; keep earlier entries that are to be written already."""
         if self.first_index and self.first_index < first_index:
             kept = self.entries[: first_index - self.first_index]
             self.entries = [*kept, *entries]
--- a/cherrygrade/fleet/consensus/raft_role.py
+++ b/cherrygrade/fleet/consensus/raft_role.py
@@ -6,7 +6,7 @@
 
 
 class Role(Enum):
-    """What a voter does in its term. The values are recorded by explorations: they stay."""
+    """The role of a voter in its term. Explorations record the values, so they must not change."""
 
     FOLLOWER = "follows"
     PRE_CANDIDATE = "asks ahead"
--- a/cherrygrade/fleet/consensus/replication_progress.py
+++ b/cherrygrade/fleet/consensus/replication_progress.py
@@ -1,4 +1,4 @@
-"""What a Raft leader knows of the other voters and of its learners; it ends with the leadership."""
+"""The state that a Raft leader keeps for each other voter and learner, until its leadership ends."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 
 @dataclass(slots=True)
 class ReplicationProgress:
-    """The volatile state of a leader, by voter and learner; empty for any other role.
+    """The state of a leader by voter and learner, in memory only; empty for any other role.
 
     Attributes:
-        next_index: The index of the next entry to send.
-        match_index: The index up to which its log is known to equal the leader's; always below `next_index`.
-        last_reply_at: The time in ms of its last reply.
+        next_index: By name, the index of the next entry to send.
+        match_index: By name, the index up to which the log is known to equal the
+            leader's; below `next_index`.
+        last_reply_at: By name, the time in ms of the last reply.
         round: The newest round of leadership confirmation; counts from 0 in each leadership.
-        answered_rounds: The newest round that it has answered; at most `round`.
-        learners: Who receives the log and has no vote yet.
+        answered_rounds: By name, the newest round that was answered; at most `round`.
+        learners: The voters-to-be that receive the log and have no vote yet.
     """
 
     next_index: dict[str, int] = field(default_factory=dict)
@@ -30,7 +31,15 @@
 
     @classmethod
     def of_new_leader(cls, others: list[str], last_index: int, now: float) -> ReplicationProgress:
-        """Nothing is known to match yet; each voter has a full timeout for its first reply."""
+        """Return the state at the beginning of a leadership.
+
+        No log is known to match yet, and each voter has the full election timeout for its first reply.
+
+        Args:
+            others: The other voters.
+            last_index: The index of the leader's last entry.
+            now: The time in ms.
+        """
         return cls(
             next_index={name: last_index + 1 for name in others},
             match_index=dict.fromkeys(others, 0),
@@ -38,29 +47,29 @@
         )
 
     def track(self, name: str, next_index: int) -> None:
-        """Begin to replicate to a voter or learner, unless it is replicated to already."""
+        """Begin to replicate the log to a voter or learner, unless that has begun already."""
         self.next_index.setdefault(name, next_index)
         self.match_index.setdefault(name, 0)
 
     def replied_since(self, now: float, timeout_ms: float) -> list[str]:
-        """Whose last reply is less than a timeout ago."""
+        """Return the names of those whose last reply came less than a timeout ago."""
         return [name for name, at in self.last_reply_at.items() if now - at < timeout_ms]
 
     def holders(self, index: int) -> list[str]:
-        """Whose log is known to have the entry at an index."""
+        """Return the names of those whose log is known to have the entry at an index."""
         return [name for name, match_index in self.match_index.items() if match_index >= index]
 
     def answered(self, number: int) -> list[str]:
-        """Who has answered a round, or a later one."""
+        """Return the names of those who have answered a round, or a later one."""
         return [name for name, newest in self.answered_rounds.items() if newest >= number]
 
     def record_reply(self, name: str, answered_round: int, now: float) -> None:
-        """A reply of whatever outcome has arrived."""
+        """Record that a reply has arrived, whether it was a success or not."""
         self.last_reply_at[name] = now
         self.answered_rounds[name] = max(self.answered_rounds.get(name, 0), answered_round)
 
     def record_match(self, name: str, match_index: int) -> None:
-        """The log of a voter or learner equals the leader's up to an index."""
+        """Record that the log of a voter or learner equals the leader's up to an index."""
         self.match_index[name] = max(self.match_index[name], match_index)
         self.next_index[name] = max(self.next_index[name], self.match_index[name] + 1)
 
@@ -68,7 +77,16 @@
 def replication_message(
     progress: ReplicationProgress, name: str, log: RaftLog, leader: str, term: int, commit_index: int
 ) -> AppendEntries | InstallSnapshot:
-    """What a leader sends next to a voter or learner: entries, or the snapshot that stands for them."""
+    """Return the next message to a voter or learner: entries, or the snapshot that replaced them.
+
+    Args:
+        progress: The leader's replication state.
+        name: The voter or learner.
+        log: The leader's log.
+        leader: The name of the leader.
+        term: The leader's term.
+        commit_index: The leader's commit index.
+    """
     prev_index = progress.next_index[name] - 1
     if prev_index < log.snapshot.index:
         return InstallSnapshot(leader, term, log.snapshot, progress.round)
--- a/cherrygrade/fleet/consensus/state_machine.py
+++ b/cherrygrade/fleet/consensus/state_machine.py
@@ -1,6 +1,6 @@
 """The replicated state machine: drain permits, leases and versions of the configuration.
 
-The same committed entries lead to the same state on every voter. Free of I/O and clock.
+The same committed entries lead to the same state on every voter. This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -12,23 +12,26 @@
 from cherrygrade.fleet.leases import lease_table
 
 DRAIN_PREFIX = b"p"
-"""The first byte of an entry's payload names the part of the state that the command is for."""
+"""The first byte of an entry's payload for commands about drain permits."""
 LEASE_PREFIX = b"l"
+"""The first byte of an entry's payload for commands about leases."""
 CONFIG_PREFIX = b"c"
+"""The first byte of an entry's payload for commands about the configuration."""
 
 CommandOutcome = drain_permits.PermitOutcome | lease_table.LeaseOutcome | versions.PutOutcome
-"""What a command came to."""
+"""The result of a command."""
 
 _lease_decoder = msgspec.msgpack.Decoder(lease_table.AnyLeaseCommand)
 
 
 class StateMachineSnapshot(msgspec.Struct, array_like=True):
-    """The whole state; positional on the wire and on disk.
+    """The full state; positional on the wire and on disk.
 
     Attributes:
         permits: The encoded `DrainPermitsState`.
-        leases: The leases.
-        versions: The configuration; None in a snapshot by a program that did not have it.
+        leases: The table of leases.
+        versions: The configuration; None in a snapshot of an earlier release, which had
+            no shared configuration.
     """
 
     permits: bytes
@@ -37,17 +40,17 @@
 
 
 def encode_drain_command(command: drain_permits.AnyDrainCommand) -> bytes:
-    """The payload of a log entry."""
+    """Return the payload of a log entry for a command about drain permits."""
     return DRAIN_PREFIX + msgspec.msgpack.encode(command)
 
 
 def encode_lease_command(command: lease_table.AnyLeaseCommand) -> bytes:
-    """The payload of a log entry."""
+    """Return the payload of a log entry for a command about leases."""
     return LEASE_PREFIX + msgspec.msgpack.encode(command)
 
 
 def encode_config_command(command: versions.AnyConfigCommand) -> bytes:
-    """The payload of a log entry."""
+    """Return the payload of a log entry for a command about the configuration."""
     return CONFIG_PREFIX + versions.encode(command)
 
 
@@ -55,8 +58,8 @@
     """The state after all applied entries.
 
     Attributes:
-        permits: Which dispatchers and nodes may be drained.
-        leases: Who holds the lease of which task.
+        permits: The permits to drain dispatchers and nodes.
+        leases: The table of leases.
         versions: The versions of the configuration.
     """
 
@@ -67,15 +70,15 @@
 
     @property
     def now(self) -> float:
-        """The leaders' time in ms, as of the newest entry; it never goes back."""
+        """The leader's time in ms, as of the newest entry; it never goes back."""
         return max(self.permits.now, self.leases.now, self.versions.now)
 
     def apply(self, index: int, payload: bytes) -> CommandOutcome | None:
         """Apply one committed entry.
 
         Returns:
-            What it came to; None for an entry without a command. One that can't be read changes nothing, on
-            every voter alike.
+            The result of the command; None for an entry without one. An entry that can't be decoded changes
+            nothing, on every voter alike.
         """
         prefix = payload[:1]
         body = payload[1:]
@@ -92,7 +95,7 @@
         return self.leases.apply(index, command)
 
     def snapshot(self) -> bytes:
-        """The whole state, encoded."""
+        """Return the full state, encoded."""
         state = StateMachineSnapshot(self.permits.snapshot(), self.leases.state(), self.versions.state())
         return msgspec.msgpack.encode(state)
 
@@ -100,7 +103,7 @@
         """Replace the state by an encoded one.
 
         Raises:
-            msgspec.ValidationError: It is no snapshot.
+            msgspec.ValidationError: The data is not an encoded state.
         """
         state = msgspec.msgpack.decode(data, type=StateMachineSnapshot)
         self.permits.restore(state.permits)
--- a/cherrygrade/fleet/consensus/voter.py
+++ b/cherrygrade/fleet/consensus/voter.py
@@ -1,10 +1,12 @@
 """One voter of the council: its Raft state, the replicated state machine, and replies to requests.
 
-Only the leader carries requests out, and replies once the entry is committed or its leadership is confirmed
-(Raft's read index, Ongaro 2014, section 6.4); any other voter names the leader. A request without a reply may
-be repeated under its id, here or at another voter: it has an effect once.
+Only the leader carries out requests. It replies once the request's log entry is committed or, for a read,
+once its leadership is confirmed (Raft's read index, Ongaro 2014, section 6.4). Any other voter replies with
+the leader's name. A client that gets no reply may repeat the request under the same id, at any voter: it has
+an effect once.
 
-Free of I/O, clock and chance: calls in, a `VoterEffects` out. Times are milliseconds of one clock.
+This module does no I/O and reads no clock: each call returns a `VoterEffects` that the caller carries out.
+Times are ms of one clock.
 """
 
 from __future__ import annotations
@@ -42,20 +44,27 @@
 from cherrygrade.fleet.leases.renewal_tracker import NEVER, RenewalTracker
 
 COMPACT_AFTER_ENTRIES = 512
-"""The log is replaced by a snapshot once it holds more entries,"""
+"""The log is replaced by a snapshot once it has more entries than this."""
 COMPACT_AFTER_BYTES = 8_388_608
-"""or once more bytes of payload were applied since the last one."""
+"""The log is also replaced once more bytes of payload were applied since the last snapshot."""
 MAX_PENDING_REQUESTS = 4096
-"""Requests without a reply yet; more are refused."""
+"""Requests that have no reply yet; further requests are refused."""
 MAX_EXPIRIES_PER_TICK = 256
-"""Leases ended in one tick, so that the log is not flooded when many holders die at once."""
+"""Leases that expire in one tick; the limit keeps the log short when many holders fail at once."""
 CONFIRMATION_DELAY_MS = 20.0
-"""Reads are collected for so long: one round of messages confirms the leadership for all of them."""
+"""For how long reads are collected: one round of messages confirms the leadership for all of them."""
 MAX_AUTHOR_LENGTH = 100
+"""In characters; a longer author name is cut."""
 
 
 class PendingProposal(NamedTuple):
-    """The client that waits for an entry: the entry's term, the client and its request's id."""
+    """A request that waits until its log entry is committed.
+
+    Attributes:
+        term: The term of the entry.
+        client: The client that waits for the reply.
+        request_id: The id of the request.
+    """
 
     term: int
     client: object
@@ -63,7 +72,12 @@
 
 
 class PendingRead(NamedTuple):
-    """A request that waits for the confirmation of the leadership, and its client."""
+    """A request that waits until the leadership is confirmed.
+
+    Attributes:
+        client: The client that waits for the reply.
+        request: The request.
+    """
 
     client: object
     request: AnyRequest
@@ -73,13 +87,15 @@
     """One voter of the council.
 
     Attributes:
-        raft: The replicated log. A voter's own name there is `NAME/MARK`, with the mark of its store; one
-            that is not among the voters asks to be added, and replaces the one of its name.
-        allowed_names: Which names may vote, by the settings.
+        raft: The replicated log. It names a voter `NAME/STORE_ID`. A dispatcher whose store is not among the
+            voters asks to be added; its new store then replaces the voter of the same name.
+        allowed_names: The names of the dispatchers that may vote, from the settings.
         state_machine: The state at the last applied index.
-        renewals: When leases end, by this leader's count; has no meaning while not leader.
-        proposals: By log index, who waits for the entry; emptied by commit or the end of the leadership.
-        reads: By confirmation round, who waits for it; emptied by confirmation or the end of the leadership.
+        renewals: When leases expire, by this leader's clock; has no meaning while not leader.
+        proposals: By log index, the request that waits for the entry; removed when the entry is committed or
+            the leadership ends.
+        reads: By confirmation round, the requests that wait for it; removed when the round is confirmed or
+            the leadership ends.
     """
 
     def __init__(
@@ -91,18 +107,18 @@
         now: float,
         drift: float,
     ) -> None:
-        """Begin with what is on disk.
+        """Begin with the state on disk.
 
         Args:
-            name: `NAME/MARK`.
-            stored: What is on disk.
-            allowed_names: Which names may vote.
-            seed: Of the election timeouts.
-            now: In ms.
-            drift: The share by which two clocks' pace may differ.
+            name: The voter, as `NAME/STORE_ID`.
+            stored: The state on disk.
+            allowed_names: The names of the dispatchers that may vote.
+            seed: The seed of the random part of election timeouts.
+            now: The time in ms.
+            drift: The share by which the rates of two clocks may differ.
 
         Raises:
-            msgspec.ValidationError: The stored snapshot can't be read.
+            msgspec.ValidationError: The stored snapshot can't be decoded.
         """
         self.raft = Raft(name, stored, seed, now)
         self.allowed_names = {*allowed_names}
@@ -114,18 +130,18 @@
         self.reads: dict[int, list[PendingRead]] = {}
         self._queued_reads: list[PendingRead] = []
         self._confirm_at = NEVER
-        self._tracked_term = 0  # the term of the leadership that `renewals` is of; 0 for none
+        self._tracked_term = 0  # the term in which `renewals` was last reset as leader; 0 for none
         self._applied_index = stored.snapshot.index
-        self._applied_bytes = 0  # since the last compaction
+        self._applied_bytes = 0  # bytes of payload since the last compaction
 
     @property
     def leader(self) -> str:
-        """The name of the leader, as far as it is known; else ""."""
+        """The name of the leader's dispatcher; "" if no leader is known."""
         return self.raft.leader.partition("/")[0]
 
     @property
     def is_ready_leader(self) -> bool:
-        """Whether it leads, and all that was committed before its term is applied here."""
+        """Whether this voter leads and has applied every entry that was committed before its term."""
         return self.raft.is_leader and self.raft.commits_own_term
 
     def next_deadline(self) -> float:
@@ -135,16 +151,14 @@
             deadline = min(deadline, self.renewals.next_expiry(self.state_machine.leases))
         return deadline
 
-    # Events.
-
     def receive(self, message: AnyRaftMessage, now: float) -> VoterEffects:
-        """Handle a message of another voter."""
+        """Handle a message from another voter."""
         effects = VoterEffects()
         self._take(self.raft.receive(message, now), effects, now)
         return self._finish(effects, now)
 
     def tick(self, now: float) -> VoterEffects:
-        """Do what is due: Raft's timers, leases that end, and the confirmation of queued reads."""
+        """Run Raft's timers, expire leases and begin to confirm queued reads, if their time has come."""
         effects = VoterEffects()
         if now >= self.raft.next_deadline():
             self._take(self.raft.tick(now), effects, now)
@@ -157,13 +171,13 @@
         return self._finish(effects, now)
 
     def request(self, request: AnyRequest, client: object, now: float) -> VoterEffects:
-        """Handle a request; the reply to `client` may come with a later call's effects."""
+        """Handle a request; the reply to `client` may be part of a later call's effects."""
         effects = VoterEffects()
         if not self.raft.is_leader:
-            reason = "it leads" if self.leader else "nobody leads"
+            reason = "this voter is not the leader" if self.leader else "no leader is known"
             effects.reply(client, NotLeader(request.id, self.leader, reason))
         elif self._is_overloaded:
-            effects.reply(client, NotLeader(request.id, "", "too much is asked at once"))
+            effects.reply(client, NotLeader(request.id, "", "too many requests are pending"))
         elif isinstance(request, AcquireLease):
             acquire = Acquire(
                 self._leader_time(now),
@@ -178,7 +192,7 @@
             release = Release(self._leader_time(now), request.task, request.number, request.failure)
             self._propose(encode_lease_command(release), effects, now, client, request.id)
         elif isinstance(request, PutConfig):
-            effects.reply(client, NotLeader(request.id, "", "it was not judged"))
+            effects.reply(client, NotLeader(request.id, "", "the configuration text was not checked"))
         else:
             self._queued_reads.append(PendingRead(client, request))
             self._confirm_at = min(self._confirm_at, now + CONFIRMATION_DELAY_MS)
@@ -187,12 +201,19 @@
     def put_config(
         self, request: PutConfig, verdict: ConfigVerdict, client: object, now: float
     ) -> VoterEffects:
-        """Handle a change of the configuration whose text was judged."""
+        """Handle a change of the configuration whose text was checked.
+
+        Args:
+            request: The request.
+            verdict: The result of the check.
+            client: The client that waits for the reply.
+            now: The time in ms.
+        """
         if not self.raft.is_leader:
             return self.request(request, client, now)
         effects = VoterEffects()
         if self._is_overloaded:
-            effects.reply(client, NotLeader(request.id, "", "too much is asked at once"))
+            effects.reply(client, NotLeader(request.id, "", "too many requests are pending"))
         elif verdict.refusal or verdict.divisors is None:
             effects.reply(client, ConfigPut(request.id, PutOutcome(refusal=verdict.refusal)))
         else:
@@ -211,7 +232,13 @@
         return self._finish(effects, now)
 
     def settle_config(self, number: int, now: float) -> VoterEffects:
-        """All dispatchers of record use the smaller quota parts of the move that began with this version."""
+        """Record that all dispatchers use the new quota parts of a version, if its parts still move.
+
+        Args:
+            number: The version that began the move; all dispatchers of record use the smaller of the old
+                and new parts.
+            now: The time in ms.
+        """
         effects = VoterEffects()
         if self.is_ready_leader and self.state_machine.versions.moving_number == number:
             command = SettleVersion(self._leader_time(now), number)
@@ -219,21 +246,25 @@
         return self._finish(effects, now)
 
     def admit(self, name: str, now: float) -> VoterEffects:
-        """Begin to add a voter, as `NAME/MARK`: one of an allowed name whose store does not vote yet."""
+        """Begin to add a voter.
+
+        Args:
+            name: The voter, as `NAME/STORE_ID`; ignored if its dispatcher may not vote, or its
+                store does already.
+            now: The time in ms.
+        """
         effects = VoterEffects()
         allowed = name.partition("/")[0] in self.allowed_names
         if self.raft.is_leader and allowed and name not in self.raft.voters:
             self._take(self.raft.add_learner(name, now), effects, now)
         return self._finish(effects, now)
 
-    # Proposals and reads.
-
     @property
     def _is_overloaded(self) -> bool:
         return len(self.proposals) + len(self._queued_reads) >= MAX_PENDING_REQUESTS
 
     def _leader_time(self, now: float) -> float:
-        """The time of the log: it goes on from the newest entry by this voter's clock, and never back."""
+        """Return the leader's time in ms: this voter's clock, but never before the newest entry."""
         return max(self.state_machine.now, now)
 
     def _propose(
@@ -241,7 +272,7 @@
     ) -> None:
         index, raft_effects = self.raft.propose(payload, now)
         if request_id:
-            # Before the effects are taken: a single voter commits within the call.
+            # This comes before `_take`: a council of one voter commits the entry within that call.
             self.proposals[index] = PendingProposal(self.raft.term, client, request_id)
         self._take(raft_effects, effects, now)
 
@@ -260,12 +291,10 @@
 
     def _refuse_reads(self, reads: list[PendingRead], effects: VoterEffects) -> None:
         for read in reads:
-            effects.reply(read.client, NotLeader(read.request.id, self.leader, "the lead was lost"))
-
-    # The log.
+            effects.reply(read.client, NotLeader(read.request.id, self.leader, "the leadership was lost"))
 
     def _take(self, raft_effects: RaftEffects, effects: VoterEffects, now: float) -> None:
-        """Apply what is committed, and pass the rest on."""
+        """Apply the committed entries, and add the other effects to those of the voter."""
         effects.raft_effects.append(raft_effects)
         effects.messages += raft_effects.messages
         if raft_effects.restored is not None:
@@ -286,13 +315,13 @@
             effects.reply(proposal.client, reply)
 
     def _track_granted_lease(self, number: int, now: float) -> None:
-        """The reply that grants a lease counts as a renewal of its holder."""
+        """Count the reply that grants a lease as a renewal of its holder's leases."""
         leases = self.state_machine.leases.leases.values()
         granted = next((lease for lease in leases if lease.number == number), None)
         if granted is not None:
-            life = (granted.holder, granted.incarnation)
-            answered = self.renewals.answered_at
-            answered[life] = max(now, answered.get(life, -NEVER))
+            owner = (granted.holder, granted.incarnation)
+            answered_at = self.renewals.answered_at
+            answered_at[owner] = max(now, answered_at.get(owner, -NEVER))
 
     def _reply_to_proposal(
         self, proposal: PendingProposal, entry: LogEntry, outcome: CommandOutcome | None
@@ -301,10 +330,12 @@
             return LeaseAcquired(proposal.request_id, outcome)
         if proposal.term == entry.term and isinstance(outcome, PutOutcome):
             return ConfigPut(proposal.request_id, outcome)
-        return NotLeader(proposal.request_id, self.leader, "another entry took its place")
+        return NotLeader(
+            proposal.request_id, self.leader, "another leader's entry replaced the request's entry"
+        )
 
     def _finish(self, effects: VoterEffects, now: float) -> VoterEffects:
-        """Do what follows from the state of the log after an event."""
+        """Do the work that every event may make necessary, such as replies, voter changes and compaction."""
         led_term = self.raft.term if self.raft.is_leader else 0
         changed = led_term != self._tracked_term
         if changed:
@@ -322,7 +353,7 @@
         lost = {index: proposal for index, proposal in self.proposals.items() if proposal.term != led_term}
         for index, proposal in lost.items():
             del self.proposals[index]
-            reply = NotLeader(proposal.request_id, self.leader, "the lead was lost")
+            reply = NotLeader(proposal.request_id, self.leader, "the leadership was lost")
             effects.reply(proposal.client, reply)
         unconfirmed = [read for reads in [*self.reads.values(), self._queued_reads] for read in reads]
         self.reads.clear()
@@ -347,16 +378,14 @@
             data = self.state_machine.snapshot()
             effects.raft_effects.append(self.raft.compact(self._applied_index, data))
 
-    # Voters.
-
     def _update_voters(self, effects: VoterEffects, now: float) -> None:
-        """Make a learner that has the log a voter, then remove the voter that it replaces."""
+        """Make a learner a voter, or remove the voter that a new one of the same name replaces."""
         voters = {*self.raft.voters}
         names = [voter.partition("/")[0] for voter in voters]
-        doubled = next((one for one in sorted(voters) if names.count(one.partition("/")[0]) > 1), "")
-        if doubled:
-            # Of two marks of one name the one that the leader hears from stays.
-            name = doubled.partition("/")[0]
+        duplicate = next((one for one in sorted(voters) if names.count(one.partition("/")[0]) > 1), "")
+        if duplicate:
+            # Of two stores of one dispatcher, the one that replied to the leader last stays.
+            name = duplicate.partition("/")[0]
             same_name = [voter for voter in voters if voter.partition("/")[0] == name]
             last_reply_at = self.raft.progress.last_reply_at
             replaced = min(
@@ -372,5 +401,9 @@
 
 
 def founding_snapshot(names: list[str]) -> Snapshot:
-    """What the log of a new council begins with: its voters, each with the mark of a first store."""
+    """Return the snapshot that the log of a new council begins with.
+
+    Args:
+        names: The names of its voters; each begins with the store id 0.
+    """
     return Snapshot(0, 0, tuple(sorted(f"{name}/0" for name in names)), b"")
--- a/cherrygrade/fleet/consensus/voter_effects.py
+++ b/cherrygrade/fleet/consensus/voter_effects.py
@@ -1,4 +1,4 @@
-"""What a voter of the council asks its caller to do, and what it is given with a change of configuration."""
+"""The effects that a voter of the council leaves to its caller, and the result of a configuration check."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigVerdict:
-    """The result of judging the text of a `PutConfig`.
+    """The result of checking the text of a `PutConfig`.
 
     Attributes:
-        refusal: Why it is refused; "" if it is not.
-        divisors: The quota divisors of the new text; None where it is refused.
+        refusal: Why the text is refused; "" if it is not.
+        divisors: The quota divisors of the new text; None if it is refused.
         old_divisors: The quota divisors of the text before it.
-        hunks: The difference from the text it is based on; None where the whole text is shorter.
+        hunks: The difference from the text that it is based on; None if the complete text is shorter.
     """
 
     refusal: str
@@ -29,7 +29,12 @@
 
 
 class OutgoingReply(NamedTuple):
-    """A reply, and the client that it is for as it was given with the request."""
+    """A reply to be sent.
+
+    Attributes:
+        client: The client, as it was passed in with the request.
+        reply: The reply.
+    """
 
     client: object
     reply: AnyReply
@@ -37,14 +42,16 @@
 
 @dataclass(slots=True)
 class VoterEffects:
-    """What a call to `Voter` asks its caller to do.
+    """The work that a call to `Voter` leaves to its caller.
 
-    Order: first write all of `raft_effects` to disk, in order. Only then send `messages` and `replies`.
+    The caller first writes all of `raft_effects` to disk, in order. Only then it sends
+    `messages` and `replies`.
 
     Attributes:
-        raft_effects: Only their writes matter here: the rest is in the other fields or carried out already.
-        messages: For other voters.
-        replies: For clients.
+        raft_effects: Effects of which the caller carries out the writes only; the other fields contain the
+            messages, and the voter has applied committed entries already.
+        messages: The messages to other voters.
+        replies: The replies to clients.
     """
 
     raft_effects: list[RaftEffects] = field(default_factory=list)
@@ -52,5 +59,5 @@
     replies: list[OutgoingReply] = field(default_factory=list)
 
     def reply(self, client: object, reply: AnyReply) -> None:
-        """Add a reply."""
+        """Add a reply to a client."""
         self.replies.append(OutgoingReply(client, reply))
--- a/cherrygrade/fleet/leases/lease_table.py
+++ b/cherrygrade/fleet/leases/lease_table.py
@@ -83,7 +83,7 @@
 
 
 AnyLeaseCommand = Acquire | Release | Expire
-"""Every lease command."""
+"""Any lease command."""
 
 
 class Lease(msgspec.Struct, array_like=True, frozen=True):
--- a/tests/fleet/consensus/test_drain_permits.py
+++ b/tests/fleet/consensus/test_drain_permits.py
@@ -29,7 +29,7 @@
         self.permits, self.index, self.now = DrainPermits(), 0, 0.0
         self.do(SetResources(0.0, resources, {"node": limit}))
         for resource in resources if seen else ():
-            self.do(ObserveResource(0.0, resource.name, ResourceState.IN.value))
+            self.do(ObserveResource(0.0, resource.name, ResourceState.IN_USE.value))
 
     def do(self, op: AnyDrainCommand) -> PermitOutcome:
         self.index += 1
@@ -78,7 +78,7 @@
     log = Log(DisruptionLimit(max_count=1))
     number = log.ask("n0").number
     assert log.ask("n1", at=1e6).refusals and [one.number for one in log.permits.late_permits()] == [number]
-    log.do(ObserveResource(1e6, "n0", ResourceState.IN.value))  # somebody says so
+    log.do(ObserveResource(1e6, "n0", ResourceState.IN_USE.value))  # somebody says so
     assert log.ask("n1").refusals
     assert log.do(ReturnPermit(1e6, "n0", number - 1)).refusals  # an earlier life's proof
     assert log.ask("n1").refusals
