--- a/cherrygrade/fleet/consensus/voter.py
+++ b/cherrygrade/fleet/consensus/voter.py
@@ -192,7 +192,7 @@
             release = Release(self._leader_time(now), request.task, request.number, request.failure)
             self._propose(encode_lease_command(release), effects, now, client, request.id)
         elif isinstance(request, PutConfig):
-            effects.reply(client, NotLeader(request.id, "", "the configuration text was not checked"))
+            effects.reply(client, NotLeader(request.id, "", "the configuration text was not judged"))
         else:
             self._queued_reads.append(PendingRead(client, request))
             self._confirm_at = min(self._confirm_at, now + CONFIRMATION_DELAY_MS)
--- a/tests/fleet/leases/test_leases.py
+++ b/tests/fleet/leases/test_leases.py
@@ -38,8 +38,8 @@
         self.now = 0.0
         self.disks = {name: PersistentState(0, "", founding_snapshot(NAMES), []) for name in NAMES}
         self.voters = {name: self._voter(name) for name in NAMES}
-        self.partitioned: set[str] = set()
-        self.replies: list[object] = []
+        self.cut: set[str] = set()
+        self.answers: list[object] = []
 
     def _voter(self, name: str) -> Voter:
         disk = self.disks[name]
@@ -49,7 +49,7 @@
     def restart(self, name: str) -> None:
         self.voters[name] = self._voter(name)
 
-    def carry_out(self, name: str, effects) -> None:
+    def do(self, name: str, effects) -> None:
         disk = self.disks[name]
         for raft_effects in effects.raft_effects:
             if raft_effects.term_and_vote is not None:
@@ -61,44 +61,44 @@
                 disk.entries = (
                     disk.entries[: raft_effects.first_index - disk.snapshot.index - 1] + raft_effects.entries
                 )
-        self.replies += [reply for _, reply in effects.replies]
+        self.answers += [reply for _, reply in effects.replies]
         for to, message in effects.messages:
             receiver = to.partition("/")[0]
-            if not {name, receiver} & self.partitioned:
-                self.carry_out(receiver, self.voters[receiver].receive(message, self.now))
+            if not {name, receiver} & self.cut:
+                self.do(receiver, self.voters[receiver].receive(message, self.now))
 
-    def advance_ms(self, ms: float) -> None:
+    def pass_ms(self, ms: float) -> None:
         ends_at = self.now + ms
         while self.now < ends_at:
             self.now += 10.0
             for name, voter in self.voters.items():
                 if self.now >= voter.next_deadline():
-                    self.carry_out(name, voter.tick(self.now))
+                    self.do(name, voter.tick(self.now))
 
     def leader(self) -> str:
         for _ in range(100):
-            leaders = [n for n, v in self.voters.items() if v.raft.is_leader and n not in self.partitioned]
+            leaders = [n for n, v in self.voters.items() if v.raft.is_leader and n not in self.cut]
             if leaders:
                 return leaders[0]
-            self.advance_ms(100.0)
+            self.pass_ms(100.0)
         raise AssertionError("no leader within 10 s")
 
-    def request(self, request, name: str = ""):
-        self.replies.clear()
+    def ask(self, request, name: str = ""):
+        self.answers.clear()
         name = name or self.leader()
-        self.carry_out(name, self.voters[name].request(request, "asker", self.now))
-        self.advance_ms(60.0)
-        return self.replies[0] if self.replies else None
+        self.do(name, self.voters[name].request(request, "asker", self.now))
+        self.pass_ms(60.0)
+        return self.answers[0] if self.answers else None
 
     def acquire(self, holder: LeaseHolder, task: str) -> bool:
         request_id = holder.start_request(self.now, task)
-        reply = self.request(AcquireLease(request_id, task, holder.name, holder.incarnation, DURATION_MS))
+        reply = self.ask(AcquireLease(request_id, task, holder.name, holder.incarnation, DURATION_MS))
         assert isinstance(reply, LeaseAcquired)
         return holder.record_grant(request_id, task, reply.outcome.number, self.now)
 
     def renew(self, holder: LeaseHolder) -> None:
         request_id, held_digest = holder.start_renewal(self.now)
-        reply = self.request(RenewLeases(request_id, holder.name, holder.incarnation, held_digest))
+        reply = self.ask(RenewLeases(request_id, holder.name, holder.incarnation, held_digest))
         if isinstance(reply, LeasesRenewed):
             holder.record_renewal(request_id, reply.numbers, self.now, reply.unchanged)
 
@@ -113,7 +113,7 @@
     number = holder.fencing_number("t", council.now)
     expires_at = holder.held["t"].expires_at
     while council.voters[council.leader()].state_machine.leases.leases:
-        council.advance_ms(10.0)
+        council.pass_ms(10.0)
     assert council.now > expires_at + SEND_MARGIN_MS  # the holder stopped before the leader ended the lease
     assert not holder.fencing_number("t", council.now)
     assert council.acquire(other_holder, "t") and other_holder.fencing_number("t", council.now) > number
@@ -125,10 +125,10 @@
         assert council.acquire(holder, f"t{task}")
     before = council.voters[council.leader()].raft.log.last_index
     for _ in range(10):
-        council.advance_ms(1000.0)
+        council.pass_ms(1000.0)
         council.renew(holder)
     request_id, held_digest = holder.start_renewal(council.now)
-    reply = council.request(RenewLeases(request_id, "x", 1, held_digest))
+    reply = council.ask(RenewLeases(request_id, "x", 1, held_digest))
     assert isinstance(reply, LeasesRenewed) and reply.unchanged and not reply.numbers
     assert len(holder.held) == 50 and council.voters[council.leader()].raft.log.last_index == before
     assert all(holder.fencing_number(f"t{task}", council.now) for task in range(50))
@@ -138,30 +138,30 @@
     council, holder = Council(), LeaseHolder("x", 1, DURATION_MS, DRIFT)
     assert council.acquire(holder, "t")
     old_leader = council.leader()
-    council.partitioned = {old_leader}
-    council.replies.clear()
-    council.carry_out(
+    council.cut = {old_leader}
+    council.answers.clear()
+    council.do(
         old_leader,
         council.voters[old_leader].request(
             RenewLeases(holder.start_request(council.now), "x", 1), "asker", council.now
         ),
     )
-    council.advance_ms(2000.0)
-    assert not any(isinstance(reply, LeasesRenewed) for reply in council.replies)
-    assert isinstance(council.replies[0], NotLeader)
+    council.pass_ms(2000.0)
+    assert not any(isinstance(reply, LeasesRenewed) for reply in council.answers)
+    assert isinstance(council.answers[0], NotLeader)
 
 
 def test_new_leader_counts_the_full_duration_of_each_lease_from_the_start_of_its_leadership():
     # The old leader may have renewed a lease right before; the new one does not know of it.
     council, holder = Council(), LeaseHolder("x", 1, DURATION_MS, DRIFT)
     assert council.acquire(holder, "t")
-    council.advance_ms(2500.0)
+    council.pass_ms(2500.0)
     council.renew(holder)  # the old leader replies at 2.5 s
     expires_at = holder.held["t"].expires_at
-    council.partitioned = {council.leader()}
+    council.cut = {council.leader()}
     council.leader()
     while council.voters[council.leader()].state_machine.leases.leases:
-        council.advance_ms(10.0)
+        council.pass_ms(10.0)
     assert council.now > expires_at + SEND_MARGIN_MS
 
 
@@ -169,9 +169,9 @@
     council, holder = Council(), LeaseHolder("x", 1, DURATION_MS, DRIFT)
     request_id = holder.start_request(council.now)
     request = AcquireLease(request_id, "t", "x", 1, DURATION_MS)
-    first = council.request(request)  # this reply is lost
-    council.advance_ms(1000.0)
-    again = council.request(request)
+    first = council.ask(request)  # this reply is lost
+    council.pass_ms(1000.0)
+    again = council.ask(request)
     assert (
         isinstance(first, LeaseAcquired)
         and isinstance(again, LeaseAcquired)
@@ -205,7 +205,7 @@
     assert holder.release("t") == 0
     holder.track_order("t", number, -1)
     assert holder.release("t") == number
-    council.request(ReleaseLease(holder.start_request(council.now), "t", number))
+    council.ask(ReleaseLease(holder.start_request(council.now), "t", number))
     assert council.acquire(other_holder, "t")
 
 
@@ -219,10 +219,10 @@
     )
     assert council.acquire(holder, "lapsed")
     late_request_id = holder.start_request(council.now, "unheard")
-    lost_grant = council.request(AcquireLease(late_request_id, "unheard", "x", 1, DURATION_MS))
-    council.advance_ms(2900.0)
+    lost_grant = council.ask(AcquireLease(late_request_id, "unheard", "x", 1, DURATION_MS))
+    council.pass_ms(2900.0)
     assert council.acquire(holder, "kept")
-    council.advance_ms(60.0)
+    council.pass_ms(60.0)
     holder.tick(council.now)
     assert [*holder.held] == ["kept"]
     council.renew(holder)
@@ -231,7 +231,7 @@
     # The reply that grants the lease arrives after all, but too late.
     assert not holder.record_grant(late_request_id, "unheard", lost_grant.outcome.number, council.now)
     for task, number in holder.unheld.items():
-        council.request(ReleaseLease(holder.start_request(council.now), task, number))
+        council.ask(ReleaseLease(holder.start_request(council.now), task, number))
         assert council.acquire(other_holder, task)
 
 
@@ -255,10 +255,10 @@
 def test_leader_shows_leases_and_voters_and_another_voter_names_the_leader():
     council, holder = Council(), LeaseHolder("x", 1, DURATION_MS, DRIFT)
     assert council.acquire(holder, "t")
-    shown = council.request(ShowCouncil("s"))
+    shown = council.ask(ShowCouncil("s"))
     assert isinstance(shown, CouncilStatus) and shown.leases[0][:2] == ("t", "x") and len(shown.voters) == 3
     other = next(name for name in NAMES if name != council.leader())
-    refused = council.request(ShowCouncil("s"), other)
+    refused = council.ask(ShowCouncil("s"), other)
     assert isinstance(refused, NotLeader) and refused.leader == council.leader()
 
 
@@ -269,13 +269,13 @@
         council.renew(holder)
         if task != 150:
             number = holder.release(f"t{task}")
-            council.request(ReleaseLease(holder.start_request(council.now), f"t{task}", number))
+            council.ask(ReleaseLease(holder.start_request(council.now), f"t{task}", number))
     leader = council.leader()
     assert council.disks[leader].snapshot.index > 0
     for name in NAMES:
         council.restart(name)
     council.leader()
-    council.advance_ms(200.0)
+    council.pass_ms(200.0)
     assert [*council.voters[council.leader()].state_machine.leases.leases] == ["t150"]
 
 
@@ -287,13 +287,13 @@
     council.voters[lost] = Voter(f"{lost}/9", PersistentState(), NAMES, 1, council.now, DRIFT)
     for _ in range(20):
         leader = council.leader()
-        council.carry_out(leader, council.voters[leader].admit(f"{lost}/9", council.now))
-        council.advance_ms(100.0)
+        council.do(leader, council.voters[leader].admit(f"{lost}/9", council.now))
+        council.pass_ms(100.0)
     expected = sorted(f"{name}/{9 if name == lost else 0}" for name in NAMES)
     assert sorted(council.voters[council.leader()].raft.voters) == expected
     last_leader = council.leader()
-    council.carry_out(last_leader, council.voters[last_leader].admit("stranger/1", council.now))
-    council.advance_ms(500.0)
+    council.do(last_leader, council.voters[last_leader].admit("stranger/1", council.now))
+    council.pass_ms(500.0)
     assert len(council.voters[council.leader()].raft.voters) == 3
 
 
@@ -330,19 +330,19 @@
 
     def request_any_leader(self, request) -> object:
         """Send a request to every voter that considers itself the leader, partitioned off or not."""
-        self.council.replies.clear()
+        self.council.answers.clear()
         for name, voter in self.council.voters.items():
             if voter.raft.is_leader:
-                self.council.carry_out(name, voter.request(request, "asker", self.council.now))
-        self.council.advance_ms(50.0)
-        return next((reply for reply in self.council.replies if not isinstance(reply, NotLeader)), None)
+                self.council.do(name, voter.request(request, "asker", self.council.now))
+        self.council.pass_ms(50.0)
+        return next((reply for reply in self.council.answers if not isinstance(reply, NotLeader)), None)
 
     @rule(name=st.sampled_from("xyz"), task=st.sampled_from("tu"), lost=st.booleans(), late=st.booleans())
     def acquire(self, name: str, task: str, lost: bool, late: bool) -> None:
         holder = self.holders[name]
         request_id = holder.start_request(self.clock_of(name), task)
         reply = self.request_any_leader(AcquireLease(request_id, task, name, holder.incarnation, DURATION_MS))
-        self.council.advance_ms(1500.0 * late)
+        self.council.pass_ms(1500.0 * late)
         if isinstance(reply, LeaseAcquired) and not lost:
             holder.record_grant(request_id, task, reply.outcome.number, self.clock_of(name))
 
@@ -351,7 +351,7 @@
         holder = self.holders[name]
         request_id, held_digest = holder.start_renewal(self.clock_of(name))
         reply = self.request_any_leader(RenewLeases(request_id, name, holder.incarnation, held_digest))
-        self.council.advance_ms(1500.0 * late)
+        self.council.pass_ms(1500.0 * late)
         if isinstance(reply, LeasesRenewed):
             holder.record_renewal(request_id, reply.numbers, self.clock_of(name), reply.unchanged)
         unheld, holder.unheld = holder.unheld, {}
@@ -367,11 +367,11 @@
 
     @rule(ms=st.sampled_from([100.0, 700.0, 1500.0, 3100.0]))
     def wait(self, ms: float) -> None:
-        self.council.advance_ms(ms)
+        self.council.pass_ms(ms)
 
     @rule(names=st.sets(st.sampled_from(NAMES), max_size=2))
     def partition(self, names: set[str]) -> None:
-        self.council.partitioned = names
+        self.council.cut = names
 
     @rule(name=st.sampled_from(NAMES))
     def restart_voter(self, name: str) -> None:
