--- a/cherrygrade/fleet/consensus/raft.py
+++ b/cherrygrade/fleet/consensus/raft.py
@@ -52,7 +52,7 @@
         leader: The leader of `term`; "" if it is not known.
         votes: The voters that granted a vote or pre-vote; empty for followers and leaders.
         progress: The replication state of the other voters while this voter leads; empty otherwise.
-        elections: How many elections this voter has started since its process started.
+        elections: How many elections this voter has started since this object was created.
         heartbeat_at: The time in ms of the next heartbeat; NEVER unless leader.
         election_timer: Decides when the next election begins; has no meaning while leader.
     """
@@ -86,7 +86,7 @@
         return self.log.voters
 
     def is_majority(self, names: Iterable[str]) -> bool:
-        """Whether the voters among these names are a majority of all voters."""
+        """Return whether the voters among these names are a majority of all voters."""
         return 2 * len({*names} & {*self.voters}) > len(self.voters)
 
     @property
@@ -100,12 +100,12 @@
         return self.log.term_at(self.commit_index) == self.term
 
     def next_deadline(self) -> float:
-        """The time in ms at which `tick` is to be called."""
+        """Return the time in ms at which `tick` is to be called."""
         return self.heartbeat_at if self.is_leader else self.election_timer.expires_at
 
     @property
     def confirmed_round(self) -> int:
-        """The newest round that a majority has answered; 0 before an entry of this term is committed."""
+        """The newest round that a majority has answered; 0 until a leader commits an entry of its term."""
         if not self.is_leader or not self.commits_own_term:
             return 0
         for number in sorted({self.progress.round, *self.progress.answered_rounds.values()}, reverse=True):
@@ -198,7 +198,7 @@
 
     def start_election(self, now: float) -> None:
         """Become a candidate in the next term, and request votes."""
-        self._enter(Role.CANDIDATE, leader="", votes={self.name})
+        self._enter_role(Role.CANDIDATE, leader="", votes={self.name})
         self.elections += 1
         self._set_term_and_vote(self.term + 1, self.name)
         self.election_timer.restart(now)
@@ -222,7 +222,7 @@
 
         This keeps a voter that was partitioned off, or whose connection flaps, from causing an election.
         """
-        self._enter(Role.PRE_CANDIDATE, leader="", votes={self.name})
+        self._enter_role(Role.PRE_CANDIDATE, leader="", votes={self.name})
         if self.is_majority(self.votes):
             self.start_election(now)
             return
@@ -269,13 +269,13 @@
             if self.is_majority(self.votes):
                 self._become_leader(now)
 
-    def _enter(self, role: Role, leader: str, votes: set[str]) -> None:
+    def _enter_role(self, role: Role, leader: str, votes: set[str]) -> None:
         self.role = role
         self.leader = leader
         self.votes = votes
 
     def _become_follower(self, term: int, leader: str, now: float) -> None:
-        self._enter(Role.FOLLOWER, leader=leader, votes=set())
+        self._enter_role(Role.FOLLOWER, leader=leader, votes=set())
         self.progress = ReplicationProgress()
         self.heartbeat_at = NEVER
         self.election_timer.restart(now)
@@ -286,7 +286,7 @@
 
     def _become_leader(self, now: float) -> None:
         """Lead, and append an empty entry: its commit also commits all entries before it."""
-        self._enter(Role.LEADER, leader=self.name, votes=set())
+        self._enter_role(Role.LEADER, leader=self.name, votes=set())
         others = [name for name in self.voters if name != self.name]
         self.progress = ReplicationProgress.of_new_leader(others, self.log.last_index, now)
         self.heartbeat_at = now + HEARTBEAT_INTERVAL_MS
--- a/cherrygrade/fleet/consensus/raft_log.py
+++ b/cherrygrade/fleet/consensus/raft_log.py
@@ -54,7 +54,7 @@
         return self.entries[index - self.snapshot.index - 1]
 
     def changes_voters_after(self, index: int) -> bool:
-        """Return whether an entry after this index changes the voters; the snapshot must not be newer."""
+        """Return whether an entry after an index changes the voters; the index is at least the snapshot's."""
         return any(entry.voters for entry in self.entries[index - self.snapshot.index :])
 
     def batch_after(self, index: int) -> tuple[LogEntry, ...]:
--- a/cherrygrade/fleet/consensus/replication_progress.py
+++ b/cherrygrade/fleet/consensus/replication_progress.py
@@ -19,7 +19,7 @@
         last_reply_at: By name, the time in ms of the last reply.
         round: The newest round of leadership confirmation; counts from 0 in each leadership.
         answered_rounds: By name, the newest round that was answered; at most `round`.
-        learners: The voters-to-be that receive the log and have no vote yet.
+        learners: The names of those that receive the log and have no vote yet.
     """
 
     next_index: dict[str, int] = field(default_factory=dict)
--- a/cherrygrade/fleet/consensus/state_machine.py
+++ b/cherrygrade/fleet/consensus/state_machine.py
@@ -30,8 +30,7 @@
     Attributes:
         permits: The encoded `DrainPermitsState`.
         leases: The table of leases.
-        versions: The configuration; None in a snapshot of an earlier release, which had
-            no shared configuration.
+        versions: The configuration; None in a snapshot that an earlier version of the program wrote.
     """
 
     permits: bytes
--- a/cherrygrade/fleet/consensus/voter.py
+++ b/cherrygrade/fleet/consensus/voter.py
@@ -145,7 +145,7 @@
         return self.raft.is_leader and self.raft.commits_own_term
 
     def next_deadline(self) -> float:
-        """The time in ms at which `tick` is to be called."""
+        """Return the time in ms at which `tick` is to be called."""
         deadline = min(self.raft.next_deadline(), self._confirm_at)
         if self.is_ready_leader:
             deadline = min(deadline, self.renewals.next_expiry(self.state_machine.leases))
@@ -154,14 +154,14 @@
     def receive(self, message: AnyRaftMessage, now: float) -> VoterEffects:
         """Handle a message from another voter."""
         effects = VoterEffects()
-        self._take(self.raft.receive(message, now), effects, now)
+        self._add_raft_effects(self.raft.receive(message, now), effects, now)
         return self._finish(effects, now)
 
     def tick(self, now: float) -> VoterEffects:
         """Run Raft's timers, expire leases and begin to confirm queued reads, if their time has come."""
         effects = VoterEffects()
         if now >= self.raft.next_deadline():
-            self._take(self.raft.tick(now), effects, now)
+            self._add_raft_effects(self.raft.tick(now), effects, now)
         if self.is_ready_leader:
             for lease in self.renewals.take_expired(self.state_machine.leases, now, MAX_EXPIRIES_PER_TICK):
                 command = Expire(self._leader_time(now), lease.task, lease.number)
@@ -232,11 +232,12 @@
         return self._finish(effects, now)
 
     def settle_config(self, number: int, now: float) -> VoterEffects:
-        """Record that all dispatchers use the new quota parts of a version, if its parts still move.
+        """End the move of quota parts that began with a version, unless it has ended already.
+
+        The caller knows that all dispatchers of record use the smaller of their old and new parts.
 
         Args:
-            number: The version that began the move; all dispatchers of record use the smaller of the old
-                and new parts.
+            number: The version.
             now: The time in ms.
         """
         effects = VoterEffects()
@@ -256,7 +257,7 @@
         effects = VoterEffects()
         allowed = name.partition("/")[0] in self.allowed_names
         if self.raft.is_leader and allowed and name not in self.raft.voters:
-            self._take(self.raft.add_learner(name, now), effects, now)
+            self._add_raft_effects(self.raft.add_learner(name, now), effects, now)
         return self._finish(effects, now)
 
     @property
@@ -272,9 +273,9 @@
     ) -> None:
         index, raft_effects = self.raft.propose(payload, now)
         if request_id:
-            # This comes before `_take`: a council of one voter commits the entry within that call.
+            # The proposal is stored first: a council of one voter commits the entry within the next call.
             self.proposals[index] = PendingProposal(self.raft.term, client, request_id)
-        self._take(raft_effects, effects, now)
+        self._add_raft_effects(raft_effects, effects, now)
 
     def _confirm_reads(self, effects: VoterEffects, now: float) -> None:
         self._confirm_at = NEVER
@@ -287,13 +288,13 @@
             self.reads[number] = queued
         else:
             self._refuse_reads(queued, effects)
-        self._take(raft_effects, effects, now)
+        self._add_raft_effects(raft_effects, effects, now)
 
     def _refuse_reads(self, reads: list[PendingRead], effects: VoterEffects) -> None:
         for read in reads:
             effects.reply(read.client, NotLeader(read.request.id, self.leader, "the leadership was lost"))
 
-    def _take(self, raft_effects: RaftEffects, effects: VoterEffects, now: float) -> None:
+    def _add_raft_effects(self, raft_effects: RaftEffects, effects: VoterEffects, now: float) -> None:
         """Apply the committed entries, and add the other effects to those of the voter."""
         effects.raft_effects.append(raft_effects)
         effects.messages += raft_effects.messages
@@ -379,7 +380,7 @@
             effects.raft_effects.append(self.raft.compact(self._applied_index, data))
 
     def _update_voters(self, effects: VoterEffects, now: float) -> None:
-        """Make a learner a voter, or remove the voter that a new one of the same name replaces."""
+        """Make a learner that has the log a voter, or remove the voter that a new one replaces."""
         voters = {*self.raft.voters}
         names = [voter.partition("/")[0] for voter in voters]
         duplicate = next((one for one in sorted(voters) if names.count(one.partition("/")[0]) > 1), "")
@@ -397,7 +398,7 @@
 
     def _change_voters(self, voters: set[str], effects: VoterEffects, now: float) -> None:
         _, raft_effects = self.raft.change_voters(tuple(sorted(voters)), now)
-        self._take(raft_effects, effects, now)
+        self._add_raft_effects(raft_effects, effects, now)
 
 
 def founding_snapshot(names: list[str]) -> Snapshot:
--- a/cherrygrade/fleet/leases/lease_client.py
+++ b/cherrygrade/fleet/leases/lease_client.py
@@ -113,15 +113,15 @@
         Returns:
             The tasks whose leases are to be requested now; the others are polled for again soon.
         """
-        acquire, found = [], {*free}
+        acquire, free_tasks = [], {*free}
         for task in polled:
-            if task not in found:
+            if task not in free_tasks:
                 self.times_seen_free.pop(task, None)
                 continue
             times = self.times_seen_free[task] = self.times_seen_free.get(task, 0) + 1
             if times > self.rank(task, living):
                 acquire.append(task)
-        if len(acquire) < len(found):
+        if len(acquire) < len(free_tasks):
             self.poll_at = min(self.poll_at, now + REPEAT_POLL_DELAY_MS)
-            self._unpolled += [task for task in polled if task in found and task not in acquire]
+            self._unpolled += [task for task in polled if task in free_tasks and task not in acquire]
         return acquire
--- a/cherrygrade/fleet/leases/lease_holder.py
+++ b/cherrygrade/fleet/leases/lease_holder.py
@@ -21,7 +21,7 @@
 RENEWALS_PER_DURATION = 3.0
 """Leases are renewed after a third of their duration; without a reply, again after each quarter of that."""
 MAX_OPEN_REQUESTS = 64
-"""Requests whose replies are still accepted; more make the oldest one be forgotten."""
+"""Requests whose replies are awaited; beyond this number the oldest one is forgotten."""
 NEVER = 1e15
 """A time in ms that is never reached."""
 
--- a/tests/fleet/consensus/test_raft.py
+++ b/tests/fleet/consensus/test_raft.py
@@ -1,5 +1,4 @@
-"""Raft: voters must never commit different entries at one index, and must elect a new leader soon
-after a failure.
+"""Raft: voters never commit different entries at one index, and elect a new leader soon after a failure.
 
 Three voters are explored exhaustively within bounds, with planted faults that the exploration must find. Five
 voters run on a simulated network with crashes, partitions and message loss, by seed.
--- a/tests/fleet/leases/test_leases.py
+++ b/tests/fleet/leases/test_leases.py
@@ -1,8 +1,8 @@
-"""Leases of tasks: no two holders may act for one task, through elections, partitions, lost
-replies and restarts.
+"""Leases: no two holders may ever act for one task.
 
-The council's log grants leases and its leader renews them in memory. A lease ends by the clocks of both the
-holder and the leader, and the holder must stop first.
+The tests cover elections, partitions, lost replies and restarts of voters and holders. The council's log
+grants leases and its leader renews them in memory. A lease ends by the clocks of both the holder and the
+leader, and the holder must stop first.
 """
 
 from __future__ import annotations
@@ -312,10 +312,9 @@
 
 
 class LeaseScenario(RuleBasedStateMachine):
-    """Three voters, three holders whose clocks run at different rates and two tasks; random steps
-    in any order.
+    """Three voters, three holders whose clocks run at different rates, and two tasks.
 
-    After each step at most one holder may act for a task, and fencing numbers never decrease.
+    Hypothesis takes random steps in any order. After each step at most one holder may act for a task, and fencing numbers never decrease.
     """
 
     def __init__(self) -> None:
