--- a/tests/fleet/leases/test_leases.py
+++ b/tests/fleet/leases/test_leases.py
@@ -314,7 +314,8 @@
 class LeaseScenario(RuleBasedStateMachine):
     """Three voters, three holders whose clocks run at different rates, and two tasks.
 
-    Hypothesis takes random steps in any order. After each step at most one holder may act for a task, and fencing numbers never decrease.
+    Hypothesis takes random steps in any order. After each step at most one holder may act for a task, and
+    fencing numbers never decrease.
     """
 
     def __init__(self) -> None:
