--- a/tests/fleet/runtime/test_config_processes.py
+++ b/tests/fleet/runtime/test_config_processes.py
@@ -244,12 +244,14 @@
     async def story(fleet: Fleet) -> None:
         assert await fleet.put(limit_text(900)) == 1
         await fleet.wait_for_version(1)
-        fleet.ways.advert_rewriters[4] = lambda told: ConfigAdvert(told.stage + 200, told.mark ^ 1, told.bits)
+        fleet.ways.advert_rewriters[4] = lambda advert: ConfigAdvert(
+            advert.stage + 200, advert.digest_prefix ^ 1, advert.seat_bitmap
+        )
         await asyncio.sleep(3.0)
         assert await fleet.version_numbers() == dict.fromkeys(range(5), 1)
-        fleet.ways.advert_rewriters[4] = lambda told: ConfigAdvert(
-            told.stage + 2, told.mark ^ 1, told.bits
-        )  # of the next one
+        fleet.ways.advert_rewriters[4] = lambda advert: ConfigAdvert(
+            advert.stage + 2, advert.digest_prefix ^ 1, advert.seat_bitmap
+        )  # of the next version
         assert await fleet.put(limit_text(800)) == 2
         await fleet.wait_for_version(2)
         assert {(await fleet.status(at))["trouble"] for at in range(4)} == {""}
