--- a/cherrygrade/fleet/runtime/config_exchange.py
+++ b/cherrygrade/fleet/runtime/config_exchange.py
@@ -1,8 +1,11 @@
-"""The shared configuration at one dispatcher: its connections, timer and steps into force.
+"""The shared configuration at one dispatcher: connections, the timer, and putting versions in force.
 
-The decisions are `config/replica.py`'s (what is believed, fetched, kept and put in force) and
-`config/joint_phase.py`'s (when quotas have moved); here their effects are carried out. What goes into force
-is on disk before it does.
+`config/replica.py` decides which version is believed, fetched, stored and put in force, and
+`config/joint_phase.py` decides when all dispatchers use the new quotas. This module carries out their
+effects. A version is written to disk before it is put in force.
+
+A stage is 2N while version N is being introduced, and 2N+1 once it is settled. A seat is a dispatcher's
+number in the fleet, from 0, by which quotas are divided.
 """
 
 from __future__ import annotations
@@ -35,15 +38,18 @@
 from cherrygrade.settings import CouncilSettings
 from cherrygrade.transport.connection import Connection
 
-InForce = Callable[[ConfigVersion, int], str | Awaitable[str]]
-"""Puts a version in force at a stage. Returns "", or why it is refused and all is as it was. The result is
-awaited where it can be: reading a text takes tens of ms, and RPCs need not wait for it."""
+PutInForce = Callable[[ConfigVersion, int], str | Awaitable[str]]
+"""Puts a version in force at a stage.
+
+Returns "", or the reason why the version is refused; a refused version changes nothing. An awaitable result
+is awaited: parsing a text takes tens of ms, and client requests are served meanwhile.
+"""
 
-UNSURE_INTERVAL_MS = 500.0  # between two looks for members to ask, while the replica is not sure
-MAX_SERVER_CONNECTIONS = 16  # members that fetch here at once
-MAX_REASON_CHARACTERS = 500
-MAX_STATUS_CHARACTERS = 120  # of this dispatcher's trouble, in messages to members
-MIN_TIMER_CHANGE_MS = 1.0
+UNCERTAIN_INTERVAL_MS = 500.0  # between queries of members, while the replica is not certain
+MAX_SERVER_CONNECTIONS = 16  # members that fetch from this dispatcher at the same time
+MAX_REASON_CHARACTERS = 500  # of the reason why a version is refused
+MAX_STATUS_CHARACTERS = 120  # of the configuration's fault in messages to members
+MIN_TIMER_CHANGE_MS = 1.0  # the timer is set anew only for a deadline that is earlier by more than this
 NEVER_MS = 1e15
 
 
@@ -54,18 +60,19 @@
         fleet: The fleet's name.
         membership: This dispatcher's membership.
         council: The council's settings.
-        clock: The time in ms.
-        log: Writes a line with an event and facts.
-        storage: Where the configuration is kept.
-        coverage: What members reported of themselves.
-        replica: The decisions; None before `start`.
-        council_server: None before `council_ready`.
-        fetches: Fetches that have not ended; each ends by itself or by its timeout.
-        server_connections: Members that fetch here; each ends likewise.
-        joint_phase: The quotas' move that this dispatcher, as the council's leader, is to settle.
-        fetched_bytes: Content received, in all.
-        sent_bytes: Content served, in all.
-        since: When the version in force came into force (ms).
+        clock: Returns the time in ms.
+        log: Writes a log line with an event and facts.
+        storage: Stores the configuration on disk.
+        coverage: The last report of each member about its own configuration.
+        replica: Makes the decisions; None before `start`.
+        council_server: The council's part at this dispatcher; None before `council_ready`.
+        fetches: Fetches in progress; each ends with content, with an error or by its timeout.
+        server_connections: Connections of members that fetch from this dispatcher; each ends likewise.
+        joint_phase: The joint phase that this dispatcher is to settle as the council's leader; None where it
+            does not lead, or no joint phase is in progress.
+        fetched_bytes: Bytes of content received, in total.
+        sent_bytes: Bytes of content served, in total.
+        in_force_since_ms: The time at which the version in force was put in force, ms.
     """
 
     def __init__(
@@ -77,23 +84,23 @@
         source: str,
         seed: int,
         clock: Callable[[], float],
-        in_force: InForce,
+        put_in_force: PutInForce,
         post: Callable[[Effects], None],
         log: Callable[..., None],
     ) -> None:
-        """Take the settings and callbacks; `start` loads what is kept.
+        """Take the settings and callbacks; `start` loads the stored configuration.
 
         Args:
             fleet: The fleet's name.
             membership: This dispatcher's membership.
             council: The council's settings.
-            file: Where the configuration is kept; "" for memory alone.
+            file: Path of the file that stores the configuration; "" keeps it in memory only.
             source: The IP address that connections are made from.
-            seed: Of random choices.
+            seed: Seeds all random choices.
             clock: Returns the time in ms.
-            in_force: Puts a version in force.
+            put_in_force: Puts a version in force.
             post: Sends the membership's effects.
-            log: Writes a line with an event and facts.
+            log: Writes a log line with an event and facts.
         """
         self.fleet = fleet
         self.membership = membership
@@ -109,23 +116,23 @@
         self.joint_phase: JointPhase | None = None
         self.fetched_bytes = 0
         self.sent_bytes = 0
-        self.since = 0.0
+        self.in_force_since_ms = 0.0
         self._source = source
         self._seed = seed
-        self._in_force = in_force
+        self._put_in_force_callback = put_in_force
         self._post = post
-        self._has_left = False  # it left on purpose before this start, and is not sure again
-        self._joint_phase_of = (0, 0)  # the term, and the number of the version that began the move
-        self._learned = (-1, False)  # the stage of the voter's log, and whether the voter leads
+        # Whether this dispatcher left the fleet on purpose before this start, and has not been certain of the
+        # fleet's version since.
+        self._has_left = False
+        self._joint_phase_key = (0, 0)  # Raft's term, and the version that began the joint phase
+        self._last_learned = (-1, False)  # the stage in the voter's log, and whether the voter leads
         self._unapplied: deque[ReplicaEffects] = deque()
         self._applying: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at_ms = NEVER_MS
 
-    # Life cycle.
-
     async def start(self) -> None:
-        """Put in force what was kept, before anything is served."""
+        """Put the stored configuration in force; called before any request is served."""
         stored = await self.storage.load()
         membership, own = self.membership, self.membership.table.own
         has_left = self._has_left = self.storage.has_left
@@ -143,28 +150,31 @@
         if stored is not None:
             effects = ReplicaEffects(apply=ApplyVersion(stored.version, stored.stage))
         if has_left and stored is not None:
-            # The quotas may have been divided anew without a dispatcher that left on purpose: it uses what it
-            # kept, and is sure of it only once others confirmed it.
+            # The fleet may have divided the quotas anew after this dispatcher left on purpose. The stored
+            # version is used, but is certain only once other members have confirmed it.
             effects = replica.learn_committed(stored.version, stored.stage, self.clock())
-        while effects.apply is not None:  # where it is refused, the version before it is next
+        while effects.apply is not None:  # a refused version is followed by the one before it
             version, stage = effects.apply
-            why = await self._put_in_force(version, stage)
-            effects = replica.apply_finished(stage, why, self.clock())
+            refusal = await self._put_in_force(version, stage)
+            effects = replica.apply_finished(stage, refusal, self.clock())
         self._apply_effects(effects)
         self._advertise()
 
     def council_ready(self, council_server: CouncilServer) -> None:
-        """Take the council's server, once it has started."""
+        """Use the council's server from now on; called once it has started."""
         self.council_server = council_server
         self.log_advanced()
         self._set_timer()
 
     def leave(self) -> None:
-        """Write down that this dispatcher leaves, before members are told: they settle moves without it."""
+        """Record on disk that this dispatcher leaves the fleet.
+
+        Called before members are notified: once they know, they settle joint phases without this dispatcher.
+        """
         self.storage.record_leaving()
 
     def close(self) -> None:
-        """Cancel the timer, steps and connections."""
+        """Cancel the timer and unfinished effects, and close all connections."""
         if self._timer is not None:
             self._timer.cancel()
         if self._applying is not None:
@@ -175,10 +185,8 @@
             connection.conn.close("dispatcher leaves")
         self.storage.close()
 
-    # Events.
-
     def reports_received(self, reports: list[MemberConfigReport]) -> None:
-        """Learn what members say of their configuration."""
+        """Pass members' reports on their configuration to the replica and the joint phase."""
         replica, now = self.replica, self.clock()
         if replica is None:
             return
@@ -199,7 +207,7 @@
                 and (own.stage, own.digest_prefix) == (advert.stage, advert.digest_prefix)
                 and not advert.seat_bitmap
             ):
-                continue  # it has what this dispatcher has: nothing to learn
+                continue  # the member has the same version as this dispatcher: the report adds nothing
             else:
                 effects = replica.receive_advert(
                     report.name, advert.stage, advert.digest_prefix, now, advert.seat_bitmap
@@ -208,7 +216,7 @@
         self._set_timer()
 
     def log_advanced(self) -> None:
-        """Learn from this dispatcher's voter, whose log may have advanced and is on disk."""
+        """Pass the newest version in the voter's log to the replica; the log is already on disk."""
         voter = self.council_server.voter if self.council_server is not None else None
         replica = self.replica
         if voter is None or replica is None:
@@ -216,10 +224,10 @@
         log = voter.state_machine.versions
         newest = log.newest
         learned = (log.stage, voter.is_ready_leader)
-        if learned != self._learned:
-            if newest is not None and log.stage > self._learned[0]:
+        if learned != self._last_learned:
+            if newest is not None and log.stage > self._last_learned[0]:
                 self.log("configuration agreed", number=newest.number, stage=log.stage, by=newest.author)
-            self._learned = learned
+            self._last_learned = learned
             self._apply_effects(
                 replica.learn_committed(
                     newest, log.stage, self.clock(), leader_confirmed=voter.is_ready_leader
@@ -229,28 +237,32 @@
         self._update_joint_phase(voter)
 
     def _update_joint_phase(self, voter: Voter) -> None:
-        """Begin to settle a move as this dispatcher's voter leads, or drop it as it leads no more."""
+        """Begin a joint phase once this dispatcher's voter leads, and drop it once the voter does not."""
         log = voter.state_machine.versions
-        phase_of = (
+        phase_key = (
             (voter.raft.term, log.moving_number) if voter.raft.is_leader and log.moving_number else (0, 0)
         )
-        if phase_of == self._joint_phase_of:
+        if phase_key == self._joint_phase_key:
             return
-        self._joint_phase_of = phase_of
+        self._joint_phase_key = phase_key
         self.joint_phase = None
         newest = log.newest
         if (
-            phase_of[1]
+            phase_key[1]
             and log.divisors is not None
             and newest is not None
             and newest.old_divisors is not None
         ):
             count = seat_count(log.divisors, newest.old_divisors)
-            self.joint_phase = JointPhase(2 * phase_of[1], count, self._seed, self.clock())
+            self.joint_phase = JointPhase(2 * phase_key[1], count, self._seed, self.clock())
         self._set_timer()
 
     def accept(self, conn: Connection) -> ConfigServer | None:
-        """Take the connection of a member that fetches; None where there are too many."""
+        """Serve the connection of a member that fetches.
+
+        Returns:
+            None before `start`, and where MAX_SERVER_CONNECTIONS are open.
+        """
         if self.replica is None or len(self.server_connections) >= MAX_SERVER_CONNECTIONS:
             return None
         connection = ConfigServer(self, conn)
@@ -258,19 +270,19 @@
         return connection
 
     def fetch_succeeded(self, member: str, response: FetchResponse, length: int) -> None:
-        """Take what a member served, `length` bytes on the wire."""
+        """Pass the content that a member served to the replica; it took `length` bytes on the wire."""
         self.fetched_bytes += length
         if self.replica is not None:
             self._apply_effects(self.replica.fetch_finished(member, response, self.clock()))
             self._set_timer()
 
-    def fetch_failed(self, member: str, why: str) -> None:
-        """Learn that a fetch ended without content."""
+    def fetch_failed(self, member: str, reason: str) -> None:
+        """Tell the replica that a fetch ended without content."""
         if self.replica is not None:
-            self._apply_effects(self.replica.fetch_failed(member, why, self.clock()))
+            self._apply_effects(self.replica.fetch_failed(member, reason, self.clock()))
             self._set_timer()
 
-    def _timer_due(self) -> None:
+    def _timer_fired(self) -> None:
         self._timer = None
         self._timer_at_ms = NEVER_MS
         replica, now = self.replica, self.clock()
@@ -280,7 +292,7 @@
             self._apply_effects(replica.tick(reachable_members(self.membership.table), now))
         if self.joint_phase is not None and now >= self.joint_phase.next_deadline():
             for name, nonce in self.joint_phase.tick(seated_members(self.membership.table), now):
-                if name == self.membership.name:  # no message is needed to ask this dispatcher itself
+                if name == self.membership.name:  # this dispatcher's own answer needs no message
                     self.joint_phase.receive_answer(name, self.membership.incarnation, replica.stage, nonce)
                 else:
                     self._post(self.membership.query_config(name, nonce))
@@ -294,49 +306,51 @@
         if not phase.is_complete(seated_members(self.membership.table)):
             return
         self.joint_phase = None
-        number = self._joint_phase_of[1]
+        number = self._joint_phase_key[1]
         self.log("configuration settled", number=number)
         self.council_server.settle(number)
 
     def _set_timer(self) -> None:
         if self.replica is None or self.council_server is None:
             return
-        due = self.replica.next_deadline()
+        deadline_ms = self.replica.next_deadline()
         if not self.replica.is_certain:
-            # At the start no member is known yet, and those that join may have nothing to tell.
-            due = min(due, self.clock() + UNSURE_INTERVAL_MS)
+            # At the start no member is known yet, and members that join later may send no report.
+            deadline_ms = min(deadline_ms, self.clock() + UNCERTAIN_INTERVAL_MS)
         if self.joint_phase is not None:
-            due = min(due, self.joint_phase.next_deadline())
-        if due < self._timer_at_ms - MIN_TIMER_CHANGE_MS and due < NEVER_MS / 2.0:
+            deadline_ms = min(deadline_ms, self.joint_phase.next_deadline())
+        if deadline_ms < self._timer_at_ms - MIN_TIMER_CHANGE_MS and deadline_ms < NEVER_MS / 2.0:
             if self._timer is not None:
                 self._timer.cancel()
-            self._timer_at_ms = due
-            at_s = max(due, self.clock() + 1.0) / 1000.0
-            self._timer = asyncio.get_running_loop().call_at(at_s, self._timer_due)
-
-    # Effects.
+            self._timer_at_ms = deadline_ms
+            at_s = max(deadline_ms, self.clock() + 1.0) / 1000.0
+            self._timer = asyncio.get_running_loop().call_at(at_s, self._timer_fired)
 
     def _apply_effects(self, effects: ReplicaEffects) -> None:
-        """Carry out effects: those that wait for disk or force one after the other, others at once."""
+        """Carry out effects.
+
+        Effects that write to disk or put a version in force are carried out one after the other, and later
+        effects wait for them. Without such effects in progress, effects are carried out at once.
+        """
         if self._unapplied or effects.store is not None or effects.apply is not None:
             self._unapplied.append(effects)
             if self._applying is None:
-                self._applying = asyncio.get_running_loop().create_task(self._apply_in_turn())
+                self._applying = asyncio.get_running_loop().create_task(self._apply_in_order())
         else:
-            self._advertise()  # the replica may have become sure, or learned who else has the version
+            self._advertise()  # the replica may have become certain, or know of more seats with the version
             self._send_effects(effects)
 
-    async def _apply_in_turn(self) -> None:
-        """Carry out one after the other: on disk, then in force, then told to members."""
+    async def _apply_in_order(self) -> None:
+        """Carry out effects one after the other: write to disk, put in force, then send to members."""
         try:
             while self._unapplied:
                 effects = self._unapplied[0]
-                why = await self.storage.save(effects.store) if effects.store is not None else ""
+                refusal = await self.storage.save(effects.store) if effects.store is not None else ""
                 following = None
                 if effects.apply is not None and self.replica is not None:
                     version, stage = effects.apply
-                    why = why or await self._put_in_force(version, stage)
-                    following = self.replica.apply_finished(stage, why, self.clock())
+                    refusal = refusal or await self._put_in_force(version, stage)
+                    following = self.replica.apply_finished(stage, refusal, self.clock())
                 self._unapplied.popleft()
                 self._advertise()
                 self._send_effects(effects)
@@ -347,23 +361,27 @@
             self._set_timer()
 
     async def _put_in_force(self, version: ConfigVersion, stage: int) -> str:
-        """Put a version in force; return why it is refused, or ""."""
+        """Put a version in force.
+
+        Returns:
+            The reason why the version is refused; "" where it is in force.
+        """
         try:
-            result = self._in_force(version, stage)
-            why = result if isinstance(result, str) else await result
-        except Exception as error:  # a text that breaks its reader is refused like any other
-            why = f"reading it failed: {type(error).__name__}: {error}"[:MAX_REASON_CHARACTERS]
-        if not why:
-            self.since = self.clock()
-        if self.replica is not None:  # the version may have changed the fleet of record
+            result = self._put_in_force_callback(version, stage)
+            refusal = result if isinstance(result, str) else await result
+        except Exception as error:  # a text that makes the parser fail is refused like any other wrong text
+            refusal = f"reading the text failed: {type(error).__name__}: {error}"[:MAX_REASON_CHARACTERS]
+        if not refusal:
+            self.in_force_since_ms = self.clock()
+        if self.replica is not None:  # the version may have changed the configured fleet size
             self.replica.seats.count = max(self.membership.fleet_size, self.membership.table.own.seat + 1)
         facts = {"number": version.number, "stage": stage, "digest": version.digest.hex()[:16]}
-        if why:
-            means = "This dispatcher stays on what it has."
-            self.log("configuration refused", what=why, means=means, by=version.author, **facts)
+        if refusal:
+            means = "This dispatcher stays on the configuration that it has in force."
+            self.log("configuration refused", what=refusal, means=means, by=version.author, **facts)
         else:
-            self.log("configuration in force", by=version.author, since=self.since, **facts)
-        return why
+            self.log("configuration in force", by=version.author, since=self.in_force_since_ms, **facts)
+        return refusal
 
     def _send_effects(self, effects: ReplicaEffects) -> None:
         for name, nonce in effects.questions:
@@ -381,7 +399,7 @@
         fetch.task = asyncio.get_running_loop().create_task(fetch.connect(to, self._source))
 
     def _advertise(self) -> None:
-        """Put this dispatcher's stage and trouble into the messages to members."""
+        """Put this dispatcher's stage, and what is wrong with its configuration, into messages to members."""
         replica = self.replica
         if replica is None:
             return
@@ -392,14 +410,12 @@
             self._has_left = False
             self.storage.forget_leaving()
 
-    # For operators.
-
     def status(self) -> dict[str, Any]:
-        """Return what `cherrygrade fleet status` shows, as this dispatcher knows it."""
+        """Return the configuration's part of `cherrygrade fleet status`, as this dispatcher knows it."""
         return config_status(self)
 
     async def missing(self, number: int) -> list[MissingMember]:
-        """Return who of the fleet of record is not known to have a version or a later one in force."""
+        """Return the members that are not known to have version `number` or a later one in force."""
         if self.replica is None:
             return []
         return await self.coverage.missing(number, self.replica)
--- a/cherrygrade/fleet/runtime/config_judge.py
+++ b/cherrygrade/fleet/runtime/config_judge.py
@@ -1,4 +1,4 @@
-"""Judges the text of a proposed configuration before the council's log takes it."""
+"""Judges the text of a proposed configuration before it is appended to the council's log."""
 
 from __future__ import annotations
 
@@ -8,32 +8,39 @@
 from cherrygrade.fleet.config.versions import QuotaDivisors
 from cherrygrade.fleet.consensus.voter_effects import ConfigVerdict
 
-MAX_REASON_CHARACTERS = 500
+MAX_REASON_CHARACTERS = 500  # of the reason why a text is refused
 
 Judge = Callable[[str, str], tuple[str, QuotaDivisors | None, QuotaDivisors | None]]
-"""Given the texts before and after a change: why it is refused, or "" and the quota divisors of the settings
-after and before it. It blocks and runs in a thread: it may touch nothing of the dispatcher's."""
+"""Judges a change, given the texts before and after it.
+
+Returns the reason why the change is refused, or "" with the quota divisors of the settings after and before
+the change. A judge blocks and is called in a thread: it must not touch the dispatcher's state.
+"""
 
 
 def judge_text(judge: Judge | None, before: str, text: str) -> ConfigVerdict:
     """Judge the change from one configuration text to another.
 
-    Reading a text takes long: run this in a thread, so that RPCs need not wait.
+    Parsing a text takes long: call this in a thread, so that client requests are served meanwhile.
 
     Args:
-        judge: What reads the texts; None where this dispatcher takes no configuration, and refuses all.
-        before: The text of the newest version, "" where there is none.
+        judge: Parses and compares the texts; None where this dispatcher takes no shared configuration, in
+            which case all texts are refused.
+        before: The text of the newest version; "" where there is none.
         text: The proposed text.
+
+    Returns:
+        The refusal, or the quota divisors and, where it is shorter than the text, their difference.
     """
     if judge is None:
-        return ConfigVerdict("this dispatcher takes no configuration")
+        return ConfigVerdict("this dispatcher takes no shared configuration")
     try:
-        why, parts, old = judge(before, text)
-    except Exception as error:  # a text that breaks the reader is refused; the voter must go on
-        reason = f"reading it failed: {type(error).__name__}: {error}"
+        refusal, divisors, old_divisors = judge(before, text)
+    except Exception as error:  # a text that makes the parser fail is refused; the voter must not stop
+        reason = f"reading the text failed: {type(error).__name__}: {error}"
         return ConfigVerdict(reason[:MAX_REASON_CHARACTERS])
-    if why or parts is None:
-        return ConfigVerdict(why or "no site comes of it")
+    if refusal or divisors is None:
+        return ConfigVerdict(refusal or "the text gives no complete settings")
     hunks = difference(before, text)
     hunks_are_shorter = sum(len(line) for hunk in hunks for line in hunk.lines) < len(text)
-    return ConfigVerdict("", parts, old, hunks if hunks_are_shorter and before else None)
+    return ConfigVerdict("", divisors, old_divisors, hunks if hunks_are_shorter and before else None)
--- a/cherrygrade/fleet/runtime/config_members.py
+++ b/cherrygrade/fleet/runtime/config_members.py
@@ -1,4 +1,4 @@
-"""The membership, as the decisions on the configuration take it."""
+"""Converts the membership table to the types that `config/` decides by."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def reachable_members(table: MembershipTable) -> list[ReachableMember]:
-    """Return the other living members whose address is known."""
+    """Return the living members other than this dispatcher whose address is known."""
     return [
         ReachableMember(member.name, member.info.zone, member.seat)
         for member in table.others()
@@ -17,7 +17,7 @@
 
 
 def seated_members(table: MembershipTable) -> list[SeatedMember]:
-    """Return all members, dead ones among them, whose seat is known."""
+    """Return all members whose seat is known, including failed and departed ones."""
     return [
         SeatedMember(
             member.seat,
--- a/cherrygrade/fleet/runtime/config_status.py
+++ b/cherrygrade/fleet/runtime/config_status.py
@@ -9,17 +9,17 @@
 
 
 class ConfigCounters(Protocol):
-    """The configuration exchange, as its status needs it; see `ConfigExchange`."""
+    """The part of `ConfigExchange` that the status reads; the attributes are documented there."""
 
     replica: ConfigReplica | None
     storage: ConfigStorage
-    since: float
+    in_force_since_ms: float
     fetched_bytes: int
     sent_bytes: int
 
 
 def config_status(exchange: ConfigCounters) -> dict[str, Any]:
-    """Return the configuration as one dispatcher knows it, in JSON's terms; empty before its start."""
+    """Return the configuration as one dispatcher knows it, as JSON values; empty before the start."""
     replica = exchange.replica
     if replica is None:
         return {}
@@ -30,7 +30,7 @@
         "digest": version.digest.hex() if version is not None else "",
         "by": version.author if version is not None else "",
         "settled": bool(replica.stage % 2),
-        "since": exchange.since,
+        "since": exchange.in_force_since_ms,
         "sure": replica.is_certain,
         "trouble": replica.status(),
         "kept": exchange.storage.location,
--- a/cherrygrade/fleet/runtime/council_server.py
+++ b/cherrygrade/fleet/runtime/council_server.py
@@ -138,8 +138,8 @@
             self._stop_voting(error)
             return
         self.store = opened.store
-        if opened.why_put_aside:
-            self._log("council store put aside", why=opened.why_put_aside)
+        if opened.quarantine_reason:
+            self._log("council store put aside", why=opened.quarantine_reason)
         self._start_voting(opened.store, opened.state)
 
     def _start_voting(self, store: VoterStore, stored: PersistentState) -> None:
--- a/cherrygrade/fleet/runtime/fleet_agent.py
+++ b/cherrygrade/fleet/runtime/fleet_agent.py
@@ -36,7 +36,7 @@
 
 if TYPE_CHECKING:
     from cherrygrade.fleet.runtime.admin_server import AdminServer
-    from cherrygrade.fleet.runtime.config_exchange import ConfigExchange, InForce
+    from cherrygrade.fleet.runtime.config_exchange import ConfigExchange, PutInForce
     from cherrygrade.fleet.runtime.config_judge import Judge
     from cherrygrade.fleet.runtime.council_server import CouncilServer
     from cherrygrade.fleet.runtime.lease_tasks import LeaseTaskRunner
@@ -91,7 +91,7 @@
         clock: Callable[[], float],
         on_scheduler_message: Callable[[int, bytes], None],
         log: Callable[..., None],
-        in_force: InForce | None = None,
+        in_force: PutInForce | None = None,
         judge: Judge | None = None,
     ) -> None:
         """Take the settings and callbacks; `start` opens the sockets.
@@ -172,7 +172,7 @@
     # The modules of the council and the configuration are imported only where the settings name a council:
     # a dispatcher without one does not pay for them.
 
-    async def _start_config(self, council: CouncilSettings, host: str, in_force: InForce) -> None:
+    async def _start_config(self, council: CouncilSettings, host: str, in_force: PutInForce) -> None:
         from cherrygrade.fleet.runtime.config_exchange import ConfigExchange
 
         self.config = ConfigExchange(
--- a/cherrygrade/fleet/runtime/sealed_file.py
+++ b/cherrygrade/fleet/runtime/sealed_file.py
@@ -1,9 +1,9 @@
-"""The file in which a dispatcher keeps its configuration across restarts.
+"""The file that stores a dispatcher's configuration across restarts.
 
-A new version is written to a second file and synced, renamed over the one before, and the folder is synced:
-at whatever point the machine stops, the file under the name is the old version or the new one. The file
-starts with a format tag and a SHA-256 digest (FIPS 180-4) over the tag and the body. A file that does not
-match its digest is put aside for people to look at and never read again.
+A new version is written to a second file and synced, renamed over the one before, and the folder is synced.
+At whatever point the machine stops, the file under the name is the complete old version or the complete new
+one. The file starts with a format tag and a SHA-256 digest (FIPS 180-4) over the tag and the body. A file
+that does not match its digest is quarantined: it is renamed for operators to inspect, and never read again.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 FORMAT_TAG = b"cgK1"
 DIGEST_BYTES = hashlib.sha256().digest_size
 MAX_FILE_BYTES = 4 * 1024 * 1024  # a longer file was not written by this program
-MAX_FILES_ASIDE = 10**6
+MAX_QUARANTINED_FILES = 10**6
 
 
 class SealedFileError(Exception):
-    """The file's content can't be trusted; the message says why.
+    """The file's content is not what was saved; the message says what is wrong with it.
 
-    The caller puts the file aside and goes on as if there were none.
+    The caller quarantines the file and continues as if there were none.
     """
 
 
@@ -38,35 +38,37 @@
     """
     header_bytes = len(FORMAT_TAG) + DIGEST_BYTES
     if len(data) < header_bytes:
-        raise SealedFileError(f"cut short at {len(data)} bytes")
+        raise SealedFileError(f"file truncated: {len(data)} bytes, expected at least {header_bytes}")
     if data[: len(FORMAT_TAG)] != FORMAT_TAG:
-        raise SealedFileError("of another form")
+        raise SealedFileError(f"expected format tag {FORMAT_TAG!r}, got {data[: len(FORMAT_TAG)]!r}")
     body = data[header_bytes:]
     if data[len(FORMAT_TAG) : header_bytes] != hashlib.sha256(FORMAT_TAG + body).digest():
-        raise SealedFileError("its seal does not fit what it holds")
+        raise SealedFileError("the SHA-256 digest in the file does not match the content")
     return body
 
 
 class SealedFile:
-    """One dispatcher's file, and beside it the marker that the dispatcher left the fleet on purpose.
+    """One dispatcher's configuration file, and the leave marker beside it.
 
-    All methods block on the disk: call them in a thread.
+    The leave marker is an empty file that exists while the dispatcher has left the fleet on purpose. All
+    methods block on the disk: call them in a thread.
 
     Attributes:
-        path: The file; `.new`, `.left` and `.aside-N` are appended for the files beside it.
+        path: The file. Appended to its name are `.new` for the version that is being written, `.left` for the
+            leave marker, and `.aside-N` for quarantined files.
     """
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self._new_path = path.with_name(path.name + ".new")
-        self._left_marker = path.with_name(path.name + ".left")
+        self._leave_marker = path.with_name(path.name + ".left")
 
     def load(self) -> bytes:
         """Return the body that was saved last, or b"" where there is no file.
 
         Raises:
-            SealedFileError: There is a file, and it can't be trusted.
-            OSError: The disk could not be read.
+            SealedFileError: There is a file, and its content is not what was saved.
+            OSError: The file could not be read.
         """
         try:
             with self.path.open("rb") as file:
@@ -74,14 +76,14 @@
         except FileNotFoundError:
             return b""
         if len(data) > MAX_FILE_BYTES:
-            raise SealedFileError(f"longer than {MAX_FILE_BYTES} bytes")
+            raise SealedFileError(f"file too long: expected at most {MAX_FILE_BYTES} bytes")
         return unseal(data)
 
     def save(self, body: bytes) -> None:
         """Replace the file's body; it is on disk when this returns.
 
         Raises:
-            OSError: The disk could not be written; the file is as it was.
+            OSError: The file could not be written; it has its former content.
         """
         self.path.parent.mkdir(parents=True, exist_ok=True)
         with self._new_path.open("wb") as file:
@@ -93,20 +95,20 @@
 
     @property
     def has_leave_marker(self) -> bool:
-        """Whether the dispatcher left on purpose and has not been sure of its configuration since."""
-        return self._left_marker.exists()
+        """Whether the leave marker exists."""
+        return self._leave_marker.exists()
 
     def set_leave_marker(self, present: bool = True) -> None:
-        """Write or remove the marker that the dispatcher left; it is on disk when this returns.
+        """Write or remove the leave marker; the change is on disk when this returns.
 
         Raises:
-            OSError: The disk could not be written.
+            OSError: The marker could not be written or removed.
         """
         if present:
             self.path.parent.mkdir(parents=True, exist_ok=True)
-            self._left_marker.touch()
+            self._leave_marker.touch()
         else:
-            self._left_marker.unlink(missing_ok=True)
+            self._leave_marker.unlink(missing_ok=True)
         self._sync_folder()
 
     def _sync_folder(self) -> None:
@@ -117,14 +119,20 @@
             os.close(folder)
 
     def remove(self) -> None:
-        """Delete the file: what it holds is outdated and must not come back after a restart."""
+        """Delete the file, so that its outdated content does not come into force after a restart."""
         self.path.unlink(missing_ok=True)
 
     def quarantine(self) -> Path | None:
-        """Rename the file for people to look at; return its new path, or None where there is no file."""
+        """Rename the file, so that it is not read again and operators can inspect it.
+
+        Returns:
+            The new path, `NAME.aside-N`; None where there is no file.
+        """
         if not self.path.exists():
             return None
-        numbered = (self.path.with_name(f"{self.path.name}.aside-{turn}") for turn in range(MAX_FILES_ASIDE))
-        aside = next(path for path in numbered if not path.exists())
-        self.path.rename(aside)
-        return aside
+        candidates = (
+            self.path.with_name(f"{self.path.name}.aside-{index}") for index in range(MAX_QUARANTINED_FILES)
+        )
+        quarantined = next(path for path in candidates if not path.exists())
+        self.path.rename(quarantined)
+        return quarantined
--- a/cherrygrade/fleet/runtime/voter_store.py
+++ b/cherrygrade/fleet/runtime/voter_store.py
@@ -2,13 +2,13 @@
 
 The store is an LMDB environment of one file, synced with each transaction: what was written before a crash is
 complete after it. Each record carries a checksum (xxh3) over its key and its bytes. A record that is damaged,
-stands under another key or belongs to another voter condemns the whole store: it is put aside under another
-name and never read again, and its voter starts with a new store identity, whose vote nobody counts until the
-council has admitted it.
+is stored under another key or belongs to another voter makes the complete store untrusted. The store is then
+quarantined: it is renamed and never read again. Its voter starts with a new store identity, whose vote is not
+counted until the council has admitted it.
 
-Run as a program (`python -m cherrygrade.fleet.runtime.voter_store FOLDER FLEET NAME`) it reads a store and
-exits with 1 where it can't be trusted: damaged page headers make LMDB read unmapped memory, which ends the
-process that reads, so a voter lets another process read first.
+Run as a program (`python -m cherrygrade.fleet.runtime.voter_store FOLDER FLEET NAME`), this module reads a
+store and exits with 1 where the store is untrusted. Damaged page headers make LMDB read unmapped memory,
+which kills the reading process, so a voter lets another process read the store first.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 STORE_FILE = "council.mdb"
 LOCK_FILE = "council.mdb-lock"
 MAX_STORE_BYTES = 256 * 1024 * 1024  # the file grows as it is used
-MAX_STORES_ASIDE = 10**6
-CHECK_TIMEOUT_S = 20.0
-FORMAT_VERSION = 1  # of the records; a store with another one is not read
+MAX_QUARANTINED_STORES = 10**6
+CHECK_TIMEOUT_S = 20.0  # for the process that reads the store first
+FORMAT_VERSION = 1  # of the records; a store of another format version is refused
 FOUNDING_STORE_ID = "0"
 MAX_LOG_INDEX = 2**63
 
@@ -47,9 +47,15 @@
 
 
 class StoreOwner(msgspec.Struct, array_like=True, frozen=True):
-    """The record that says whose store this is.
+    """The record that names the voter that the store belongs to.
 
     A voter's identity in the council is its name and its store's identity (`store_id`).
+
+    Attributes:
+        format_version: FORMAT_VERSION at the time the store was created.
+        fleet: The fleet's name.
+        name: The voter's name.
+        store_id: The store's identity.
     """
 
     format_version: int
@@ -59,16 +65,21 @@
 
 
 class HardState(msgspec.Struct, array_like=True, frozen=True):
-    """Raft's current term, and the voter that this one voted for in it ("" for none)."""
+    """Raft's hard state.
+
+    Attributes:
+        term: The current term.
+        vote: The voter that this one voted for in the term; "" for none.
+    """
 
     term: int
     vote: str
 
 
 class VoterStoreError(Exception):
-    """The store can't be trusted; the message says why.
+    """The store is untrusted; the message says what is wrong with it.
 
-    `open_store` puts such a store aside and starts with an empty one.
+    `open_store` quarantines such a store and starts with an empty one.
     """
 
 
@@ -86,50 +97,50 @@
     """Return the body of the record stored under `key`.
 
     Raises:
-        VoterStoreError: The record is not what `add_checksum` returned for this key.
+        VoterStoreError: The record is not one that `add_checksum` returned for this key.
     """
     body = record[CHECKSUM.size :]
     if len(record) < CHECKSUM.size or CHECKSUM.unpack_from(record)[0] != xxhash.xxh3_64_intdigest(
         key + b"\0" + body
     ):
-        raise VoterStoreError(f"record {key!r} is torn")
+        raise VoterStoreError(f"record {key!r} does not match its checksum")
     return body
 
 
 class VoterStore:
-    """One voter's store, open.
+    """One voter's open store.
 
     All methods block on the disk: call them in a thread. They raise OSError or lmdb.Error where the disk
-    can't be written: then nothing of that write is on disk, and no message that depends on it may be sent.
+    can't be written. Nothing of that write is then on disk, and no message that depends on it may be sent.
 
     Attributes:
-        folder: Where the store's file is.
-        owner: Whose store it is, as the store itself says.
+        folder: The folder of the store's file.
+        owner: The owner record that the store holds.
     """
 
     def __init__(self, folder: Path, fleet: str, name: str, store_id: str) -> None:
-        """Open the store in `folder`, or make an empty one there.
+        """Open the store in `folder`, or create an empty one there.
 
         Args:
-            folder: Made where it does not exist.
+            folder: The store's folder; it is created where it does not exist.
             fleet: The fleet's name; a store of another fleet is refused.
             name: The voter's name; a store of another voter is refused.
-            store_id: The identity of a store that is made now; an existing one keeps its own.
+            store_id: The identity of a store that is created now; an existing store keeps its own.
 
         Raises:
-            VoterStoreError: There is a store, and it can't be trusted.
+            VoterStoreError: There is a store, and it is untrusted.
         """
         folder.mkdir(parents=True, exist_ok=True)
         self.folder = folder
         file = folder / STORE_FILE
         if file.exists() and 0 < file.stat().st_size < 2 * os.sysconf("SC_PAGE_SIZE"):
-            raise VoterStoreError("the file was cut short")
+            raise VoterStoreError("the store's file is truncated")
         try:
             self._env = lmdb.open(
                 str(file), subdir=False, map_size=MAX_STORE_BYTES, max_dbs=0, metasync=True, sync=True
             )
         except lmdb.Error as error:
-            raise VoterStoreError(f"no store: {error}") from error
+            raise VoterStoreError(f"LMDB can't open the store: {error}") from error
         try:
             self._check_length()
             self.owner = self._read_or_write_owner(StoreOwner(FORMAT_VERSION, fleet, name, store_id))
@@ -138,23 +149,29 @@
             raise VoterStoreError(str(error)) from error
 
     def _check_length(self) -> None:
-        """Refuse a file that was cut short: reading a mapped page that is not there ends the process."""
+        """Refuse a truncated file: reading a mapped page beyond the file's end kills the process.
+
+        Raises:
+            VoterStoreError: The file is shorter than its last page requires.
+        """
         expected_bytes = (self._env.info()["last_pgno"] + 1) * self._env.stat()["psize"]
         if (self.folder / STORE_FILE).stat().st_size < expected_bytes:
-            raise VoterStoreError("the file was cut short")
+            raise VoterStoreError("the store's file is truncated")
 
     def _read_or_write_owner(self, owner: StoreOwner) -> StoreOwner:
         with self._env.begin(write=True) as txn:
             record = txn.get(OWNER_KEY)
             if record is None:
                 if txn.stat()["entries"]:
-                    raise VoterStoreError("records of nobody")
+                    raise VoterStoreError("the store has records but no owner record")
                 txn.put(OWNER_KEY, add_checksum(OWNER_KEY, msgspec.msgpack.encode(owner)))
                 return owner
             stored = msgspec.msgpack.decode(verify_checksum(OWNER_KEY, record), type=StoreOwner)
         expected = (owner.format_version, owner.fleet, owner.name)
         if (stored.format_version, stored.fleet, stored.name) != expected:
-            raise VoterStoreError(f"of {stored.name} of fleet {stored.fleet}, form {stored.format_version}")
+            raise VoterStoreError(
+                f"store of {stored.name} of fleet {stored.fleet}, format version {stored.format_version}"
+            )
         return stored
 
     @property
@@ -163,10 +180,11 @@
         return f"{self.owner.name}/{self.owner.store_id}"
 
     def load(self) -> PersistentState:
-        """Return all that the store holds.
+        """Return the complete state that the store holds.
 
         Raises:
-            VoterStoreError: A record is damaged or missing, or the terms do not ascend.
+            VoterStoreError: A record is damaged or missing, or the entries' terms decrease or are above the
+                current term.
         """
         try:
             with self._env.begin() as txn:
@@ -183,7 +201,7 @@
             raise VoterStoreError(str(error)) from error
         terms = [snapshot.term, *(entry.term for entry in entries)]
         if terms != sorted(terms) or terms[-1] > hard_state.term:
-            raise VoterStoreError("terms that no voter writes")
+            raise VoterStoreError(f"terms decrease, or are above the current term {hard_state.term}")
         return PersistentState(hard_state.term, hard_state.vote, snapshot, entries)
 
     def _load_entries(self, txn: lmdb.Transaction, first_index: int) -> list[LogEntry]:
@@ -195,15 +213,15 @@
             if not (key.startswith(ENTRY_KEY_PREFIX) and len(key) == len(entry_key(0))):
                 break
             if key != entry_key(first_index + len(entries)):
-                raise VoterStoreError(f"a gap in the log before {key!r}")
+                raise VoterStoreError(f"gap in the log before {key!r}")
             entries.append(msgspec.msgpack.decode(verify_checksum(key, record), type=LogEntry))
         return entries
 
     def write(self, effects: RaftEffects, last_index: int) -> None:
-        """Write all that one step of Raft changed, in one transaction; it is on disk when this returns.
+        """Write the changes of one step of Raft in one transaction; they are on disk when this returns.
 
         Args:
-            effects: What the step changed; nothing is written where it changed nothing.
+            effects: The changes of the step; nothing is written where there are none.
             last_index: The index of the log's last entry after the step.
         """
         if not effects.has_writes:
@@ -230,77 +248,83 @@
             cursor.delete()
 
     def close(self) -> None:
-        """Close the store; it can't be used after that."""
+        """Close the store; no other method may be called afterwards."""
         self._env.close()
 
 
 def quarantine(folder: Path) -> Path | None:
-    """Rename the store in `folder` for people to look at; return its new path (None: there is none)."""
+    """Rename the store in `folder`, so that it is not read again and operators can inspect it.
+
+    Returns:
+        The new path, `aside-N.mdb`; None where there is no store.
+    """
     file = folder / STORE_FILE
     if not file.exists():
         return None
-    numbered = (folder / f"aside-{turn}.mdb" for turn in range(MAX_STORES_ASIDE))
-    aside = next(path for path in numbered if not path.exists())
-    file.rename(aside)
+    candidates = (folder / f"aside-{index}.mdb" for index in range(MAX_QUARANTINED_STORES))
+    quarantined = next(path for path in candidates if not path.exists())
+    file.rename(quarantined)
     (folder / LOCK_FILE).unlink(missing_ok=True)
-    return aside
+    return quarantined
 
 
 class OpenedStore(NamedTuple):
-    """What `open_store` found.
+    """The result of `open_store`.
 
     Attributes:
-        store: The store, open.
-        state: What it holds.
-        why_put_aside: Why an old store was put aside; "" where none was.
+        store: The open store.
+        state: The state that the store holds.
+        quarantine_reason: The reason why an old store was quarantined; "" where none was.
     """
 
     store: VoterStore
     state: PersistentState
-    why_put_aside: str
+    quarantine_reason: str
 
 
-def open_store(folder: Path, fleet: str, name: str, birth: int) -> OpenedStore:
-    """Open a voter's store; one that can't be trusted is put aside and replaced by an empty one.
+def open_store(folder: Path, fleet: str, name: str, incarnation: int) -> OpenedStore:
+    """Open a voter's store; an untrusted store is quarantined and replaced by an empty one.
 
     Args:
-        folder: Where the store is, or is to be made.
+        folder: The folder of the store; it is created where it does not exist.
         fleet: The fleet's name.
         name: The voter's name.
-        birth: When this dispatcher started (Unix ms); the identity of a new store is derived from it.
+        incarnation: The time at which this dispatcher started, Unix ms; the identity of a new store is
+            derived from it.
 
     Raises:
-        VoterStoreError: The store can't be trusted, though the process that checked it could read it.
-        OSError: The disk could not be read or written; lmdb.Error likewise.
+        VoterStoreError: The store is untrusted, although the process that checked it could read it.
+        OSError: The disk could not be read or written.
+        lmdb.Error: Likewise.
     """
-    why = check_store(folder, fleet, name)
-    if why:
+    reason = check_store(folder, fleet, name)
+    if reason:
         quarantine(folder)
-    store = VoterStore(folder, fleet, name, f"{crc32(f'{fleet}:{name}:{birth}'.encode()):08x}")
-    return OpenedStore(store, store.load(), why)
+    store = VoterStore(folder, fleet, name, f"{crc32(f'{fleet}:{name}:{incarnation}'.encode()):08x}")
+    return OpenedStore(store, store.load(), reason)
 
 
 def create_founding_store(folder: Path, fleet: str, name: str, voters: list[str]) -> None:
-    """Make the store of one of a new council's first voters; its log begins with all of them.
+    """Create the store of one of a new council's first voters; its first snapshot names all of them.
 
     Raises:
         NotAVoterError: `name` is not among `voters`.
-        VoterStoreExistsError: There is a store in `folder`.
+        VoterStoreExistsError: There is a store in `folder` already.
     """
     if name not in voters:
-        raise NotAVoterError(f"{name} is not among the council's voters")
+        raise NotAVoterError(f"{name} is not one of the council's voters {', '.join(voters)}")
     if (folder / STORE_FILE).exists():
-        raise VoterStoreExistsError(f"{folder} holds a voter's store")
+        raise VoterStoreExistsError(f"{folder} already holds a voter's store")
     store = VoterStore(folder, fleet, name, FOUNDING_STORE_ID)
     store.write(RaftEffects(snapshot=founding_snapshot(voters)), 0)
     store.close()
 
 
 def check_store(folder: Path, fleet: str, name: str) -> str:
-    """Let another process read the store in `folder`, since a damaged one may end the process that reads.
+    """Let another process read the store in `folder`, since a damaged store may kill its reader.
 
     Returns:
-        Why the store can't be trusted; "" where it can, or there is none.
+        The reason why the store is untrusted; "" where it is sound, or there is none.
     """
     if not (folder / STORE_FILE).exists():
         return ""
@@ -308,14 +332,18 @@
     try:
         result = subprocess.run(command, capture_output=True, text=True, timeout=CHECK_TIMEOUT_S)
     except subprocess.TimeoutExpired:
-        return "it is read without end"
+        return f"reading the store did not end within {CHECK_TIMEOUT_S:g} s"
     if result.returncode == 0:
         return ""
-    return result.stdout.strip() or f"reading it ends a process: {result.returncode}"
+    return result.stdout.strip() or f"reading the store killed the process, exit code {result.returncode}"
 
 
 def main() -> int:
-    """Read the store that the arguments name; print why it can't be trusted, and return 1 then, else 0."""
+    """Read the store that the command line names (FOLDER FLEET NAME).
+
+    Returns:
+        The exit code: 0 where the store is sound; 1 where it is untrusted, with the reason printed.
+    """
     folder, fleet, name = sys.argv[1:]
     try:
         VoterStore(Path(folder), fleet, name, "").load()
--- a/tests/fleet/runtime/test_config_processes.py
+++ b/tests/fleet/runtime/test_config_processes.py
@@ -112,7 +112,7 @@
             await fleet.start(number)
         await fleet.wait_for_version(3)
         for number in (voter, 4):
-            assert len(fleet.log_lines(number, "configuration torn")) == 1
+            assert len(fleet.log_lines(number, "configuration file damaged")) == 1
             assert (tmp_path / f"d{number}" / "kept.aside-0").exists()
 
         async def votes() -> bool:
