--- a/cherrygrade/fleet/runtime/addresses.py
+++ b/cherrygrade/fleet/runtime/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of dispatchers, as settings and membership records give them."""
+"""Parses the addresses of dispatchers that settings and membership records contain."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 def parse_address(text: str) -> tuple[str, int] | None:
     """Split `IP:PORT` for a socket call.
 
-    Host names are not resolved: a record of another member must not make this process ask a name server.
+    Host names are not resolved: a record of another member must not make this process query a name server.
 
     Returns:
-        Host and port, or None where the text is not an IP address with a port.
+        The IP address and the port; None where the text is not an IP address with a port.
     """
     host, _, port = text.rpartition(":")
     try:
--- a/cherrygrade/fleet/runtime/admin_client.py
+++ b/cherrygrade/fleet/runtime/admin_client.py
@@ -1,4 +1,4 @@
-"""Sends an operator's command to a dispatcher, and returns the answer."""
+"""Sends an operator's command to a dispatcher, and returns its answer."""
 
 from __future__ import annotations
 
@@ -16,19 +16,20 @@
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, Bye, Hello, Members, Welcome
 
-REQUEST_TIMEOUT_S = 1.7  # for the connection, and for each message of the answer
+REQUEST_TIMEOUT_S = 1.7  # for connecting, and again for each message of the answer
 
 
 class AdminClient(FramedConnection):
-    """One request, and the messages that answer it."""
+    """The connection of one request; it queues the messages that answer the request."""
 
     def __init__(self, request: AdminRequest) -> None:
+        """Take the request, which is sent once the connection is open."""
         super().__init__()
         self._request = request
         self._events: asyncio.Queue[dict[str, Any] | str] = asyncio.Queue()
 
     def connected(self, conn: Connection) -> None:
-        """Introduce the command, and ask."""
+        """Send the `Hello` of a command, and the request."""
         conn.send(Hello(VERSION, stream_roles.OPERATOR, "cherrygrade fleet config"))
         self.send_message(msgspec.json.encode(self._request))
 
@@ -46,15 +47,20 @@
         self._events.put_nowait(json.loads(message))
 
     def closed(self, conn: Connection, why: str) -> None:
-        """Queue why the connection ended."""
+        """Queue the reason why the connection ended."""
         self._events.put_nowait(why)
 
     async def answer(self, timeout_s: float) -> dict[str, Any]:
-        """Return the answer; each message has `timeout_s`, and an empty one says that more follows.
+        """Wait for the answer and return it.
+
+        An empty message means that the dispatcher is still working on the request.
+
+        Args:
+            timeout_s: For each message.
 
         Raises:
-            ConnectionError: The dispatcher ended the connection first.
-            TimeoutError: No message came in time.
+            ConnectionError: The dispatcher closed the connection before the answer.
+            TimeoutError: No message was received within the timeout.
         """
         while True:
             async with asyncio.timeout(timeout_s):
@@ -66,19 +72,24 @@
 
 
 async def send_admin_request(
-    place: str, request: AdminRequest, timeout_s: float = REQUEST_TIMEOUT_S
+    address: str, request: AdminRequest, timeout_s: float = REQUEST_TIMEOUT_S
 ) -> dict[str, Any]:
-    """Return the answer of the dispatcher at `place` (IP:PORT) to a request.
+    """Send a request to a dispatcher and return the answer.
+
+    Args:
+        address: The dispatcher's IP:PORT, its `fleet.place`.
+        request: The request.
+        timeout_s: For connecting, and again for each message of the answer.
 
     Raises:
-        ConfigNotFoundError: `place` is no address; nobody was asked.
+        ConfigNotFoundError: `address` is not an IP address with a port; no request was sent.
         ConfigUnreachableError: The dispatcher, or a majority of the council, does not answer.
-        ConfigRefusedError: The request was refused, with why.
+        ConfigRefusedError: The request was refused; the error gives the reason.
     """
-    to = parse_address(place)
+    to = parse_address(address)
     if to is None:
-        do = "Give --at a dispatcher's fleet.place."
-        raise ConfigNotFoundError(f"{place} is no HOST:PORT", "Nobody was asked.", do)
+        do = "Set --at to a dispatcher's fleet.place."
+        raise ConfigNotFoundError(f"expected IP:PORT, got {address!r}", "No request was sent.", do)
     try:
         client = AdminClient(request)
         async with asyncio.timeout(timeout_s):
@@ -86,11 +97,11 @@
         try:
             answer = await client.answer(timeout_s)
         finally:
-            client.conn.close("told")
+            client.conn.close("answer received")
     except OSError as error:  # TimeoutError among them
-        why = str(error) or f"no answer within {timeout_s:g} s"
-        do = "Give --at another dispatcher."
-        raise ConfigUnreachableError(f"{place} does not answer: {why}", "", do) from error
+        reason = str(error) or f"no answer within {timeout_s:g} s"
+        do = "Set --at to another dispatcher."
+        raise ConfigUnreachableError(f"{address} does not answer: {reason}", "", do) from error
     if "what" in answer:
         error_type = ConfigUnreachableError if answer["nobody"] else ConfigRefusedError
         raise error_type(answer["what"], answer["means"], answer["do"])
--- a/cherrygrade/fleet/runtime/admin_messages.py
+++ b/cherrygrade/fleet/runtime/admin_messages.py
@@ -1,4 +1,4 @@
-"""What an operator's command asks of a dispatcher, as JSON over a stream."""
+"""Requests of operators' commands to a dispatcher, sent as JSON over a stream."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class AdminRequest(msgspec.Struct, frozen=True, tag_field="do", tag="Request"):
-    """The base of all requests."""
+    """Base of all requests; the JSON key `do` names the kind of request."""
 
 
 class PutRequest(AdminRequest, frozen=True, tag="put"):
-    """Make a text the fleet's configuration.
+    """Makes a text the fleet's configuration.
 
     Attributes:
-        id: The command's own; a request that is sent again under it is carried out once.
-        text: The configuration's records.
-        by: Who asks, and when, for people.
-        based_on: The number of the version that the text is a change of; -1 for whatever is the newest.
+        id: Identifies the request: one that is sent again with the same id is carried out once.
+        text: The configuration, as record text.
+        by: The operator and the time, for people.
+        based_on: Number of the version that the text changes; -1 for the newest one, whichever it is.
     """
 
     id: str
@@ -26,13 +26,21 @@
 
 
 class ShowRequest(AdminRequest, frozen=True, tag="show"):
-    """Show the versions that are kept; with a number other than 0 that version's text too."""
+    """Shows the stored versions.
+
+    Attributes:
+        number: The version whose text is shown as well; 0 for none.
+    """
 
     number: int = 0
 
 
 class MissingRequest(AdminRequest, frozen=True, tag="missing"):
-    """Show who does not have a version or a later one in force."""
+    """Shows the members that do not have a version or a later one in force.
+
+    Attributes:
+        number: The version's number.
+    """
 
     number: int
 
@@ -43,10 +51,10 @@
 
 
 def decode_request(message: bytes) -> AnyAdminRequest:
-    """Return the request that a message holds.
+    """Decode a message into a request.
 
     Raises:
-        msgspec.MsgspecError: It holds none.
-        UnicodeDecodeError: Likewise.
+        msgspec.MsgspecError: The message is not JSON, or is not a known request.
+        UnicodeDecodeError: The message is not UTF-8.
     """
     return _decoder.decode(message)
--- a/cherrygrade/fleet/runtime/admin_server.py
+++ b/cherrygrade/fleet/runtime/admin_server.py
@@ -1,4 +1,4 @@
-"""Answers operators' commands at the dispatcher: it asks the council and the members on their behalf."""
+"""Answers operators' commands at a dispatcher by requests to the council and queries to members."""
 
 from __future__ import annotations
 
@@ -29,20 +29,22 @@
 from cherrygrade.fleet.runtime.framed_connection import FramedConnection
 from cherrygrade.transport.connection import Connection
 
-COUNCIL_TIMEOUT_S = 0.7  # for each of at most two requests to the council: a put is answered within 2 s
-JUDGE_TIMEOUT_S = 30.0  # that a text may take to be judged, while a majority goes on answering
-STREAM_TIMEOUT_S = 40.0  # in which an operator's stream has to end
-MAX_OPERATORS = 8  # at once, at one dispatcher
-KEEP_ALIVE = b"{}"  # tells a command that its request is still being worked on
+COUNCIL_TIMEOUT_S = (
+    0.7  # for each of at most two requests to the council, so that a put is answered within 2 s
+)
+JUDGE_TIMEOUT_S = 30.0  # for judging a text, while a majority of the council keeps answering
+STREAM_TIMEOUT_S = 40.0  # for the complete stream of an operator's command
+MAX_OPERATORS = 8  # connections of operators' commands at one dispatcher
+KEEP_ALIVE = b"{}"  # notifies the command that its request is still in progress
 
 
 class AdminServer(FramedConnection):
     """Serves one operator's command; its `PeerStream` passes the frames on.
 
     Attributes:
-        config: The configuration at this dispatcher.
-        council_server: The way to the council.
-        task: Works on the command's one request.
+        config: The shared configuration at this dispatcher.
+        council_server: Sends requests to the council.
+        task: Works on the command's request; None before the request was received.
     """
 
     def __init__(
@@ -52,16 +54,26 @@
         conn: Connection,
         on_closed: Callable[[], object],
     ) -> None:
+        """Take the connection, and start the timeout of the stream.
+
+        Args:
+            config: The shared configuration at this dispatcher.
+            council_server: Sends requests to the council.
+            conn: The connection of the command.
+            on_closed: Called once when the connection has ended.
+        """
         super().__init__(conn)
         self.config = config
         self.council_server = council_server
         self.task: asyncio.Task[None] | None = None
         self._on_closed = on_closed
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(STREAM_TIMEOUT_S, conn.abort, "a person in no hurry")
+        self._timer = loop.call_later(
+            STREAM_TIMEOUT_S, conn.abort, f"command took longer than {STREAM_TIMEOUT_S:g} s"
+        )
 
     def message_received(self, message: bytes) -> None:
-        """Begin to work on the request; a second one on the same stream is not looked at."""
+        """Start a task for the request; a second request on the same stream is ignored."""
         request = decode_request(message)
         if self.task is None:
             self.task = asyncio.get_running_loop().create_task(self._answer(request))
@@ -78,13 +90,13 @@
             answer = {"what": error.what, "means": error.means, "do": error.do}
             answer["nobody"] = isinstance(error, ConfigUnreachableError)
         self.send_message(json.dumps(answer).encode())
-        self.conn.close("told")
+        self.conn.close("answered")
 
     async def _config_status(self, request_id: str, number: int = 0) -> ConfigStatus:
-        """Return the council's versions, with the text of version `number`.
+        """Return the council's stored versions, with the text of version `number`.
 
         Raises:
-            ConfigUnreachableError: The council gave no answer in time.
+            ConfigUnreachableError: The council did not answer in time.
         """
         try:
             reply = await self.council_server.request(ShowConfig(request_id, number), COUNCIL_TIMEOUT_S)
@@ -102,15 +114,15 @@
         put_task = asyncio.get_running_loop().create_task(self.council_server.request(put, JUDGE_TIMEOUT_S))
         try:
             while not (await asyncio.wait({put_task}, timeout=COUNCIL_TIMEOUT_S))[0]:
-                # A long text takes long to be judged: as long as the leader still leads, the command waits.
+                # Judging a long text takes long: the command waits while the leader confirms that it leads.
                 await self._config_status(f"{request.id}/leads")
                 self.send_message(KEEP_ALIVE)
             reply = put_task.result()
         except (CouncilUnreachableError, ConfigUnreachableError) as error:
             raise ConfigUnreachableError(
                 error.what,
-                "It may yet have become a version; all dispatchers serve on with what they have.",
-                "See `cherrygrade fleet config show` once more than half of the voters live, then put again.",
+                "It may yet have become a version; all dispatchers serve on with what they have in force.",
+                "Once more than half of the voters run, see `cherrygrade fleet config show`, then put again.",
             ) from error
         finally:
             put_task.cancel()
@@ -124,16 +136,16 @@
         here = self.config.status()
         server = self.council_server
         try:
-            status = await self._config_status(f"{server.name}/{server.birth}/show/{id(self)}", number)
+            status = await self._config_status(f"{server.name}/{server.incarnation}/show/{id(self)}", number)
         except ConfigUnreachableError as error:
             if number:
                 raise
-            # Without a council, what is in force here can still be shown.
+            # The version in force at this dispatcher can be shown without the council.
             return {"here": here, "council": error.what, "lines": []}
         if number and status.text is None:
-            kept = [line.number for line in status.versions]
-            kept_text = f"{kept[0]} to {kept[-1]}" if kept else "none yet"
-            raise ConfigNotFoundError(f"version {number} is not kept: {kept_text}")
+            stored = [line.number for line in status.versions]
+            stored_text = f"{stored[0]} to {stored[-1]}" if stored else "none yet"
+            raise ConfigNotFoundError(f"version {number} is not stored; stored versions: {stored_text}")
         return {
             "here": here,
             "council": "",
@@ -157,7 +169,7 @@
         }
 
     def closed(self, conn: Connection, why: str) -> None:
-        """Drop the request where the command went away before its answer."""
+        """Cancel the request where the command closed its connection before the answer."""
         self._on_closed()
         self._timer.cancel()
         if self.task is not None and not self.task.done():
--- a/cherrygrade/fleet/runtime/agent_status.py
+++ b/cherrygrade/fleet/runtime/agent_status.py
@@ -1,4 +1,7 @@
-"""The answer to `cherrygrade fleet status`, in JSON's terms, and the agent's counters."""
+"""Builds the answer to `cherrygrade fleet status` as JSON values, and the agent's counters.
+
+The keys are read by operators' tools and stay as they are.
+"""
 
 from __future__ import annotations
 
@@ -15,14 +18,14 @@
 
 
 class HasStatus(Protocol):
-    """A part of the agent that has a status of its own."""
+    """A part of the agent that has its own section in the status."""
 
     def status(self) -> Mapping[str, Any] | None:
-        """Return it in JSON's terms."""
+        """Return the section as JSON values; None where there is none."""
 
 
 class StatusSource(Protocol):
-    """The fleet agent, as its status needs it; see `FleetAgent`."""
+    """The part of `FleetAgent` that the status reads; the attributes are documented there."""
 
     membership: Membership
     clock: Callable[[], float]
@@ -38,22 +41,22 @@
 
     @property
     def council_server(self) -> HasStatus | None:
-        """The council's part, where there is one."""
+        """The council's part; None where the settings name no council."""
 
     @property
     def lease_tasks(self) -> HasStatus | None:
-        """The leases' part, where there is one."""
+        """The tasks under leases; None where the settings name no council."""
 
     @property
     def config(self) -> HasStatus | None:
-        """The configuration's part, where there is one."""
+        """The shared configuration; None where it is off."""
 
     def counts(self) -> dict[str, int]:
-        """Return the counters."""
+        """Return the counters for the status and the log."""
 
 
 def agent_status(agent: StatusSource) -> dict[str, Any]:
-    """Return the fleet as one dispatcher knows it; times are ms before now."""
+    """Return the fleet as one dispatcher knows it, as JSON values; times are ms before now."""
     membership, now = agent.membership, agent.clock()
     members = sorted(membership.table, key=lambda member: member.name)
     return {
@@ -76,7 +79,7 @@
 
 
 def _member_status(member: Member, now: float) -> dict[str, Any]:
-    facts = member.info or MemberInfo("")
+    info = member.info or MemberInfo("")
     return {
         "name": member.name,
         "standing": member.state.name.lower(),
@@ -85,37 +88,37 @@
         "heard_ms_ago": round(now - member.last_received_ms) if member.last_received_ms > 0.0 else None,
         "birth": member.incarnation,
         "turn": member.refutations,
-        "place": facts.address,
-        "zone": facts.zone,
-        "version": facts.version,
-        "settings": facts.settings_digest,
-        "seat": facts.seat,
+        "place": info.address,
+        "zone": info.zone,
+        "version": info.version,
+        "settings": info.settings_digest,
+        "seat": info.seat,
     }
 
 
 def _node_faults(agent: StatusSource, now: float) -> list[dict[str, Any]]:
-    """Return the storage nodes that any member can't use, as the fleet sees them."""
-    reachability, found = agent.membership.reachability, []
-    for mark in reachability.failing_nodes(now):
-        view, bad, tried, zones = reachability.view(mark, now)
-        own = reachability.own.get(mark)
-        found.append(
+    """Return the storage nodes that some member can't reach, with the reports of all members on each."""
+    reachability, faults = agent.membership.reachability, []
+    for node_hash in reachability.failing_nodes(now):
+        view, failing, tried, zones = reachability.view(node_hash, now)
+        own = reachability.own.get(node_hash)
+        faults.append(
             {
-                "node": agent.node_addresses.get(mark, f"mark {mark}"),
+                "node": agent.node_addresses.get(node_hash, f"node hash {node_hash}"),
                 "view": view.value,
-                "trouble_at": bad,
+                "trouble_at": failing,
                 "tried_by": tried,
                 "zones": zones,
                 "ours_ms": round(now - own.failing_since_ms) if own and own.failing_since_ms >= 0.0 else None,
             }
         )
-    return found
+    return faults
 
 
 def agent_counts(agent: StatusSource) -> dict[str, int]:
-    """Return the counters of one dispatcher's part in the fleet, for its status and its log."""
+    """Return the counters of one dispatcher's agent, for its status and its log."""
     membership = agent.membership
-    dropped = sorted(agent.codec.rejected.items())
+    rejected = sorted(agent.codec.rejected.items())
     return {
         "sent": agent.sent,
         "sent_bytes": agent.sent_bytes,
@@ -129,5 +132,5 @@
         "refuted": membership.refuted_accusations,
         "stalls": membership.failure_detector.stalls,
         "nodes_troubled": len(membership.reachability.failing_nodes(agent.clock())),
-        **{f"dropped_{why.replace(' ', '_')}": count for why, count in dropped},
+        **{f"dropped_{reason.replace(' ', '_')}": count for reason, count in rejected},
     }
--- a/cherrygrade/fleet/runtime/config_connections.py
+++ b/cherrygrade/fleet/runtime/config_connections.py
@@ -1,4 +1,4 @@
-"""Connections that fetch a configuration's content, and that serve it to members who fetch it here."""
+"""Connections that fetch the content of a version from a member, and that serve it to members."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, Hello
 
-FETCH_TIMEOUT_S = 1.5  # for the connection, and again for the content
+FETCH_TIMEOUT_S = 1.5  # for connecting, and again for the content
 
 
 class ConfigEndpoint(Protocol):
-    """The configuration exchange, as its connections need it.
+    """The part of `ConfigExchange` that its connections use.
 
     Attributes:
         fleet: The fleet's name.
         membership: This dispatcher's membership.
-        replica: Answers fetches; None before the start.
-        sent_bytes: Bytes of content sent, in all.
-        fetches: Fetches that have not ended.
-        server_connections: Connections that fetch here.
+        replica: Answers the fetches of members; None before the start.
+        sent_bytes: Bytes of content sent, in total.
+        fetches: Fetches in progress.
+        server_connections: Connections of members that fetch from this dispatcher.
     """
 
     fleet: str
@@ -38,22 +38,23 @@
     server_connections: dict[ConfigServer, None]
 
     def fetch_succeeded(self, member: str, response: FetchResponse, length: int) -> None:
-        """Called with a member's response, of so many bytes."""
+        """Called with a member's response, which took `length` bytes."""
 
-    def fetch_failed(self, member: str, why: str) -> None:
-        """Called where nothing came of a fetch."""
+    def fetch_failed(self, member: str, reason: str) -> None:
+        """Called where a fetch ended without content."""
 
 
 class ConfigFetch(FramedConnection):
-    """One fetch of content from a member; it ends once, with content or with why there is none.
+    """One fetch of content from a member; it ends once, with content or with the reason why there is none.
 
     Attributes:
-        config: Is told how the fetch ended.
-        member: The member that is asked.
-        task: Makes the connection.
+        config: Its `fetch_succeeded` or `fetch_failed` is called when the fetch ends.
+        member: Name of the member that content is requested from.
+        task: Opens the connection.
     """
 
     def __init__(self, config: ConfigEndpoint, member: str, request: FetchRequest) -> None:
+        """Take the request, which is sent once `connect` has opened the connection."""
         super().__init__()
         self.config = config
         self.member = member
@@ -66,22 +67,22 @@
         """Connect to the member; `to` is None where its address is not known."""
         loop = asyncio.get_running_loop()
         if to is None:
-            self.fail("no stream: it is not known where it is")
+            self.fail("no connection: the member's address is not known")
             return
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_S):
                 await loop.create_connection(lambda: self.conn, *to, local_addr=(source, 0))
             self._timer = loop.call_later(FETCH_TIMEOUT_S, self.conn.abort, "no content in time")
         except OSError as error:  # TimeoutError among them
-            self.fail(f"no stream: {error.strerror or error or 'no answer in time'}")
+            self.fail(f"no connection: {error.strerror or error or 'no answer in time'}")
 
     def connected(self, conn: Connection) -> None:
-        """Introduce this dispatcher, and ask."""
+        """Send this dispatcher's `Hello`, and the request."""
         conn.send(Hello(VERSION, stream_roles.CONFIG, self.config.membership.name, [self.config.fleet]))
         self.send_message(msgspec.msgpack.encode(self._request))
 
     def message_received(self, message: bytes) -> None:
-        """Hand the content on."""
+        """Pass the content to the exchange, and close the connection."""
         response = msgspec.msgpack.decode(message, type=FetchResponse)
         if not self._ended:
             self._end()
@@ -89,17 +90,17 @@
         self.conn.close("fetched")
 
     def closed(self, conn: Connection, why: str) -> None:
-        """Fail, where no content came before."""
-        self.fail(f"its stream ended: {why}")
+        """Fail the fetch, where no content was received before."""
+        self.fail(f"the connection ended: {why}")
 
-    def fail(self, why: str) -> None:
-        """End without content; nothing happens where the fetch has ended already."""
+    def fail(self, reason: str) -> None:
+        """End the fetch without content; a fetch that has ended already stays as it is."""
         if not self._ended:
             self._end()
-            self.config.fetch_failed(self.member, why)
+            self.config.fetch_failed(self.member, reason)
 
     def close(self) -> None:
-        """End as the dispatcher stops: nobody is told."""
+        """End the fetch as the dispatcher stops; neither of the callbacks is called."""
         self._end()
         if self.task is not None:
             self.task.cancel()
@@ -113,21 +114,22 @@
 
 
 class ConfigServer(FramedConnection):
-    """Serves one member that fetches content here; its `PeerStream` passes the frames on."""
+    """Serves one member that fetches content; its `PeerStream` passes the frames on."""
 
     def __init__(self, config: ConfigEndpoint, conn: Connection) -> None:
+        """Take the connection, and start the timeout of the transfer."""
         super().__init__(conn)
         self.config = config
         self._serving = False
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(FETCH_TIMEOUT_S, conn.abort, "no fetch in time")
+        self._timer = loop.call_later(FETCH_TIMEOUT_S, conn.abort, "fetch not completed in time")
 
     def message_received(self, message: bytes) -> None:
-        """Answer the member's request; a second one on the same connection is refused."""
+        """Answer the member's request; a second request on the same connection is refused."""
         request = msgspec.msgpack.decode(message, type=FetchRequest)
         replica = self.config.replica
         if replica is None or self._serving:
-            self.conn.close("nothing to fetch")
+            self.conn.close("fetch refused: not started yet, or a second request")
             return
         response = replica.respond_to_fetch(request)
         self._serving = response.content is not None
@@ -136,7 +138,7 @@
         self.send_message(encoded)
 
     def closed(self, conn: Connection, why: str) -> None:
-        """Tell the replica that this transfer has ended, so that it may serve another member."""
+        """Notify the replica that the transfer has ended, so that another member may be served."""
         self._timer.cancel()
         self.config.server_connections.pop(self, None)
         if self._serving and self.config.replica is not None:
--- a/cherrygrade/fleet/runtime/council_connections.py
+++ b/cherrygrade/fleet/runtime/council_connections.py
@@ -1,6 +1,6 @@
 """Connections that carry the council's messages between voters and members.
 
-Each message is one byte that says its kind, and a msgpack body.
+Each message is one byte for its kind, followed by a msgpack body.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, Hello
 
-RAFT_MESSAGE = b"r"  # between voters
-REQUEST = b"q"  # of a member, to a voter
-REPLY = b"n"  # of a voter, to the member
-JOIN_REQUEST = b"j"  # of a dispatcher that should be a voter and whose store is not one's
+RAFT_MESSAGE = b"r"  # from voter to voter
+REQUEST = b"q"  # from a member to a voter
+REPLY = b"n"  # from a voter to the member that sent the request
+JOIN_REQUEST = b"j"  # from a voter whose store the council has not admitted
 
-MAX_MESSAGE_BYTES = 32 * 1024 * 1024  # a Raft snapshot
-MAX_QUEUED_MESSAGES = 256  # to a peer that is not connected; the oldest are dropped, Raft sends them again
+MAX_MESSAGE_BYTES = 32 * 1024 * 1024  # the longest message is a Raft snapshot
+MAX_QUEUED_MESSAGES = 256  # for a peer that is not connected; the oldest are dropped, Raft resends them
 CONNECT_TIMEOUT_S = 1.0
-RECONNECT_DELAY_S = 0.1
+RECONNECT_DELAY_S = 0.1  # after an attempt to connect that failed
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class CouncilEndpoint(Protocol):
-    """The council server, as its connections need it.
+    """The part of `CouncilServer` that its connections use.
 
     Attributes:
         name: This dispatcher's name.
         fleet: The fleet's name.
         source: The IP address that connections are made from.
-        sent_bytes: Bytes of messages sent, in all.
+        sent_bytes: Bytes of messages sent, in total.
     """
 
     name: str
@@ -45,28 +45,29 @@
     sent_bytes: int
 
     def address_of(self, name: str) -> tuple[str, int] | None:
-        """Return where a voter can be reached; None where it is not known."""
+        """Return a voter's IP address and port; None where they are not known."""
 
     def connection_lost(self, connection: CouncilConnection) -> None:
-        """Called when a connection has ended, or could not be made."""
+        """Called when a connection has ended, or could not be opened."""
 
     def message_received(self, connection: CouncilConnection, message: bytes) -> None:
-        """Called with each message."""
+        """Called with each received message."""
 
 
 class CouncilConnection(FramedConnection):
-    """The connection to one voter, made when the first message to it is sent.
+    """The connection to one voter; it is opened when the first message to the voter is sent.
 
     Attributes:
-        name: The voter at the other end.
-        queue: Encoded messages that wait for the connection.
-        ready: Whether messages can be sent now.
-        connecting: Whether a connection is being made.
-        task: Makes the connection; cancelled by the server when it closes.
+        council_server: The server that the connection belongs to.
+        name: Name of the voter at the other end.
+        queue: Encoded messages that wait for the connection to open.
+        ready: Whether the connection is open, so that messages can be sent now.
+        connecting: Whether the connection is being opened.
+        task: Opens the connection; the server cancels it when it closes.
     """
 
     max_message_bytes: ClassVar[int] = MAX_MESSAGE_BYTES
-    purpose: ClassVar[str] = "in council"
+    purpose: ClassVar[str] = "on a council connection"
 
     def __init__(self, council_server: CouncilEndpoint, name: str, conn: Connection | None = None) -> None:
         super().__init__(conn)
@@ -78,11 +79,11 @@
         self.task: asyncio.Task[None] | None = None
 
     def send(self, kind: bytes, body: Any) -> None:
-        """Send one message now, or once connected.
+        """Send one message now, or once the connection is open.
 
         Args:
             kind: RAFT_MESSAGE, REQUEST, REPLY or JOIN_REQUEST.
-            body: What msgpack can encode.
+            body: A value that msgpack can encode.
         """
         message = kind + _encode(body)
         if self.ready:
@@ -95,15 +96,15 @@
 
     async def _connect(self) -> None:
         try:
-            to = self.council_server.address_of(self.name)
-            if to is None:
+            address = self.council_server.address_of(self.name)
+            if address is None:
                 await asyncio.sleep(RECONNECT_DELAY_S)
                 return
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 loop = asyncio.get_running_loop()
                 host = self.council_server.source
-                await loop.create_connection(lambda: self.conn, *to, local_addr=(host, 0))
-        except OSError:  # the voter is down or cut off; the next message to it tries again
+                await loop.create_connection(lambda: self.conn, *address, local_addr=(host, 0))
+        except OSError:  # the voter is down or cut off; the next message to it connects again
             await asyncio.sleep(RECONNECT_DELAY_S)
         finally:
             self.connecting = False
@@ -116,30 +117,30 @@
         super().send_message(message)
 
     def message_received(self, message: bytes) -> None:
-        """Hand one message to the server."""
+        """Pass one received message to the server."""
         self.council_server.message_received(self, message)
 
     def connected(self, conn: Connection) -> None:
-        """Introduce this dispatcher, then send what waits."""
+        """Send this dispatcher's `Hello`, then the queued messages."""
         conn.send(Hello(VERSION, stream_roles.COUNCIL, self.council_server.name, [self.council_server.fleet]))
         self.ready = True
         while self.queue:
             self.send_message(self.queue.popleft())
 
     def closed(self, conn: Connection, why: str) -> None:
-        """Take the connection off the server's; a later message makes another."""
+        """Remove the connection from the server; the next message to the voter opens another one."""
         self.ready = False
         self.council_server.connection_lost(self)
 
 
 class CouncilClientConnection(CouncilConnection):
-    """A connection that a member or voter made to here; its `PeerStream` passes the frames on."""
+    """A connection that a member or voter opened; its `PeerStream` passes the frames on."""
 
     def __init__(self, council_server: CouncilEndpoint, conn: Connection, name: str) -> None:
         super().__init__(council_server, name, conn)
         self.ready = True
 
     def send(self, kind: bytes, body: Any) -> None:
-        """Send one message; it is dropped where the connection has ended: the member asks again."""
+        """Send one message; it is dropped where the connection has ended, and the member requests again."""
         if self.ready:
             self.send_message(kind + _encode(body))
--- a/cherrygrade/fleet/runtime/council_server.py
+++ b/cherrygrade/fleet/runtime/council_server.py
@@ -1,8 +1,8 @@
 """The council's sockets, disk and timer at one dispatcher, which may be a voter or not.
 
-The decisions are `consensus/voter.py`'s; here its effects are carried out. What a step writes is on disk
-before any message of that step or a later one is sent. A thread of its own writes, so that RPCs do not wait
-for a disk. Where the disk can't be written, this dispatcher votes no more.
+`consensus/voter.py` makes the decisions; this module carries out their effects. The writes of a step are on
+disk before any message of that step or a later one is sent. A separate thread writes, so that client requests
+do not wait for the disk. Where the disk can't be written, this dispatcher stops voting.
 """
 
 from __future__ import annotations
@@ -39,8 +39,8 @@
 from cherrygrade.settings import CouncilSettings
 from cherrygrade.transport.connection import Connection
 
-MAX_CLIENT_CONNECTIONS = 512
-MAX_JUDGING = 16  # changes of the configuration at once
+MAX_CLIENT_CONNECTIONS = 512  # open connections that members and voters opened to this dispatcher
+MAX_JUDGING = 16  # configuration changes whose texts are being judged at the same time
 JOIN_INTERVAL_MS = 1000.0  # between two requests to be admitted as a voter
 
 _raft_decoder = msgspec.msgpack.Decoder(raft_messages.AnyRaftMessage)
@@ -55,17 +55,17 @@
         council: The council's settings.
         fleet: The fleet's name.
         name: This dispatcher's name.
-        birth: When this dispatcher started (Unix ms).
+        incarnation: The time at which this dispatcher started, Unix ms.
         source: The IP address that connections are made from.
-        clock: The time in ms.
-        voter: None where this dispatcher does not vote, or no more.
-        store: The voter's, while it votes.
-        client: The requests of this dispatcher to the leader.
-        voter_connections: To other voters, by name; one that ended is taken out.
-        client_connections: Made by others to here, while they last.
-        judging: Changes whose text is being judged, by request id.
-        sent_bytes: Of messages, in all.
-        store_writes: Steps that wrote to the store, in all.
+        clock: Returns the time in ms.
+        voter: This dispatcher's voter; None where it does not vote, or stopped voting.
+        store: The voter's store; None where this dispatcher does not vote.
+        client: Sends this dispatcher's own requests to the leader.
+        voter_connections: Connections to other voters, by name; removed when they end.
+        client_connections: Connections that others opened to this dispatcher; removed when they end.
+        judging: Configuration changes whose text is being judged, by request id.
+        sent_bytes: Bytes of messages sent, in total.
+        store_writes: Steps that wrote to the store, in total.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         council: CouncilSettings,
         fleet: str,
         name: str,
-        birth: int,
+        incarnation: int,
         seed: int,
         source: str,
         clock: Callable[[], float],
@@ -88,19 +88,19 @@
             council: The council's settings.
             fleet: The fleet's name.
             name: This dispatcher's name.
-            birth: When this dispatcher started (Unix ms).
-            seed: Of the voter's random choices.
+            incarnation: The time at which this dispatcher started, Unix ms.
+            seed: Seeds the voter's random choices.
             source: The IP address that connections are made from.
             clock: Returns the time in ms.
-            find_address: Returns a dispatcher's `IP:PORT` by its name, None where it is not known.
-            log: Writes a line with an event and facts.
-            judge: Reads the texts of proposed configurations; None refuses all.
-            log_advanced: Called whenever the council's log may have advanced, after that is on disk.
+            find_address: Returns the `IP:PORT` of the dispatcher with a name; None where it is not known.
+            log: Writes a log line with an event and facts.
+            judge: Judges the texts of proposed configurations; None refuses all.
+            log_advanced: Called whenever the council's log may have advanced; the log is on disk by then.
         """
         self.council = council
         self.fleet = fleet
         self.name = name
-        self.birth = birth
+        self.incarnation = incarnation
         self.source = source
         self.clock = clock
         self.voter: Voter | None = None
@@ -118,28 +118,31 @@
         self._log_advanced = log_advanced
         self._judge_thread = ThreadPoolExecutor(1, "configuration judge")
         self._disk_thread = ThreadPoolExecutor(1, "council disk")
-        self._unwritten: deque[tuple[VoterEffects, int]] = deque()  # effects, and the log's last index
+        self._unwritten: deque[tuple[VoterEffects, int]] = deque()  # with the log's last index after the step
         self._writing: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._next_join_ms = 0.0
         self._logged_leader = ""
 
     async def start(self) -> None:
-        """Open the store where this dispatcher votes; one that can't be trusted is put aside."""
+        """Open the store and start the voter, where the settings name this dispatcher as a voter.
+
+        An untrusted store is quarantined and replaced by an empty one.
+        """
         if self.name not in self.council.voters:
             return
         folder = Path(self.council.folder)
         loop = asyncio.get_running_loop()
         try:
             opened = await loop.run_in_executor(
-                self._disk_thread, open_store, folder, self.fleet, self.name, self.birth
+                self._disk_thread, open_store, folder, self.fleet, self.name, self.incarnation
             )
         except (OSError, lmdb.Error) as error:
             self._stop_voting(error)
             return
         self.store = opened.store
         if opened.quarantine_reason:
-            self._log("council store put aside", why=opened.quarantine_reason)
+            self._log("council store quarantined", why=opened.quarantine_reason)
         self._start_voting(opened.store, opened.state)
 
     def _start_voting(self, store: VoterStore, stored: PersistentState) -> None:
@@ -157,7 +160,7 @@
         self._set_timer()
 
     def close(self) -> None:
-        """Close all connections, cancel what waits, and close the store behind the last write."""
+        """Close all connections, cancel the timer and all tasks, and close the store after its last write."""
         if self._timer is not None:
             self._timer.cancel()
         for connection in [*self.voter_connections.values(), *self.client_connections]:
@@ -175,11 +178,14 @@
     def _close_store(self) -> None:
         store, self.store = self.store, None
         if store is not None:
-            self._disk_thread.submit(store.close)  # behind what is being written
+            self._disk_thread.submit(store.close)  # runs after the write in progress
         self._disk_thread.shutdown(wait=False)
 
     def status(self) -> dict[str, Any]:
-        """Return what `cherrygrade fleet status` shows; it may be old where this voter does not lead."""
+        """Return the council's part of `cherrygrade fleet status`.
+
+        It may be outdated where this dispatcher's voter does not lead.
+        """
         status: dict[str, Any] = {"leader": self.client.leader, "votes": False, "leases": []}
         status |= {"said_bytes": self.sent_bytes, "writes": self.store_writes}
         if self.voter is not None and self.store is not None:
@@ -187,15 +193,20 @@
         return status
 
     def address_of(self, name: str) -> tuple[str, int] | None:
-        """Return where a dispatcher listens, None where that is not known."""
-        found = self._find_address(name)
-        return parse_address(found) if found is not None else None
+        """Return a dispatcher's IP address and port; None where they are not known."""
+        address = self._find_address(name)
+        return parse_address(address) if address is not None else None
 
     async def request(self, request: AnyRequest, timeout_s: float) -> AnyReply:
-        """Return the leader's reply to a request.
+        """Send a request to the leader and return the reply.
+
+        Args:
+            request: The request.
+            timeout_s: For the request at all voters together.
 
         Raises:
-            CouncilUnreachableError: None came in time; the request may have been carried out all the same.
+            CouncilUnreachableError: No leader replied in time; the request may have been carried out all the
+                same.
         """
         return await self.client.request(request, timeout_s)
 
@@ -205,10 +216,12 @@
         else:
             self._connection_to(name).send(REQUEST, request)
 
-    # Connections.
-
     def accept(self, conn: Connection, name: str) -> CouncilClientConnection | None:
-        """Take a connection that was made to here; None where there are too many."""
+        """Serve a connection that the dispatcher `name` opened to this one.
+
+        Returns:
+            None where MAX_CLIENT_CONNECTIONS are open.
+        """
         if len(self.client_connections) >= MAX_CLIENT_CONNECTIONS:
             return None
         connection = CouncilClientConnection(self, conn, name)
@@ -216,7 +229,7 @@
         return connection
 
     def connection_lost(self, connection: CouncilConnection) -> None:
-        """Forget a connection that ended, or that was not made."""
+        """Remove a connection that ended, or could not be opened."""
         if isinstance(connection, CouncilClientConnection):
             self.client_connections.pop(connection, None)
         elif self.voter_connections.get(connection.name) is connection:
@@ -228,26 +241,24 @@
             connection = self.voter_connections[name] = CouncilConnection(self, name)
         return connection
 
-    # Events.
-
     def message_received(self, connection: CouncilConnection, message: bytes) -> None:
-        """Act on one message.
+        """Handle one received message.
 
         Raises:
-            msgspec.MsgspecError: It is of no known kind, or its body can't be decoded.
-            UnicodeDecodeError: Likewise.
+            msgspec.MsgspecError: The message's kind is unknown, or its body can't be decoded.
+            UnicodeDecodeError: The body can't be decoded.
         """
         kind, body = message[:1], message[1:]
         if kind == REPLY:
             self.client.reply_received(_reply_decoder.decode(body))
             return
         if kind not in (RAFT_MESSAGE, REQUEST, JOIN_REQUEST):
-            raise msgspec.DecodeError("no such word")
+            raise msgspec.DecodeError(f"unknown kind of council message: {kind!r}")
         voter, now = self.voter, self.clock()
         if voter is None:
             if kind == REQUEST:
                 request_id = _request_decoder.decode(body).id
-                connection.send(REPLY, NotLeader(request_id, "", "this one does not vote"))
+                connection.send(REPLY, NotLeader(request_id, "", "this dispatcher is not a voter"))
         elif kind == RAFT_MESSAGE:
             self._apply_effects(voter.receive(_raft_decoder.decode(body), now))
         elif kind == REQUEST:
@@ -258,14 +269,14 @@
     def _request_received(
         self, voter: Voter, request: AnyRequest, connection: CouncilConnection | None
     ) -> None:
-        """Hand a request to the voter; `connection` is None where this dispatcher itself asks."""
+        """Pass a request to the voter; `connection` is None for a request of this dispatcher itself."""
         if not (isinstance(request, PutConfig) and voter.raft.is_leader):
             self._apply_effects(voter.request(request, connection, self.clock()))
             return
         if request.id in self.judging:
-            return  # a retry: the reply to the first attempt is on its way
+            return  # a retry: the first attempt is being judged, and its reply answers both
         if len(self.judging) >= MAX_JUDGING:
-            refusal = NotLeader(request.id, "", "too many changes at once")
+            refusal = NotLeader(request.id, "", f"{MAX_JUDGING} configuration changes are being judged")
             self._apply_effects(VoterEffects(replies=[OutgoingReply(connection, refusal)]))
             return
         put = self._judge_and_put(request, connection)
@@ -282,7 +293,8 @@
                 self._judge_thread, judge_text, self._judge, before, request.text
             )
             if newest is not None and newest.number != request.based_on:
-                # The difference is against another text than the change's; the log refuses the change.
+                # The difference is against another text than the change is based on, and is left out. The log
+                # refuses such a change.
                 verdict = ConfigVerdict(verdict.refusal, verdict.divisors, verdict.old_divisors)
             if self.voter is voter:
                 self._apply_effects(voter.put_config(request, verdict, connection, self.clock()))
@@ -290,11 +302,11 @@
             self.judging.pop(request.id, None)
 
     def settle(self, number: int) -> None:
-        """Tell the council that all dispatchers use the joint quotas of this version's move."""
+        """Tell the council that all dispatchers use the quotas of version `number`'s joint phase."""
         if self.voter is not None:
             self._apply_effects(self.voter.settle_config(number, self.clock()))
 
-    def _timer_due(self) -> None:
+    def _timer_fired(self) -> None:
         self._timer = None
         if self.voter is None:
             return
@@ -308,7 +320,7 @@
 
     @property
     def _must_join(self) -> bool:
-        """Whether the settings name this dispatcher as a voter and the council does not count its store."""
+        """Whether this dispatcher has a voter whose store the council has not admitted."""
         return self.voter is not None and self.voter.raft.name not in self.voter.raft.voters
 
     def _set_timer(self) -> None:
@@ -316,18 +328,16 @@
             return
         if self._timer is not None:
             self._timer.cancel()
-        due = (
+        deadline_ms = (
             min(self.voter.next_deadline(), self._next_join_ms)
             if self._must_join
             else self.voter.next_deadline()
         )
-        at_s = max(due, self.clock()) / 1000.0
-        self._timer = asyncio.get_running_loop().call_at(at_s, self._timer_due)
-
-    # Effects.
+        at_s = max(deadline_ms, self.clock()) / 1000.0
+        self._timer = asyncio.get_running_loop().call_at(at_s, self._timer_fired)
 
     def _apply_effects(self, effects: VoterEffects) -> None:
-        """Carry out one step's effects, after those of all steps before it."""
+        """Carry out one step's effects, after the effects of all steps before it."""
         voter = self.voter
         assert voter is not None
         self._unwritten.append((effects, voter.raft.log.last_index))
@@ -340,7 +350,10 @@
         self._set_timer()
 
     async def _write_and_send(self) -> None:
-        """Carry out steps one after the other: a step that writes nothing waits for those before it too."""
+        """Carry out steps one after the other.
+
+        A step that writes nothing also waits for the steps before it.
+        """
         loop = asyncio.get_running_loop()
         try:
             while self._unwritten and self.store is not None:
@@ -362,7 +375,7 @@
             self.store_writes += step.has_writes
 
     def _send_effects(self, effects: VoterEffects) -> None:
-        """Send the messages and replies of a step whose writes are on disk."""
+        """Send the messages and replies of a step; the step's writes are on disk."""
         voter = self.voter
         if voter is None:
             return
@@ -382,5 +395,5 @@
         self.voter = None
         self._unwritten.clear()
         self._close_store()
-        error = VoterStoppedError(f"the council's store takes nothing: {cause}")
+        error = VoterStoppedError(f"can't write the council's store in {self.council.folder}: {cause}")
         self._log("voter stopped", what=error.what, means=error.means, do=error.do)
--- a/cherrygrade/fleet/runtime/fleet_agent.py
+++ b/cherrygrade/fleet/runtime/fleet_agent.py
@@ -1,7 +1,7 @@
 """One dispatcher's part in the fleet: its UDP socket, its streams and its timer.
 
-The decisions are `membership/membership.py`'s; here its effects are carried out. A datagram that can't be
-sent is lost, as the network may lose any.
+`membership/membership.py` makes the decisions; this module carries out their effects. A datagram that can't
+be sent is dropped, since the network may lose any datagram anyway.
 """
 
 from __future__ import annotations
@@ -41,12 +41,12 @@
     from cherrygrade.fleet.runtime.council_server import CouncilServer
     from cherrygrade.fleet.runtime.lease_tasks import LeaseTaskRunner
 
-TIMER_GRAIN_MS = 5.0  # the timer may be so late; what is due within it is done with it
-MIN_TIMER_CHANGE_MS = 1.0
+TIMER_GRAIN_MS = 5.0  # a tick also does the work that falls due within this time
+MIN_TIMER_CHANGE_MS = 1.0  # the timer is set anew only for a deadline that is earlier by more than this
 NEVER_MS = 1e14
-NODE_MARK_BITS = 0xFFFF
+NODE_HASH_MASK = 0xFFFF
 
-# What an attempt's outcome says of its node; outcomes that say nothing of it are not here.
+# What the outcome of an attempt shows of its storage node; other outcomes show nothing.
 CONTACT_BY_OUTCOME = {
     Outcome.OK: "answered",
     Outcome.REJECTED: "answered",
@@ -60,24 +60,27 @@
 class FleetAgent:
     """Takes part in the fleet for one dispatcher.
 
+    A seat is a dispatcher's number in the fleet, from 0, by which quotas are divided.
+
     Attributes:
         fleet: The fleet's settings.
         name: This dispatcher's name.
-        clock: The time in ms.
-        membership: The membership's decisions.
-        codec: Reads and writes the fleet's datagrams.
-        inbound_budget: Received datagrams that wait to be read; those beyond the budget are dropped.
-        streams: Exchanges and status queries that have not ended; each ends by itself or by its timeout.
-        operator_connections: Of operators' commands that have not ended.
-        node_addresses: Of the nodes that attempts went to, by mark; bounded by the number of marks.
+        clock: Returns the time in ms.
+        membership: Makes the membership's decisions.
+        codec: Encodes and decodes the fleet's datagrams.
+        inbound_budget: Received datagrams that wait to be decoded; datagrams beyond the budget are dropped.
+        streams: Table exchanges and status queries in progress; each ends by itself or by its timeout.
+        operator_connections: Connections of operators' commands in progress.
+        node_addresses: Addresses of the storage nodes that attempts went to, by node hash; at most one for
+            each of the 65536 hashes.
         config: The shared configuration; None where it is off.
-        council_server: None where the settings name no council.
-        lease_tasks: None where the settings name no council.
-        sent: Datagrams sent, in all.
-        sent_bytes: Bytes of them.
-        received: Datagrams received, in all.
-        received_bytes: Bytes of them.
-        unsent: Datagrams that could not be sent, in all.
+        council_server: The council's part; None where the settings name no council.
+        lease_tasks: The tasks under leases; None where the settings name no council.
+        sent: Datagrams sent, in total.
+        sent_bytes: Bytes of the datagrams sent.
+        received: Datagrams received, in total.
+        received_bytes: Bytes of the datagrams received.
+        unsent: Datagrams that could not be sent, in total.
     """
 
     def __init__(
@@ -85,13 +88,13 @@
         fleet: FleetSettings,
         name: str,
         seat: int,
-        record: int,
+        fleet_size: int,
         seed: int,
         start: StartReference,
         clock: Callable[[], float],
         on_scheduler_message: Callable[[int, bytes], None],
         log: Callable[..., None],
-        in_force: PutInForce | None = None,
+        put_in_force: PutInForce | None = None,
         judge: Judge | None = None,
     ) -> None:
         """Take the settings and callbacks; `start` opens the sockets.
@@ -100,14 +103,14 @@
             fleet: The fleet's settings.
             name: This dispatcher's name.
             seat: This dispatcher's seat.
-            record: How many dispatchers the fleet of record has.
-            seed: Of random choices.
-            start: When this dispatcher started, with its version and settings.
+            fleet_size: How many dispatchers the configured fleet has.
+            seed: Seeds random choices.
+            start: The time at which this dispatcher started, its version, and the digest of its settings.
             clock: Returns the time in ms.
-            on_scheduler_message: Called with another scheduler's message and its seat.
-            log: Writes a line with an event and facts.
-            in_force: Puts a configuration in force; None keeps the shared configuration off.
-            judge: Reads the texts of proposed configurations; None refuses all.
+            on_scheduler_message: Called with the seat of another dispatcher and a message of its scheduler.
+            log: Writes a log line with an event and facts.
+            put_in_force: Puts a configuration in force; None keeps the shared configuration off.
+            judge: Judges the texts of proposed configurations; None refuses all.
         """
         self.fleet = fleet
         self.name = name
@@ -119,7 +122,7 @@
                 name,
                 start.birth,
                 own,
-                record,
+                fleet_size,
                 fleet.contacts,
                 seed,
                 fleet.period_ms,
@@ -142,7 +145,7 @@
         self._seed = seed
         self._on_scheduler_message = on_scheduler_message
         self._log = log
-        self._in_force = in_force
+        self._put_in_force = put_in_force
         self._judge = judge
         self._transport: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
@@ -152,27 +155,27 @@
         self._logged_state: tuple[object, ...] = ()
 
     async def start(self) -> None:
-        """Put the kept configuration in force, open the sockets, and start the council's part.
+        """Put the stored configuration in force, open the sockets, and start the council's part.
 
         Raises:
             OSError: The fleet's address can't be bound.
         """
         host, _, port = (self.fleet.bind or self.fleet.place).rpartition(":")
         loop = asyncio.get_running_loop()
-        if self.fleet.council is not None and self._in_force is not None:
-            await self._start_config(self.fleet.council, host, self._in_force)
+        if self.fleet.council is not None and self._put_in_force is not None:
+            await self._start_config(self.fleet.council, host, self._put_in_force)
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: DatagramReceiver(self.datagram_received), local_addr=(host, int(port))
         )
         self._server = await listen(lambda: PeerStream(self).conn, f"{host}:{port}", MAX_STREAMS)
-        self._timer_due()
+        self._timer_fired()
         if self.fleet.council is not None:
             await self._start_council(self.fleet.council, host)
 
-    # The modules of the council and the configuration are imported only where the settings name a council:
-    # a dispatcher without one does not pay for them.
+    # The modules of the council and the configuration are imported only where the settings name a council, so
+    # that a dispatcher without a council needs neither the time nor the memory for them.
 
-    async def _start_config(self, council: CouncilSettings, host: str, in_force: PutInForce) -> None:
+    async def _start_config(self, council: CouncilSettings, host: str, put_in_force: PutInForce) -> None:
         from cherrygrade.fleet.runtime.config_exchange import ConfigExchange
 
         self.config = ConfigExchange(
@@ -183,7 +186,7 @@
             host,
             self._seed,
             self.clock,
-            in_force,
+            put_in_force,
             self.apply_effects,
             self._log,
         )
@@ -219,13 +222,17 @@
         return member.info.address if member is not None and member.info is not None else None
 
     def _members_for_tasks(self) -> list[str]:
-        """Return living members by name; nobody while this dispatcher is cut off or overloaded."""
+        """Return the names of living members; none while this dispatcher is cut off or overloaded."""
         if self.membership.partition_state is not PartitionState.MAJORITY:
             return []
         return [member.name for member in self.membership.table.living()]
 
     def accept_operator(self, conn: Connection) -> AdminServer | None:
-        """Take the connection of an operator's command; None where there are too many, or no council."""
+        """Serve the connection of an operator's command.
+
+        Returns:
+            None where MAX_OPERATORS connections are open, or the settings name no council.
+        """
         from cherrygrade.fleet.runtime.admin_server import MAX_OPERATORS, AdminServer
 
         if self.config is None or self.council_server is None:
@@ -238,22 +245,20 @@
         self.operator_connections[connection] = None
         return connection
 
-    # For the dispatcher.
-
     def send_scheduler_message(self, peer: int | None, payload: bytes) -> None:
-        """Send a scheduler's message to the dispatcher at a seat, or to all (None)."""
+        """Send a message of this dispatcher's scheduler to the seat `peer`, or (None) to all dispatchers."""
         self.apply_effects(self.membership.send_payload(peer, payload))
 
     def attempt_finished(self, attempt: Attempt) -> None:
-        """Learn from an attempt's outcome whether its node can be reached."""
+        """Record from an attempt's outcome whether its storage node can be reached."""
         contact = CONTACT_BY_OUTCOME.get(attempt.outcome) if attempt.outcome is not None else None
         if contact is not None:
-            mark = crc32(attempt.node.address.encode()) & NODE_MARK_BITS
-            self.node_addresses[mark] = attempt.node.address
-            self.membership.attempt_ended(mark, contact, self.clock())
+            node_hash = crc32(attempt.node.address.encode()) & NODE_HASH_MASK
+            self.node_addresses[node_hash] = attempt.node.address
+            self.membership.attempt_ended(node_hash, contact, self.clock())
 
     def leave(self) -> None:
-        """Give leases back and tell members that this dispatcher leaves; `close` follows."""
+        """Release all leases and notify members that this dispatcher leaves; `close` is to be called next."""
         if self.lease_tasks is not None:
             self.lease_tasks.leave()
         if self.config is not None:
@@ -281,17 +286,15 @@
             self.council_server.close()
 
     def status(self) -> dict[str, Any]:
-        """Return what `cherrygrade fleet status` shows."""
+        """Return the status that `cherrygrade fleet status` shows, as JSON values."""
         return agent_status(self)
 
     def counts(self) -> dict[str, int]:
-        """Return the counters of this dispatcher's part, for status and the log."""
+        """Return the counters for the status and the log."""
         return agent_counts(self)
 
-    # Events.
-
     def datagram_received(self, data: bytes, source: tuple[str, int]) -> None:
-        """Take a datagram; it is read in its turn."""
+        """Queue a datagram; it is decoded within the inbound budget."""
         self.received += 1
         self.received_bytes += len(data)
         self.inbound_budget.arrived(message_tag(data), len(data), (data, source), self.clock())
@@ -299,10 +302,10 @@
             self._read_next()
 
     def _has_unread_datagrams(self) -> bool:
-        """Return whether datagrams wait, here or in the kernel.
+        """Return whether datagrams wait to be decoded, in the inbound budget or in the kernel.
 
-        The event loop reads one datagram a turn, and timers run between: without this, a member whose answer
-        waits would be accused after this process did not run for a while.
+        The event loop reads one datagram per iteration, and timers run between. Without this check, a member
+        whose ack is waiting would be accused after this process was not scheduled for a while.
         """
         if self.inbound_budget.waiting:
             return True
@@ -314,7 +317,7 @@
         return bool(poll.poll(0))
 
     def _read_next(self) -> None:
-        """Read one datagram; one a turn of the event loop, so that RPCs go between them."""
+        """Decode and handle one datagram; one per event-loop iteration, so that requests go between."""
         self._read_timer = None
         now = self.clock()
         waiting = self.inbound_budget.next(now)
@@ -324,18 +327,16 @@
             if message is not None:
                 effects = self.membership.receive(message, f"{source[0]}:{source[1]}", now)
                 self.apply_effects(effects, source, len(data))
-        due = self.inbound_budget.next_ready_ms(now)
-        if due is not None and self._read_timer is None:
-            self._read_timer = asyncio.get_running_loop().call_at(due / 1000.0, self._read_next)
+        ready_ms = self.inbound_budget.next_ready_ms(now)
+        if ready_ms is not None and self._read_timer is None:
+            self._read_timer = asyncio.get_running_loop().call_at(ready_ms / 1000.0, self._read_next)
 
-    def _timer_due(self) -> None:
+    def _timer_fired(self) -> None:
         self._timer = None
         self.membership.over_budget = self.inbound_budget.over_budget
         self.membership.has_unread = self._has_unread_datagrams()
         self.apply_effects(self.membership.tick(self.clock() + TIMER_GRAIN_MS))
 
-    # Effects.
-
     def apply_effects(
         self,
         effects: Effects,
@@ -345,16 +346,17 @@
         """Carry out effects of the membership, and set the timer anew.
 
         Args:
-            effects: What to carry out.
-            source: Where the datagram came from that the effects' answers go back to.
-            max_answer_bytes: An answer is no longer than the datagram: nobody can use it to flood others.
+            effects: The effects.
+            source: The sender of the datagram that the effects answer; replies are sent to it.
+            max_answer_bytes: The longest reply. Replies are no longer than the datagram that they answer, so
+                that a forged sender address can't be used to flood others.
         """
-        for place, message in effects.messages:
-            self._send(message, parse_address(place), MAX_DATAGRAM_BYTES)
+        for address, message in effects.messages:
+            self._send(message, parse_address(address), MAX_DATAGRAM_BYTES)
         for message in effects.replies:
             self._send(message, source, max_answer_bytes)
-        for name, place in effects.table_exchanges:
-            self._start_exchange(name, place)
+        for name, address in effects.table_exchanges:
+            self._start_exchange(name, address)
         for seat, payload in effects.scheduler_messages:
             self._on_scheduler_message(seat, payload)
         if effects.config_reports and self.config is not None:
@@ -363,13 +365,13 @@
         self._set_timer()
 
     def _set_timer(self) -> None:
-        due = self.membership.next_tick_ms()
-        if due < NEVER_MS and (self._timer is None or due < self._timer_at_ms - MIN_TIMER_CHANGE_MS):
+        tick_ms = self.membership.next_tick_ms()
+        if tick_ms < NEVER_MS and (self._timer is None or tick_ms < self._timer_at_ms - MIN_TIMER_CHANGE_MS):
             if self._timer is not None:
                 self._timer.cancel()
-            self._timer_at_ms = due
-            at_s = max(due, self.clock()) / 1000.0
-            self._timer = asyncio.get_running_loop().call_at(at_s, self._timer_due)
+            self._timer_at_ms = tick_ms
+            at_s = max(tick_ms, self.clock()) / 1000.0
+            self._timer = asyncio.get_running_loop().call_at(at_s, self._timer_fired)
 
     def _send(self, message: AnyMessage, to: tuple[str, int] | None, max_bytes: int) -> None:
         if to is None or self._transport is None or self._transport.is_closing():
@@ -384,14 +386,14 @@
         self.sent += 1
         self.sent_bytes += len(data)
 
-    def _start_exchange(self, name: str, place: str) -> None:
-        to = parse_address(place)
+    def _start_exchange(self, name: str, address: str) -> None:
+        to = parse_address(address)
         if to is not None and len(self.streams) < MAX_STREAMS:
             stream = PeerStream(self, name)
             stream.task = asyncio.get_running_loop().create_task(stream.connect(to))
 
     def _log_state(self) -> None:
-        """Log a line where this dispatcher's side of a partition, or the owner of its seat, changed."""
+        """Log a line when this dispatcher's partition state, or the owner of its seat, has changed."""
         membership = self.membership
         state = (membership.partition_state, membership.superseded_by, membership.seat_yielded_to)
         if state == self._logged_state:
--- a/cherrygrade/fleet/runtime/lease_exercise.py
+++ b/cherrygrade/fleet/runtime/lease_exercise.py
@@ -1,7 +1,8 @@
-"""Exercises the leases: while one is held, orders with its number go to a receiver.
+"""Exercises the leases: while a lease is held, orders with its number are sent to a receiver.
 
-The receiver carries out an order only where its lease number is not lower than one before. It shows operators
-that leases are granted, renewed and taken over, and tests that no two holders act at once.
+The receiver carries out an order only where its lease number is not lower than that of an earlier order. The
+exercise shows operators that leases are granted, renewed and taken over, and tests that no two holders act at
+the same time.
 """
 
 from __future__ import annotations
@@ -13,18 +14,18 @@
 from cherrygrade.fleet.leases.lease_holder import LeaseHolder
 from cherrygrade.fleet.runtime.addresses import parse_address
 
-ORDER_INTERVAL_S = 0.1
+ORDER_INTERVAL_S = 0.1  # between two rounds of orders, and before the connection is opened again
 
 
 class LeaseExercise:
-    """Sends the orders of all exercise tasks that are held, on one connection.
+    """Sends orders for all exercise tasks whose leases are held, over one connection.
 
     Attributes:
-        holder: Holds the leases.
-        clock: Tells the time, in ms.
+        holder: The leases that this dispatcher holds.
+        clock: Returns the time in ms.
         receiver: `IP:PORT` of the receiver.
         source: The IP address that the connection is made from.
-        count: Orders sent, in all.
+        order_count: Orders sent, in total.
     """
 
     def __init__(self, holder: LeaseHolder, clock: Callable[[], float], receiver: str, source: str) -> None:
@@ -32,46 +33,46 @@
         self.clock = clock
         self.receiver = receiver
         self.source = source
-        self.count = 0
+        self.order_count = 0
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self) -> None:
-        """Stop at once."""
+        """Stop sending orders, without waiting for one in flight."""
         self._task.cancel()
 
     async def _run(self) -> None:
         while True:
             try:
-                to = parse_address(self.receiver)
-                assert to is not None  # checked with the settings
-                reader, writer = await asyncio.open_connection(*to, local_addr=(self.source, 0))
+                address = parse_address(self.receiver)
+                assert address is not None  # the settings were checked for it
+                reader, writer = await asyncio.open_connection(*address, local_addr=(self.source, 0))
                 try:
                     await self._send_orders(reader, writer)
                 finally:
                     writer.close()
             except (OSError, ValueError, asyncio.IncompleteReadError):
-                pass  # the receiver is down, or sent no JSON: connect again
+                pass  # the receiver is down, or its reply is not JSON: connect again
             await asyncio.sleep(ORDER_INTERVAL_S)
 
     async def _send_orders(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         holder, clock = self.holder, self.clock
         while True:
             for task in [*holder.held]:
-                number = holder.fencing_number(task, clock())  # right before the write: it may have ended
+                number = holder.fencing_number(task, clock())  # right before the write: it may have expired
                 if not number:
                     continue
-                self.count += 1
+                self.order_count += 1
                 order = {
                     "task": task,
                     "number": number,
                     "holder": holder.name,
                     "birth": holder.incarnation,
-                    "count": self.count,
+                    "count": self.order_count,
                 }
                 writer.write(json.dumps(order).encode() + b"\n")
                 holder.track_order(task, number, 1)
                 line = await reader.readuntil(b"\n")
                 holder.track_order(task, number, -1)
-                if not json.loads(line)["done"]:  # the receiver knows a later holder: this lease is over
+                if not json.loads(line)["done"]:  # the receiver has seen a later holder: the lease is lost
                     holder.held.pop(task, None)
             await asyncio.sleep(ORDER_INTERVAL_S)
--- a/cherrygrade/fleet/runtime/lease_tasks.py
+++ b/cherrygrade/fleet/runtime/lease_tasks.py
@@ -1,7 +1,7 @@
-"""Tasks that this dispatcher does for the fleet while it holds their leases.
+"""Runs the tasks that this dispatcher does for the fleet while it holds their leases.
 
-The decisions are `leases/lease_holder.py`'s (what is held and for how long) and `leases/lease_client.py`'s
-(which free tasks to take); here their requests go to the council.
+`leases/lease_holder.py` decides which leases are held and until when, and `leases/lease_client.py` decides
+which free tasks to acquire. This module sends their requests to the council.
 """
 
 from __future__ import annotations
@@ -27,22 +27,22 @@
 from cherrygrade.fleet.runtime.lease_exercise import LeaseExercise
 from cherrygrade.settings import CouncilSettings
 
-TICK_INTERVAL_S = 0.05
-REQUEST_TIMEOUT_S = 2.0
-MAX_REQUESTS = 8  # at once, before another look for free tasks
+TICK_INTERVAL_S = 0.05  # between two ticks of the holder and the client
+REQUEST_TIMEOUT_S = 2.0  # for one request to the council
+MAX_REQUESTS = 8  # in flight; beyond that no free tasks are requested
 
 
 class LeaseTaskRunner:
     """Acquires, renews and releases the leases of tasks.
 
     Attributes:
-        council_server: The way to the council.
+        council_server: Sends requests to the council.
         council: The council's settings.
-        clock: The time in ms.
-        holder: The leases that are held here.
-        client: The tasks that this dispatcher would take.
-        requests: Requests to the council that have not ended; each ends by its reply or its timeout.
-        exercise: Sends orders for the exercise tasks, where the settings name a receiver.
+        clock: Returns the time in ms.
+        holder: The leases that this dispatcher holds.
+        client: The tasks that this dispatcher may acquire.
+        requests: Requests to the council in flight; each ends by its reply or its timeout.
+        exercise: Sends orders for the exercise tasks; None where the settings name no receiver.
     """
 
     def __init__(
@@ -57,17 +57,20 @@
         """Take the settings and callbacks; `start` begins.
 
         Args:
-            council_server: The way to the council.
+            council_server: Sends requests to the council.
             council: The council's settings.
-            seed: Of random choices.
+            seed: Seeds random choices.
             clock: Returns the time in ms.
-            living: Returns living members by name; nobody while this dispatcher may do nothing for the fleet.
-            log: Writes a line with an event and facts.
+            living: Returns the names of living members; an empty list while this dispatcher is cut off or
+                overloaded, and may do no tasks for the fleet.
+            log: Writes a log line with an event and facts.
         """
         self.council_server = council_server
         self.council = council
         self.clock = clock
-        self.holder = LeaseHolder(council_server.name, council_server.birth, council.lease_ms, council.drift)
+        self.holder = LeaseHolder(
+            council_server.name, council_server.incarnation, council.lease_ms, council.drift
+        )
         self.client = LeaseClient(council_server.name, seed, clock())
         self.requests: set[asyncio.Task[None]] = set()
         self.exercise: LeaseExercise | None = None
@@ -78,7 +81,7 @@
             self.client.add_task(task)
 
     def start(self) -> None:
-        """Begin to look for free tasks."""
+        """Start the exercise, where the settings name a receiver, and the ticks."""
         if self.council.drills and self.council.receiver:
             self.exercise = LeaseExercise(
                 self.holder, self.clock, self.council.receiver, self.council_server.source
@@ -86,12 +89,12 @@
         self._tick()
 
     def leave(self) -> None:
-        """Release all leases now, so that others need not wait for their end; take none from now on."""
+        """Release all leases, so that other members need not wait for their expiry, and acquire no more."""
         self.client.tasks.clear()
         self._release_all()
 
     def close(self) -> None:
-        """Cancel the timer, all requests and the exercise."""
+        """Cancel the timer and all requests, and stop the exercise."""
         if self._timer is not None:
             self._timer.cancel()
         for request in self.requests:
@@ -100,19 +103,19 @@
             self.exercise.close()
 
     def status(self) -> dict[str, float]:
-        """Return the tasks that are held here, and for how many ms yet."""
+        """Return the tasks whose leases are held here, each with the ms until the lease expires."""
         now = self.clock()
         return {task: round(held.expires_at - now) for task, held in self.holder.held.items()}
 
     def _tick(self) -> None:
         now = self.clock()
-        renew, ended = self.holder.tick(now)
-        for task in ended:
-            self._log("lease over", task=task)
+        renew, expired = self.holder.tick(now)
+        for task in expired:
+            self._log("lease expired", task=task)
         if renew:
             self._start_request(self._renew())
         living = self._living()
-        if not living:  # cut off or overloaded: others do the tasks better
+        if not living:  # this dispatcher is cut off or overloaded: other members are to do its tasks
             self._release_all()
         elif len(self.requests) < MAX_REQUESTS:
             tasks = self.client.poll(now, living, {*self.holder.held})
@@ -133,14 +136,14 @@
         await self.release(task)
 
     async def release(self, task: str, failed: str = "") -> bool:
-        """Give a lease back to the council.
+        """Release a task's lease at the council.
 
         Args:
             task: The task.
-            failed: Why the task could not be done; "" where it was.
+            failed: The reason why the task could not be done; "" where it was done.
 
         Returns:
-            False where an order of the task is still out, or its lease is not held.
+            False where an order of the task is in flight, or the lease is not held.
         """
         number = self.holder.release(task)
         if number:
@@ -149,24 +152,24 @@
 
     async def _request_release(self, task: str, number: int, failed: str = "") -> None:
         request = ReleaseLease(self.holder.start_request(self.clock()), task, number, failed)
-        # Without an answer the lease ends by its time, or a renewal finds that it is not held here.
+        # Without a reply the lease expires, or a renewal finds that it is not held here and releases it.
         with contextlib.suppress(CouncilUnreachableError):
             await self.council_server.request(request, REQUEST_TIMEOUT_S)
 
     async def _renew(self) -> None:
-        asked, same = self.holder.start_renewal(self.clock())
-        request = RenewLeases(asked, self.holder.name, self.holder.incarnation, same)
+        request_id, digest = self.holder.start_renewal(self.clock())
+        request = RenewLeases(request_id, self.holder.name, self.holder.incarnation, digest)
         try:
             reply = await self.council_server.request(request, REQUEST_TIMEOUT_S)
         except CouncilUnreachableError:
-            return  # leases end by their time unless a later renewal is answered
+            return  # the leases expire unless a later renewal succeeds
         if not isinstance(reply, LeasesRenewed):
             return
-        for task in self.holder.record_renewal(asked, reply.numbers, self.clock(), reply.unchanged):
+        for task in self.holder.record_renewal(request_id, reply.numbers, self.clock(), reply.unchanged):
             self._log("lease lost", task=task)
-        strays, self.holder.unheld = self.holder.unheld, {}
-        for task, number in strays.items():
-            self._log("lease given back", task=task, number=number, why="not held here")
+        unheld, self.holder.unheld = self.holder.unheld, {}
+        for task, number in unheld.items():
+            self._log("lease released", task=task, number=number, why="not held here")
             await self._request_release(task, number)
 
     async def _acquire_free(self, tasks: list[str]) -> None:
@@ -177,13 +180,15 @@
                 for task in self.client.tasks_to_acquire(tasks, reply.tasks, self._living(), self.clock()):
                     await self._acquire(task)
         except CouncilUnreachableError:
-            return  # the next look asks again
+            return  # a later tick requests free tasks again
 
     async def _acquire(self, task: str) -> None:
-        asked = self.holder.start_request(self.clock(), task)
-        request = AcquireLease(asked, task, self.holder.name, self.holder.incarnation, self.council.lease_ms)
+        request_id = self.holder.start_request(self.clock(), task)
+        request = AcquireLease(
+            request_id, task, self.holder.name, self.holder.incarnation, self.council.lease_ms
+        )
         reply = await self.council_server.request(request, REQUEST_TIMEOUT_S)
         if isinstance(reply, LeaseAcquired) and self.holder.record_grant(
-            asked, task, reply.outcome.number, self.clock()
+            request_id, task, reply.outcome.number, self.clock()
         ):
             self._log("lease held", task=task, number=reply.outcome.number)
--- a/cherrygrade/fleet/runtime/operator_commands.py
+++ b/cherrygrade/fleet/runtime/operator_commands.py
@@ -1,8 +1,9 @@
 """`cherrygrade fleet config`: an operator's commands on the fleet's configuration.
 
-Each asks one dispatcher, which asks the council, and prints the answer. Exit codes: 0 as asked; 1 refused, or
-not all have it in time; 2 the arguments or the file are wrong, nobody was asked; 3 nobody could tell: no
-dispatcher at the address, or no majority of the council.
+Each command sends a request to one dispatcher, which sends requests to the council, and prints the answer.
+Exit codes: 0 where the command did what it was to do; 1 where it was refused, or not all members have the
+version in time; 2 where the arguments or the file are wrong, and no request was sent; 3 where no dispatcher
+at the address, or no majority of the council, answered.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 EXIT_WRONG_ARGUMENTS: Final = 2
 EXIT_UNREACHABLE: Final = 3
 
-WAIT_INTERVAL_S = 0.3  # between two looks at who is missing
+WAIT_INTERVAL_S = 0.3  # between two queries for the members that lack a version
 
 
 def run_command(command: Coroutine[Any, Any, int]) -> int:
@@ -46,33 +47,33 @@
 
 
 def requester() -> str:
-    """Return who asks, and when by this machine's clock: for people."""
+    """Return the user's name and the time by this machine's clock, as the author of a version."""
     try:
         name = getpass.getuser()
-    except (KeyError, OSError):  # a user id without a name, as in containers
+    except (KeyError, OSError):  # containers may have no name for the user id
         name = str(os.getuid())
     return f"{name} {time.strftime('%Y-%m-%dT%H:%M:%SZ', time.gmtime())}"
 
 
 def new_request_id() -> str:
-    """Return an id that no other command uses."""
+    """Return a request id that no other command uses."""
     return f"{os.getpid()}/{time.time_ns()}"
 
 
-def put_config(file: Path, place: str) -> int:
+def put_config(file: Path, address: str) -> int:
     """Make the record text in `file` the fleet's configuration; return the exit code."""
-    return run_command(_put_file(file, place))
+    return run_command(_put_file(file, address))
 
 
-async def _put_file(file: Path, place: str) -> int:
-    return await _put_text(_read_config(file), place)
+async def _put_file(file: Path, address: str) -> int:
+    return await _put_text(_read_config(file), address)
 
 
 def _read_config(file: Path) -> str:
-    """Return a file's text, where it can be parsed and is not too long.
+    """Return a file's text.
 
     Raises:
-        ConfigNotFoundError: It can't be read or parsed, or is too long.
+        ConfigNotFoundError: The file can't be read or parsed, or is longer than MAX_TEXT_BYTES.
     """
     try:
         text = file.read_text()
@@ -82,75 +83,90 @@
     except (UnicodeDecodeError, RecordSyntaxError) as error:
         raise ConfigNotFoundError(str(error)) from error
     if len(text.encode()) > MAX_TEXT_BYTES:
-        raise ConfigNotFoundError(f"{file} has more than {MAX_TEXT_BYTES} bytes")
+        raise ConfigNotFoundError(f"{file} is too long: expected at most {MAX_TEXT_BYTES} bytes")
     return text
 
 
-async def _put_text(text: str, place: str) -> int:
-    answer = await send_admin_request(place, PutRequest(new_request_id(), text, requester()))
-    moves = "" if answer["stage"] % 2 else "; parts move: it is settled once all of record have said so"
-    print(f"version {answer['number']} {answer['mark']}: agreed{moves}")
-    print(f"`cherrygrade fleet config wait {answer['number']}` tells when it is in force everywhere")
+async def _put_text(text: str, address: str) -> int:
+    answer = await send_admin_request(address, PutRequest(new_request_id(), text, requester()))
+    joint = (
+        "" if answer["stage"] % 2 else "; quotas change: it is settled once all dispatchers have confirmed it"
+    )
+    print(f"version {answer['number']} {answer['mark']}: agreed{joint}")
+    print(f"`cherrygrade fleet config wait {answer['number']}` waits until it is in force everywhere")
     return EXIT_DONE
 
 
-def put_version_again(number: int, place: str) -> int:
+def put_version_again(number: int, address: str) -> int:
     """Put the text of an older version again, as a new version; return the exit code."""
-    return run_command(_put_version_again(number, place))
+    return run_command(_put_version_again(number, address))
 
 
-async def _put_version_again(number: int, place: str) -> int:
-    answer = await send_admin_request(place, ShowRequest(number))
-    return await _put_text(answer["text"], place)
+async def _put_version_again(number: int, address: str) -> int:
+    answer = await send_admin_request(address, ShowRequest(number))
+    return await _put_text(answer["text"], address)
 
 
-def show_config(number: int, place: str) -> int:
-    """Print the versions that are kept, or with a number other than 0 its text; return the exit code."""
-    return run_command(_show_config(number, place))
+def show_config(number: int, address: str) -> int:
+    """Print the stored versions, or the text of version `number` where it is not 0; return the exit code."""
+    return run_command(_show_config(number, address))
 
 
-async def _show_config(number: int, place: str) -> int:
-    answer = await send_admin_request(place, ShowRequest(number))
+async def _show_config(number: int, address: str) -> int:
+    answer = await send_admin_request(address, ShowRequest(number))
     if number:
         print(answer["text"], end="" if answer["text"].endswith("\n") else "\n")
         return EXIT_DONE
-    for line in answer["lines"]:
-        states = [name for name in ("settled", "moving") if answer[name] == line["number"]]
-        print(f"{line['number']:>6} {line['digest'][:16]} {line['length']:>7} bytes  {line['by']}", *states)
+    for version in answer["lines"]:
+        states = [name for name in ("settled", "moving") if answer[name] == version["number"]]
+        print(
+            f"{version['number']:>6} {version['digest'][:16]} {version['length']:>7} bytes  {version['by']}",
+            *states,
+        )
     if answer["council"]:
         print(f"the council: {answer['council']}", file=sys.stderr)
     here = answer["here"]
     in_force = f"version {here['number']} {here['digest'][:16]}" if here["number"] else "its own file"
-    trouble = f"; {here['trouble']}" if here["trouble"] else ""
-    print(f"in force at {place}: {in_force}{'' if here['settled'] else ', not settled'}{trouble}")
+    fault = f"; {here['trouble']}" if here["trouble"] else ""
+    print(f"in force at {address}: {in_force}{'' if here['settled'] else ', not settled'}{fault}")
     return EXIT_UNREACHABLE if answer["council"] else EXIT_DONE
 
 
-def wait_for_version(number: int, place: str, within_s: float, every_s: float = WAIT_INTERVAL_S) -> int:
-    """Wait until a version or a later one is in force at all that live, and settled; return the exit code."""
-    return run_command(_wait_for_version(number, place, within_s, every_s))
+def wait_for_version(number: int, address: str, within_s: float, every_s: float = WAIT_INTERVAL_S) -> int:
+    """Wait until a version or a later one is settled, and in force at all living members.
 
+    Args:
+        number: The version's number.
+        address: IP:PORT of the dispatcher that is queried.
+        within_s: Seconds to wait at most.
+        every_s: Seconds between two queries.
 
-async def _wait_for_version(number: int, place: str, within_s: float, every_s: float) -> int:
+    Returns:
+        The exit code.
+    """
+    return run_command(_wait_for_version(number, address, within_s, every_s))
+
+
+async def _wait_for_version(number: int, address: str, within_s: float, every_s: float) -> int:
     loop = asyncio.get_running_loop()
     deadline = loop.time() + within_s
     printed = ""
     while True:
-        answer = await send_admin_request(place, MissingRequest(number))
+        answer = await send_admin_request(address, MissingRequest(number))
         missing = answer["missing"]
         if answer["settled"] and not any(member["lives"] for member in missing):
             for member in missing:
-                print(f"  not there: {member['name'] or 'nobody'} (seat {member['seat']}): {member['why']}")
-            print(f"version {number} is in force at all that live, and settled")
+                print(f"  not there: {member['name'] or 'unknown'} (seat {member['seat']}): {member['why']}")
+            print(f"version {number} is in force at all living members, and settled")
             return EXIT_DONE
-        text = _waiting_text(number, place, answer)
+        text = _waiting_text(number, address, answer)
         if loop.time() >= deadline:
             raise ConfigRefusedError(
                 text,
-                "Those named serve on with what they have.",
-                "Bring dead ones back; mend what refuses by its key, or put another version.",
+                "The members named there serve on with what they have in force.",
+                "Restart dead members; correct the keys that members refuse, or put another version.",
             )
-        # Reasons change with each look (how long somebody is dead); only a change of names is news.
+        # Reasons change with each query (how long a member is dead); only a change of names is printed.
         names = " ".join(sorted(member["name"] for member in missing)) + str(answer["settled"])
         if names != printed:
             printed = names
@@ -158,11 +174,11 @@
         await asyncio.sleep(every_s)
 
 
-def _waiting_text(number: int, place: str, answer: dict[str, Any]) -> str:
-    lines = [f"version {number}: waits for"]
+def _waiting_text(number: int, address: str, answer: dict[str, Any]) -> str:
+    lines = [f"version {number}: waiting for"]
     for member in answer["missing"]:
         name = member["name"] or f"seat {member['seat']}"
         lines.append(f"  {name}: {member['why']}")
     if not answer["settled"]:
-        lines.append(f"  not settled as {place} knows it")
+        lines.append(f"  not settled, as {address} knows it")
     return "\n".join(lines)
--- a/cherrygrade/fleet/runtime/peer_directory.py
+++ b/cherrygrade/fleet/runtime/peer_directory.py
@@ -1,6 +1,6 @@
-"""The fleet's membership, as the scheduler's `PeerDirectory`.
+"""Presents the fleet's membership to the scheduler, as its `PeerDirectory`.
 
-Free of I/O, clock and randomness: it translates what `membership/membership.py` knows.
+This module is free of I/O, clock and randomness: it converts the knowledge of `membership/membership.py`.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 
 
 class FleetPeerDirectory(PeerDirectory):
-    """Which dispatcher aggregates a node's load, and whether this one may use its part of the quotas.
+    """Answers which dispatcher aggregates a node's load, and whether this dispatcher may use its quotas.
 
     Attributes:
-        membership: The membership that answers.
-        seat: This dispatcher's seat; seats are the scheduler's dispatcher numbers.
-        has_quota: False while the configuration gives this dispatcher no part of the quotas.
+        membership: This dispatcher's membership.
+        seat: This dispatcher's seat, its number in the fleet from 0; the scheduler's dispatcher number.
+        has_quota: False while the configuration gives this dispatcher no quotas.
     """
 
     def __init__(self, membership: Membership, seat: int) -> None:
@@ -26,7 +26,7 @@
 
     @property
     def forfeits_quota(self) -> bool:  # type: ignore[override]
-        """Whether this dispatcher must leave its part of the quotas unused."""
+        """Whether this dispatcher must leave its quotas unused."""
         return self.membership.forfeits_seat or not self.has_quota
 
     def aggregator(self, node: int) -> int:
@@ -36,7 +36,8 @@
     def publishes(self, node: int, now: float) -> bool:
         """Return whether this dispatcher publishes the aggregated load of `node` at `now` (ms).
 
-        One that is cut off or overloaded leaves publishing to others: see `partition.RULES_BY_STATE`.
+        A dispatcher that is cut off or overloaded leaves publishing to others: see
+        `partition.RULES_BY_STATE`.
         """
         aggregators = self.membership.aggregators
         return (
--- a/cherrygrade/fleet/runtime/peer_stream.py
+++ b/cherrygrade/fleet/runtime/peer_stream.py
@@ -1,4 +1,4 @@
-"""A stream to or from another member, or from an operator's command."""
+"""Streams to and from other members, and from operators' commands."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, Bye, Hello, Members, Welcome
 
-EXCHANGE_TIMEOUT_S = 2.0
-MAX_STREAMS = 16  # exchanges and status queries that have not ended
+EXCHANGE_TIMEOUT_S = 2.0  # for connecting, and again for the exchange or status query
+MAX_STREAMS = 16  # table exchanges and status queries in progress
 RECORDS_PER_FRAME = 64
-MAX_FRAMES = 64  # of one exchange
-MAX_REASON_CHARACTERS = 200
+MAX_FRAMES = 64  # that one peer may send in an exchange
+MAX_REASON_CHARACTERS = 200  # of the reason that a refused peer is sent
 
 _records_decoder = msgspec.msgpack.Decoder(list[MemberRecord])
 
 
 class AcceptsMembers(Protocol):
-    """The council server, as streams need it."""
+    """The part of `CouncilServer` that streams use."""
 
     def accept(self, conn: Connection, name: str) -> FramedConnection | None:
-        """Serve a stream of this member; None refuses it."""
+        """Serve a stream of the member `name`; None refuses the stream."""
 
 
 class AcceptsFetches(Protocol):
-    """The configuration exchange, as streams need it."""
+    """The part of `ConfigExchange` that streams use."""
 
     def accept(self, conn: Connection) -> FramedConnection | None:
-        """Serve a stream that fetches; None refuses it."""
+        """Serve a stream that fetches the configuration; None refuses the stream."""
 
 
 class StreamOwner(Protocol):
-    """The fleet agent, as its streams need it; see `FleetAgent`."""
+    """The part of `FleetAgent` that its streams use; the attributes are documented there."""
 
     name: str
     fleet: FleetSettings
@@ -52,38 +52,40 @@
 
     @property
     def council_server(self) -> AcceptsMembers | None:
-        """The council's part, where there is one."""
+        """The council's part; None where the settings name no council."""
 
     @property
     def config(self) -> AcceptsFetches | None:
-        """The configuration's part, where there is one."""
+        """The shared configuration; None where it is off."""
 
     def status(self) -> dict[str, Any]:
         """Return the answer to a status query."""
 
     def accept_operator(self, conn: Connection) -> FramedConnection | None:
-        """Serve an operator's stream; None refuses it."""
+        """Serve the stream of an operator's command; None refuses the stream."""
 
     def apply_effects(self, effects: Effects) -> None:
-        """Carry out what a call of the membership asks for."""
+        """Carry out effects of the membership."""
 
 
 class PeerStream:
-    """One exchange of membership tables, begun here or there, or a stream that another connection serves.
+    """One exchange of membership tables, or an incoming stream for another purpose.
 
-    A stream that came in says in its `Hello` what it is for. All but exchanges and status queries are handed
-    over to a connection of the council, the configuration or the operator's commands.
+    The `Hello` of an incoming stream names its role. Table exchanges and status queries are served here;
+    other streams are handed over to a connection of the council, the configuration or the operators'
+    commands.
 
     Attributes:
-        agent: Whose table is exchanged.
-        target: The member with whom this dispatcher began an exchange; "" for a stream that came in.
-        task: Makes the connection of a stream that began here.
+        agent: The agent whose membership table is exchanged.
+        target: Name of the member with which this dispatcher starts an exchange; "" for an incoming stream.
+        task: Opens the connection of an exchange that this dispatcher starts.
         conn: The connection.
-        peer: The name that the other side gave; "" before.
-        handler: Serves the stream once it was handed over.
+        peer: The name that the peer sent; "" before.
+        handler: Serves the stream after it was handed over; None before.
     """
 
     def __init__(self, agent: StreamOwner, target: str = "") -> None:
+        """Take the agent, and the member with which this dispatcher starts an exchange ("" for none)."""
         self.agent = agent
         self.target = target
         self.task: asyncio.Task[None] | None = None
@@ -95,23 +97,25 @@
         self._timer: asyncio.TimerHandle | None = None
 
     async def connect(self, to: tuple[str, int]) -> None:
-        """Connect to the member with whom this dispatcher begins an exchange."""
+        """Connect to the target at its IP address and port, to start an exchange."""
         host = (self.agent.fleet.bind or self.agent.fleet.place).rpartition(":")[0]
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                 await loop.create_connection(lambda: self.conn, *to, local_addr=(host, 0))
-        except OSError:  # the member is down or cut off: the failure detector finds that out
+        except OSError:  # the member is down or cut off: the failure detector notices that
             self.agent.streams.pop(self, None)
 
     def connected(self, conn: Connection) -> None:
-        """Called by the connection once it is open."""
+        """Called by the connection once it is open; the stream is refused where too many are open."""
         if len(self.agent.streams) >= MAX_STREAMS:
-            conn.close("too many at once")
+            conn.close(f"{MAX_STREAMS} streams are open already")
             return
         self.agent.streams[self] = None
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(EXCHANGE_TIMEOUT_S, conn.abort, "no exchange in time")
+        self._timer = loop.call_later(
+            EXCHANGE_TIMEOUT_S, conn.abort, f"no exchange within {EXCHANGE_TIMEOUT_S:g} s"
+        )
         if self.target:
             conn.send(Hello(VERSION, stream_roles.MEMBER, self.agent.name, [self.agent.fleet.name]))
             self._send_table()
@@ -125,7 +129,7 @@
             self.conn.send(Members(msgspec.msgpack.encode(batch), index == len(batches) - 1))
 
     def room(self, conn: Connection, message: Any, length: int) -> None:
-        """Called by the connection for a frame's body: these messages have none."""
+        """Called by the connection for memory for a frame's body: `Members` frames have none."""
         return
 
     def frame(self, conn: Connection, message: Any, body: object) -> None:
@@ -142,7 +146,11 @@
             conn.close(f"unexpected {type(message).__name__} from a member")
 
     def _hello_received(self, hello: Hello) -> None:
-        """Serve the stream by its role; all but an operator's have to be of this fleet."""
+        """Serve the stream by the role that its `Hello` names.
+
+        Streams of members are refused where they belong to another fleet. Status queries and operators'
+        commands name no fleet.
+        """
         agent, conn = self.agent, self.conn
         if hello.role == stream_roles.STATUS:
             status = json.dumps(agent.status()).encode()
@@ -163,14 +171,14 @@
             config = agent.config
             self._hand_over(config.accept(conn) if config is not None else None, hello.name)
         else:
-            reason = f"not of this fleet: {hello.role} {hello.features[:1]}"
+            reason = f"unknown role or another fleet: role {hello.role}, fleet {hello.features[:1]}"
             conn.close(reason[:MAX_REASON_CHARACTERS])
 
     def _hand_over(self, handler: FramedConnection | None, name: str) -> None:
-        """Leave the stream to `handler`, which has its own timeout or none; None refuses the stream."""
+        """Hand the stream over to `handler`, which sets its own timeout or none; None refuses the stream."""
         self.handler = handler
         if handler is None:
-            self.conn.close("nobody here for that, or too many at once")
+            self.conn.close("role not served by this dispatcher, or too many connections")
             return
         self.peer = name
         if self._timer is not None:
@@ -183,10 +191,10 @@
         try:
             self._records += _records_decoder.decode(message.payload)
         except (msgspec.MsgspecError, UnicodeDecodeError):
-            self.conn.close("claims that can't be read")
+            self.conn.close("membership records can't be decoded")
             return
         if self._frames > MAX_FRAMES:
-            self.conn.close("too many claims")
+            self.conn.close(f"more than {MAX_FRAMES} frames of membership records")
         elif message.last:
             if not self.target:
                 self._send_table()
@@ -197,10 +205,10 @@
                 self.conn.close("exchanged")
 
     def writable(self, conn: Connection) -> None:
-        """Called by the connection when its buffer has room again: nobody waits for that here."""
+        """Called by the connection when its send buffer has space again; no sender here waits for that."""
 
     def closed(self, conn: Connection, why: str) -> None:
-        """Called once when the connection has ended."""
+        """Called once when the connection has ended; a handler is notified first."""
         if self.handler is not None:
             self.handler.closed(conn, why)
         if self._timer is not None:
--- a/cherrygrade/fleet/runtime/status_query.py
+++ b/cherrygrade/fleet/runtime/status_query.py
@@ -1,4 +1,4 @@
-"""Asks a dispatcher for its status, over a stream like those that members exchange tables on."""
+"""Queries a dispatcher's status over a stream to its fleet address."""
 
 from __future__ import annotations
 
@@ -11,60 +11,62 @@
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, Bye, Hello, Members, Welcome
 
-STATUS_TIMEOUT_S = 3.0
+STATUS_TIMEOUT_S = 3.0  # for connecting and the answer together
 
 
 class StatusQuery:
-    """One query; implements the owner's side of `Connection`.
+    """One status query; implements the owner's side of `Connection`.
 
     Attributes:
         conn: The connection.
-        answer: The status, or a ConnectionError where the dispatcher ended the connection first.
+        answer: The status, or a ConnectionError where the connection ended before the status was received.
     """
 
     def __init__(self) -> None:
+        """Create the query; its connection is opened by the caller."""
         self.conn = Connection(self, 0)
         self.answer: asyncio.Future[dict[str, Any]] = asyncio.get_running_loop().create_future()
         self._received = b""
 
     def connected(self, conn: Connection) -> None:
-        """Ask; the role is the whole question."""
+        """Send the query: it is a `Hello` with the role of a status query, and no other message."""
         conn.send(Hello(VERSION, stream_roles.STATUS, "cherrygrade fleet"))
 
     def room(self, conn: Connection, message: Any, length: int) -> None:
-        """Called by the connection for a frame's body: these messages have none."""
+        """Called by the connection for memory for a frame's body: `Members` frames have none."""
         return
 
     def frame(self, conn: Connection, message: Any, body: object) -> None:
-        """Called by the connection with each frame; the status has any length."""
+        """Called by the connection with each frame; a status may have any number of frames."""
         if isinstance(message, Members) and not self.answer.done():
             self._received += message.payload
             if message.last:
                 self.answer.set_result(json.loads(self._received))
-                conn.close("told")
+                conn.close("status received")
         elif isinstance(message, Bye) and not self.answer.done():
             self.answer.set_exception(ConnectionError(message.reason))
         elif not isinstance(message, Welcome | Bye):
             conn.close(f"unexpected {type(message).__name__}")
 
     def writable(self, conn: Connection) -> None:
-        """Called by the connection when its buffer has room again: nobody waits for that here."""
+        """Called by the connection when its send buffer has space again; no sender here waits for that."""
 
     def closed(self, conn: Connection, why: str) -> None:
-        """Fail, where no answer came before."""
+        """Fail the query, where the status was not received before."""
         if not self.answer.done():
             self.answer.set_exception(ConnectionError(why))
 
 
-async def query_status(place: str) -> dict[str, Any]:
-    """Return what the dispatcher at `place` (IP:PORT) knows of its fleet.
+async def query_status(address: str) -> dict[str, Any]:
+    """Return the status of the dispatcher at `address` (IP:PORT); `agent_status` documents it.
 
     Raises:
-        OSError: `place` is no address, or nobody answered there; TimeoutError among them.
+        OSError: `address` is not an IP address with a port, or the dispatcher did not answer; TimeoutError is
+            one of them.
     """
-    to = parse_address(place)
+    to = parse_address(address)
     if to is None:
-        raise OSError(f"{place}: no place")
+        raise OSError(f"expected IP:PORT, got {address!r}")
     async with asyncio.timeout(STATUS_TIMEOUT_S):
         query = StatusQuery()
         await asyncio.get_running_loop().create_connection(lambda: query.conn, *to)
--- a/tests/fleet/runtime/test_config_processes.py
+++ b/tests/fleet/runtime/test_config_processes.py
@@ -316,7 +316,7 @@
         code, told, _ = await commanded("put", str(file), *at)
         assert code == 0 and told.startswith("version 1 "), told
         code, told, _ = await commanded("wait", "1", *at)
-        assert code == 0 and "in force at all that live" in told, told
+        assert code == 0 and "in force at all living members" in told, told
         file.write_text("bounds: most_body: 1000000\n")
         code, told, _ = await commanded("put", str(file), *at)
         assert code == 1 and "bounds.most_body" in told and "serve on" in told, told
--- a/tests/golden/test_status_answers.py
+++ b/tests/golden/test_status_answers.py
@@ -44,7 +44,7 @@
 }}
 """
 EVENTS_BY_TIMING = frozenset(
-    ("configuration settled", "lease held", "lease lost", "lease over", "lease given back")
+    ("configuration settled", "lease held", "lease lost", "lease expired", "lease released")
 )
 """Events that a run may be without, or may have more than once."""
 CHANGE = "plans: plan: limit_rate: 50\n"
