--- a/cherrygrade/fleet/runtime/admin_client.py
+++ b/cherrygrade/fleet/runtime/admin_client.py
@@ -98,7 +98,7 @@
             answer = await client.answer(timeout_s)
         finally:
             client.conn.close("answer received")
-    except OSError as error:  # TimeoutError among them
+    except OSError as error:  # TimeoutError is one of them
         reason = str(error) or f"no answer within {timeout_s:g} s"
         do = "Set --at to another dispatcher."
         raise ConfigUnreachableError(f"{address} does not answer: {reason}", "", do) from error
--- a/cherrygrade/fleet/runtime/config_connections.py
+++ b/cherrygrade/fleet/runtime/config_connections.py
@@ -73,7 +73,7 @@
             async with asyncio.timeout(FETCH_TIMEOUT_S):
                 await loop.create_connection(lambda: self.conn, *to, local_addr=(source, 0))
             self._timer = loop.call_later(FETCH_TIMEOUT_S, self.conn.abort, "no content in time")
-        except OSError as error:  # TimeoutError among them
+        except OSError as error:  # TimeoutError is one of them
             self.fail(f"no connection: {error.strerror or error or 'no answer in time'}")
 
     def connected(self, conn: Connection) -> None:
--- a/cherrygrade/fleet/runtime/config_coverage.py
+++ b/cherrygrade/fleet/runtime/config_coverage.py
@@ -92,7 +92,7 @@
             del self.reports[next(iter(self.reports))]
 
     async def missing(self, number: int, replica: ConfigReplica) -> list[MissingMember]:
-        """Return all seats of the fleet that are not known to have version `number` or a later one in force.
+        """Return all members and seats not known to have version `number` or a later one in force.
 
         Living members are queried, and have REPLY_TIMEOUT_S to answer.
         """
@@ -106,13 +106,13 @@
         queried_ms = self._clock()
         if lacking:
             await asyncio.sleep(REPLY_TIMEOUT_S)
-        found: list[MissingMember] = []
+        missing: list[MissingMember] = []
         if own.stage < 2 * number:
-            found.append(_late(self._membership.name, -1, replica.stage, replica.status()))
+            missing.append(_late(self._membership.name, -1, replica.stage, replica.status()))
         for member in lacking:
             if self._stage(member) < 2 * number:
-                found.append(self._late_member(member, queried_ms, member in queried))
-        return found + self._dead_members() + self._unknown_seats()
+                missing.append(self._late_member(member, queried_ms, member in queried))
+        return missing + self._dead_members() + self._unknown_seats()
 
     def _lacking_members(self, number: int, own: OwnAdvert) -> list[Member]:
         """Return living members that neither their own report nor the seat bitmap shows on the version."""
@@ -143,7 +143,7 @@
 
     def _dead_members(self) -> list[MissingMember]:
         """Return members that left or failed and whose seat, one of the fleet's, no living member has."""
-        found = []
+        missing = []
         living = self._living_seats()
         now_ms = asyncio.get_running_loop().time() * 1000.0
         for member in self._membership.table.dead():
@@ -151,8 +151,8 @@
                 has_left = member.state is MemberState.LEFT
                 reason = "left the fleet" if has_left else "dead, or cut off from this dispatcher"
                 since_s = round((now_ms - member.state_since_ms) / 1000.0)
-                found.append(MissingMember(member.name, member.seat, f"{reason}, for {since_s} s", False))
-        return found
+                missing.append(MissingMember(member.name, member.seat, f"{reason}, for {since_s} s", False))
+        return missing
 
     def _unknown_seats(self) -> list[MissingMember]:
         known = self._living_seats() | {member.seat for member in self._membership.table.dead()}
--- a/cherrygrade/fleet/runtime/lease_exercise.py
+++ b/cherrygrade/fleet/runtime/lease_exercise.py
@@ -1,6 +1,6 @@
 """Exercises the leases: while a lease is held, orders with its number are sent to a receiver.
 
-The receiver carries out an order only where its lease number is not lower than that of an earlier order. The
+The receiver carries out an order only where its lease number is not lower than that of any earlier order. The
 exercise shows operators that leases are granted, renewed and taken over, and tests that no two holders act at
 the same time.
 """
--- a/tests/fleet/runtime/test_config_in_force.py
+++ b/tests/fleet/runtime/test_config_in_force.py
@@ -1,4 +1,8 @@
-"""A configuration comes into force in one dispatcher: whole or not at all, between two rounds."""
+"""A version of the configuration is put in force in one dispatcher.
+
+It must be applied completely or not at all, between two rounds of the scheduler. The tests compare all
+settings that depend on a configuration before and after a version is put in force.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +26,7 @@
 from cherrygrade.gateway.process import Gateway
 from cherrygrade.records.load import RecordError, read_site
 
-OWN = """
+OWN_FILE = """
 place: {{name: "d{number}", listen: "127.0.0.1:0", register: "{register}", number: {number}, dispatchers: 3}}
 workloads: {{
 	read: {{soft_ms: 200, deadline_ms: 3000, value: 3}}
@@ -41,7 +45,7 @@
 	council: {{voters: ["d0"], folder: "{folder}/store"}}
 }}
 """
-ALL = """
+VERSION_TEXT = """
 plans: gold: {usual_rate: 500, limit_rate: 30, limit_depth: 12, weight: 5, price: 2}
 workloads: read: {soft_ms: 100, deadline_ms: 2000, value: 4}
 workloads: scan: {soft_ms: 1000, deadline_ms: 4000}
@@ -54,41 +58,45 @@
 """
 
 
-def version(number: int, text: str, old: QuotaDivisors | None = None) -> ConfigVersion:
-    return ConfigVersion(number, NO_DIGEST, text, "a test", 0.0, old, number if old else 0)
+def version(number: int, text: str, old_divisors: QuotaDivisors | None = None) -> ConfigVersion:
+    return ConfigVersion(number, NO_DIGEST, text, "a test", 0.0, old_divisors, number if old_divisors else 0)
 
 
-class One:
-    """One dispatcher that votes alone, with a node and a client."""
+class SingleDispatcher:
+    """One dispatcher that is its council's only voter, with a storage node and a client."""
 
-    def __init__(self, house: GatewaySite, folder: Path) -> None:
-        self.house, self.folder = house, folder
+    def __init__(self, gateway_site: GatewaySite, folder: Path) -> None:
+        self.gateway_site, self.folder = gateway_site, folder
 
-    async def open(self, number: int = 0, *, own: str = OWN, kept: StoredConfig | None = None) -> Gateway:
-        if not self.house.nodes:
-            await self.house.node(0)
-            await self.house.register.start()
+    async def open(
+        self, number: int = 0, *, own: str = OWN_FILE, stored: StoredConfig | None = None
+    ) -> Gateway:
+        """Start the dispatcher with seat `number` and its own settings file, and optionally a stored version."""
+        if not self.gateway_site.nodes:
+            await self.gateway_site.node(0)
+            await self.gateway_site.register.start()
             create_founding_store(self.folder / "store", "one", "d0", ["d0"])
         self.file = self.folder / f"d{number}.rec"
-        place = f"127.0.0.1:{free_ports(1)[0]}"
-        more = {"number": number, "register": self.house.register.address, "place": place}
-        self.file.write_text(own.format(folder=self.folder, **more))
-        if kept is not None:
-            SealedFile(self.folder / "kept").save(msgspec.msgpack.encode(kept))
+        address = f"127.0.0.1:{free_ports(1)[0]}"
+        fields = {"number": number, "register": self.gateway_site.register.address, "place": address}
+        self.file.write_text(own.format(folder=self.folder, **fields))
+        if stored is not None:
+            SealedFile(self.folder / "kept").save(msgspec.msgpack.encode(stored))
         site = read_site(self.file)
         gateway = Gateway(
             site.place, site.trade, site.bearings, site.bounds, site.lines,
-            lambda event, **facts: self.house.logs.append((event, facts)),
+            lambda event, **facts: self.gateway_site.logs.append((event, facts)),
             cuts=site.cuts, pace=site.pace, fleet=site.fleet, origin=origin_of(site),
             overlay=Overlay(self.file, (), site),
         )  # fmt: skip
         gateway.address = f"127.0.0.1:{await gateway.start()}"  # type: ignore[attr-defined]
-        self.house.gateways.append(gateway)
+        self.gateway_site.gateways.append(gateway)
         while not gateway.nodes.by_address:
             await asyncio.sleep(0.005)
         return gateway
 
-    async def sure(self, gateway: Gateway) -> None:
+    async def wait_until_certain(self, gateway: Gateway) -> None:
+        """Wait until the dispatcher knows the fleet's version for certain, and has its quotas."""
         while not gateway._sure():
             await asyncio.sleep(0.01)
         gateway.rounds.stir()
@@ -96,8 +104,8 @@
         assert not gateway.company.forfeits_quota
 
 
-def told(gateway: Gateway) -> dict[str, Any]:
-    """All that hangs on a configuration."""
+def applied_settings(gateway: Gateway) -> dict[str, Any]:
+    """Return all values in a gateway that depend on the configuration in force."""
     scheduler, rooms = gateway.rounds.module, gateway.rooms
     settings, admission = scheduler.settings, scheduler.admission
     return {
@@ -124,29 +132,32 @@
             scheduler.peers.forfeits_quota,
         ),
         "volumes": {
-            name: (one.plan, one.dispatchers, one.usual_capacity, one.reserve_capacity)
-            for name, one in scheduler.volumes.items()
+            name: (volume.plan, volume.dispatchers, volume.usual_capacity, volume.reserve_capacity)
+            for name, volume in scheduler.volumes.items()
         },
         "node queues": [
             queue.tightest_objective_ms for queue in [*scheduler.node_queues.values(), scheduler.unplaced]
         ],
-        "rooms": (dict(rooms._works), {name: (one[0].weight, one[1]) for name, one in rooms._shares.items()}),
+        "rooms": (
+            dict(rooms._works),
+            {name: (share[0].weight, share[1]) for name, share in rooms._shares.items()},
+        ),
         "store": (rooms.store.in_share, rooms.store.beyond),
         "record": gateway.agent.membership.fleet_size,
         "stage": gateway._in_force[2],
     }
 
 
-def test_all_that_hangs_on_a_version_goes_over_at_once(tmp_path):
-    async def story(house: GatewaySite) -> None:
-        one = One(house, tmp_path)
-        gateway = await one.open()
-        await one.sure(gateway)
-        client = house.client(gateway)
+def test_all_values_that_depend_on_a_version_are_replaced_together(tmp_path):
+    async def scenario(gateway_site: GatewaySite) -> None:
+        dispatcher = SingleDispatcher(gateway_site, tmp_path)
+        gateway = await dispatcher.open()
+        await dispatcher.wait_until_certain(gateway)
+        client = gateway_site.client(gateway)
         assert isinstance(await client.write("write", "v", "k", b"x", shard=0, deadline_ms=2000), Ok)
-        assert await gateway.in_force(version(1, ALL), 3) == ""
-        site = gateway.overlay.site(ALL)
-        fresh = {
+        assert await gateway.in_force(version(1, VERSION_TEXT), 3) == ""
+        site = gateway.overlay.site(VERSION_TEXT)
+        expected = {
             "trade": site.trade,
             "bounds": site.bounds,
             "come_back_ms": (700.0, 700.0),
@@ -168,24 +179,24 @@
             "record": 3,
             "stage": 3,
         }
-        assert told(gateway) == fresh
+        assert applied_settings(gateway) == expected
         assert isinstance(await client.write("scan", "x", "k", b"x", shard=0, deadline_ms=3000), Ok)
-        assert await gateway.in_force(version(2, ""), 5) == ""  # and back to its own file
+        assert await gateway.in_force(version(2, ""), 5) == ""  # back to the dispatcher's own file
         assert gateway.trade == gateway.overlay.own.trade
         assert gateway.rounds.module.admission.retry_budget.settings is None
 
-    run(story)
+    run(scenario)
 
 
 @pytest.mark.parametrize("broken", ["terms", "rooms"])
-def test_a_fault_while_it_is_built_leaves_everything_as_it_was_and_tells_why(tmp_path, monkeypatch, broken):
-    async def story(house: GatewaySite) -> None:
-        one = One(house, tmp_path)
-        gateway = await one.open()
-        await one.sure(gateway)
-        client = house.client(gateway)
+def test_error_while_a_version_is_applied_leaves_everything_unchanged(tmp_path, monkeypatch, broken):
+    async def scenario(gateway_site: GatewaySite) -> None:
+        dispatcher = SingleDispatcher(gateway_site, tmp_path)
+        gateway = await dispatcher.open()
+        await dispatcher.wait_until_certain(gateway)
+        client = gateway_site.client(gateway)
         await client.write("write", "v", "k", b"x", shard=0, deadline_ms=2000)
-        before = told(gateway)
+        before = applied_settings(gateway)
         if broken == "terms":
             text = "place: dispatchers: 3"
             monkeypatch.setattr(inforce, "max", lambda *_, **__: 1 / 0, raising=False)
@@ -194,122 +205,128 @@
             monkeypatch.setattr("cherrygrade.peers.rooms.Share", lambda *_: 1 / 0)
         with pytest.raises(ZeroDivisionError):
             await gateway.in_force(version(1, f"{text}\nvolumes: x: plan: plans.gold"), 3)
-        assert told(gateway) == before
+        assert applied_settings(gateway) == before
         monkeypatch.undo()
         assert isinstance(await client.write("write", "v", "k", b"y", shard=0, deadline_ms=2000), Ok)
 
-    run(story)
+    run(scenario)
 
 
-WRONG = [
+UNUSABLE_TEXTS = [
     ("lines: most: 9", "needs a restart: lines.most"),
     ('workloads: read: {deadline_ms: 3000, effect: "tokened"}', "needs a restart: workloads.read.effect"),
     ("earnings: mean_units: 3", "needs a restart: earnings.mean_units"),
     ("place: number: 0", "needs a restart: place.number"),
     ("plans: gold: limit_rate: -1", "plans.gold.limit_rate"),
     ("plans: gold: {limit_rate: 5, limit_depth: 0}", "plans.gold.limit_depth: 0, but limit_rate is set"),
-    # As an older program reads what a newer one knows.
+    # What an earlier version of the program meets in a text for a newer one.
     ("plans: gold: limit_rat: 5", "plans.gold: no field 'limit_rat'"),
     ("forecast: window_ms: 5", "forecast"),
     ("plans: gold: {limit_rate", "configuration:"),
 ]
 
 
-@pytest.mark.parametrize("text, why", WRONG)
-def test_what_cannot_come_into_force_is_refused_with_its_key_before_and_where_it_comes(tmp_path, text, why):
-    async def story(house: GatewaySite) -> None:
-        one = One(house, tmp_path)
-        gateway = await one.open(1, own=OWN.replace('voters: ["d0"]', 'voters: ["d9"]'))
-        before = told(gateway)
+@pytest.mark.parametrize("text, reason", UNUSABLE_TEXTS)
+def test_unusable_text_is_refused_with_its_key_by_the_judge_and_when_applied(tmp_path, text, reason):
+    async def scenario(gateway_site: GatewaySite) -> None:
+        dispatcher = SingleDispatcher(gateway_site, tmp_path)
+        gateway = await dispatcher.open(1, own=OWN_FILE.replace('voters: ["d0"]', 'voters: ["d9"]'))
+        before = applied_settings(gateway)
         judged = gateway.overlay.judge("", text)
-        assert why in judged[0] and judged[1:] == (None, None)
+        assert reason in judged[0] and judged[1:] == (None, None)
         assert await gateway.in_force(version(1, text), 3) == judged[0]
-        assert told(gateway) == before
+        assert applied_settings(gateway) == before
 
-    run(story)
+    run(scenario)
 
 
-def test_a_limit_that_is_lowered_cuts_the_store_at_once(tmp_path):
-    async def story(house: GatewaySite) -> None:
-        one = One(house, tmp_path)
-        gateway = await one.open()
-        await one.sure(gateway)
-        client = house.client(gateway)
+def test_lowered_limit_cuts_a_volumes_stored_tokens_at_once(tmp_path):
+    async def scenario(gateway_site: GatewaySite) -> None:
+        dispatcher = SingleDispatcher(gateway_site, tmp_path)
+        gateway = await dispatcher.open()
+        await dispatcher.wait_until_certain(gateway)
+        client = gateway_site.client(gateway)
         await client.write("write", "v", "k", b"x", shard=0, deadline_ms=2000)
         await asyncio.sleep(0.5)
-        due = gateway.rounds.module.volumes["v"]
-        due.refill(gateway.clock())
-        assert due.limit_tokens > 35.0  # of 120 over three
+        volume = gateway.rounds.module.volumes["v"]
+        volume.refill(gateway.clock())
+        assert volume.limit_tokens > 35.0  # a third of 120: there are three dispatchers
         lower = "plans: gold: {usual_rate: 1000, limit_rate: 30, limit_depth: 12}"
         assert await gateway.in_force(version(1, lower), 3) == ""
-        assert due.limit_tokens <= 4.0 and gateway.rounds.module.volumes["v"] is due
-        goes = [client.write("write", "v", f"k{at}", b"x", shard=0, deadline_ms=400) for at in range(20)]
-        answers = await asyncio.gather(*goes)
+        assert volume.limit_tokens <= 4.0 and gateway.rounds.module.volumes["v"] is volume
+        writes = [
+            client.write("write", "v", f"k{index}", b"x", shard=0, deadline_ms=400) for index in range(20)
+        ]
+        answers = await asyncio.gather(*writes)
         assert sum(isinstance(answer, Ok) for answer in answers) <= 4 + 10 * 0.45 + 1
 
-    run(story)
+    run(scenario)
 
 
-def test_what_is_held_goes_on_under_the_workload_that_it_was_taken_with(tmp_path):
-    async def story(house: GatewaySite) -> None:
-        one = One(house, tmp_path)
-        own = OWN.replace("limit_rate: 300, limit_depth: 120", "limit_rate: 12, limit_depth: 6")
-        gateway = await one.open(own=own)
-        await one.sure(gateway)
-        client = house.client(gateway)
+def test_requests_in_flight_keep_their_workload_when_a_version_removes_it(tmp_path):
+    async def scenario(gateway_site: GatewaySite) -> None:
+        dispatcher = SingleDispatcher(gateway_site, tmp_path)
+        own = OWN_FILE.replace("limit_rate: 300, limit_depth: 120", "limit_rate: 12, limit_depth: 6")
+        gateway = await dispatcher.open(own=own)
+        await dispatcher.wait_until_certain(gateway)
+        client = gateway_site.client(gateway)
         writes = [
-            asyncio.ensure_future(client.write("export", "v", f"k{at}", b"x", shard=0, deadline_ms=4500))
-            for at in range(4)
+            asyncio.ensure_future(client.write("export", "v", f"k{index}", b"x", shard=0, deadline_ms=4500))
+            for index in range(4)
         ]
         await asyncio.sleep(0.05)
-        held = [*gateway.held]
-        assert len(held) >= 3  # its limit lets four a second through
-        other = Overlay(one.file, (), gateway.overlay.own)
-        other._below = [("file", one.file.read_text().replace("export:", "other:"))]
-        gateway.overlay = other
+        in_flight = [*gateway.held]
+        assert len(in_flight) >= 3  # the limit admits four a second
+        overlay = Overlay(dispatcher.file, (), gateway.overlay.own)
+        overlay._below = [("file", dispatcher.file.read_text().replace("export:", "other:"))]
+        gateway.overlay = overlay
         faster = "plans: gold: {usual_rate: 1000, limit_rate: 300, limit_depth: 120}"
         assert await gateway.in_force(version(1, faster), 3) == ""
         assert "export" not in gateway.trade.workloads
-        assert {one.workload.name for one in held} == {"export"}
-        assert {(one.plan.limit_rate, one.dispatchers) for one in held} == {
+        assert {request.workload.name for request in in_flight} == {"export"}
+        assert {(request.plan.limit_rate, request.dispatchers) for request in in_flight} == {
             (300.0, 3)
-        }  # its volume's plan is today's
+        }  # their volume has the plan of the new version
         assert all(isinstance(answer, Ok) for answer in await asyncio.gather(*writes))
-        late = await client.write("export", "v", "k", b"x", shard=0, deadline_ms=2000)
-        assert isinstance(late, Rejected) and "unknown workload" in late.reason
+        rejected = await client.write("export", "v", "k", b"x", shard=0, deadline_ms=2000)
+        assert isinstance(rejected, Rejected) and "unknown workload" in rejected.reason
 
-    run(story)
+    run(scenario)
 
 
-def test_pieces_of_a_range_go_on_under_its_workload_and_volume(tmp_path):
-    async def story(house: GatewaySite) -> None:
-        one = One(house, tmp_path)
-        gateway = await one.open()
-        await one.sure(gateway)
-        house.volume("v", extents=8, extent_bytes=16384)
-        client = house.client(gateway)
-        body = bytes(range(256)) * 512  # eight extents, two pieces of it out at once
-        house.nodes[0].build.unit_ms = 20.0
+def test_pieces_of_a_range_keep_its_workload_and_volume(tmp_path):
+    async def scenario(gateway_site: GatewaySite) -> None:
+        dispatcher = SingleDispatcher(gateway_site, tmp_path)
+        gateway = await dispatcher.open()
+        await dispatcher.wait_until_certain(gateway)
+        gateway_site.volume("v", extents=8, extent_bytes=16384)
+        client = gateway_site.client(gateway)
+        body = bytes(range(256)) * 512  # eight extents, of which two pieces are in flight at a time
+        gateway_site.nodes[0].build.unit_ms = 20.0
         write = asyncio.ensure_future(client.write("write", "v", "", body, offset=0, deadline_ms=2900))
-        while not gateway.held or not any(hasattr(held, "helds") and held.helds for held in gateway.held):
+        while not gateway.held or not any(
+            hasattr(request, "helds") and request.helds for request in gateway.held
+        ):
             await asyncio.sleep(0.001)
-        other = Overlay(one.file, (), gateway.overlay.own)
-        gone = one.file.read_text().replace("\twrite:", "\tother:").replace("volumes: v:", "volumes: u:")
-        other._below = [("file", gone)]
-        gateway.overlay = other
+        overlay = Overlay(dispatcher.file, (), gateway.overlay.own)
+        renamed = (
+            dispatcher.file.read_text().replace("\twrite:", "\tother:").replace("volumes: v:", "volumes: u:")
+        )
+        overlay._below = [("file", renamed)]
+        gateway.overlay = overlay
         assert await gateway.in_force(version(1, "earnings: in_share: 0.4"), 3) == ""
         assert "write" not in gateway.trade.workloads and "v" not in gateway.trade.volumes
         assert isinstance(await write, Ok)
 
-    run(story)
+    run(scenario)
 
 
-def test_a_budget_may_come_and_go_while_it_is_counted(tmp_path):
-    async def story(house: GatewaySite) -> None:
-        one = One(house, tmp_path)
-        gateway = await one.open()
-        await one.sure(gateway)
-        client = house.client(gateway)
+def test_retry_budget_may_be_set_and_removed_while_requests_are_counted(tmp_path):
+    async def scenario(gateway_site: GatewaySite) -> None:
+        dispatcher = SingleDispatcher(gateway_site, tmp_path)
+        gateway = await dispatcher.open()
+        await dispatcher.wait_until_certain(gateway)
+        client = gateway_site.client(gateway)
         budget = "budget: {spare: 5, share: 0.5, span_ms: 1000}"
         for number, text in enumerate((budget, "", budget, "earnings: in_share: 0.4"), 1):
             assert await gateway.in_force(version(number, text), 2 * number + 1) == ""
@@ -317,130 +334,132 @@
                 assert isinstance(await client.write("write", "w", key, b"x", shard=0, deadline_ms=2000), Ok)
             assert bool(gateway.rounds.module.admission.retry_budget.arrivals_ms) == (text == budget)
 
-    run(story)
+    run(scenario)
 
 
-def test_one_that_does_not_know_the_fleets_version_has_no_part_and_serves_the_rest(tmp_path):
-    async def story(house: GatewaySite) -> None:
-        one = One(house, tmp_path)
-        # It votes in no council that anybody leads: nobody tells it.
-        gateway = await one.open(1, own=OWN.replace('voters: ["d0"]', 'voters: ["d9"]'))
-        client = house.client(gateway)
+def test_uncertain_dispatcher_has_no_quotas_and_serves_unlimited_volumes(tmp_path):
+    async def scenario(gateway_site: GatewaySite) -> None:
+        dispatcher = SingleDispatcher(gateway_site, tmp_path)
+        # The council's only voter d9 does not run: the dispatcher can't learn the fleet's version.
+        gateway = await dispatcher.open(1, own=OWN_FILE.replace('voters: ["d0"]', 'voters: ["d9"]'))
+        client = gateway_site.client(gateway)
         assert gateway.company.forfeits_quota
         assert isinstance(await client.write("write", "w", "k", b"x", shard=0, deadline_ms=500), Ok)
         limited = await client.write("write", "v", "k", b"x", shard=0, deadline_ms=500)
         assert not isinstance(limited, Ok)
-        gateway.agent.config.replica._is_certain = True  # witnesses told it
+        gateway.agent.config.replica._is_certain = True  # as if witnesses had confirmed the version
         assert isinstance(await client.write("write", "v", "k", b"x", shard=0, deadline_ms=900), Ok)
         assert not gateway.company.forfeits_quota
 
-    run(story)
+    run(scenario)
 
 
-def test_its_store_begins_empty_once_it_knows(tmp_path):
-    async def story(house: GatewaySite) -> None:
-        one = One(house, tmp_path)
-        gateway = await one.open(1, own=OWN.replace('voters: ["d0"]', 'voters: ["d9"]'))
-        client = house.client(gateway)
+def test_tokens_begin_empty_once_the_dispatcher_is_certain(tmp_path):
+    async def scenario(gateway_site: GatewaySite) -> None:
+        dispatcher = SingleDispatcher(gateway_site, tmp_path)
+        gateway = await dispatcher.open(1, own=OWN_FILE.replace('voters: ["d0"]', 'voters: ["d9"]'))
+        client = gateway_site.client(gateway)
         await client.write("write", "v", "k", b"x", shard=0, deadline_ms=500)
-        due = gateway.rounds.module.volumes["v"]
-        due.refill(gateway.clock())
-        assert due.limit_tokens > 20.0  # earned by a part that it did not have
+        volume = gateway.rounds.module.volumes["v"]
+        volume.refill(gateway.clock())
+        assert volume.limit_tokens > 20.0  # gained at a quota that the dispatcher did not have
         gateway.agent.config.replica._is_certain = True
         gateway.rounds.stir()
         await asyncio.sleep(0.01)
-        assert due.limit_tokens < 5.0
+        assert volume.limit_tokens < 5.0
 
-    run(story)
+    run(scenario)
 
 
-def test_a_version_that_was_kept_is_in_force_before_anybody_is_served(tmp_path):
-    async def story(house: GatewaySite) -> None:
-        one = One(house, tmp_path)
-        gateway = await one.open(kept=StoredConfig(7, version(3, ALL)))
+def test_stored_version_is_in_force_before_the_dispatcher_listens(tmp_path):
+    async def scenario(gateway_site: GatewaySite) -> None:
+        dispatcher = SingleDispatcher(gateway_site, tmp_path)
+        gateway = await dispatcher.open(stored=StoredConfig(7, version(3, VERSION_TEXT)))
         assert gateway._in_force[2] == 7
-        order = [event for event, _ in house.logs if event in ("configuration in force", "listening")]
+        order = [event for event, _ in gateway_site.logs if event in ("configuration in force", "listening")]
         assert order == ["configuration in force", "listening"]
-        assert gateway.trade == gateway.overlay.site(ALL).trade
+        assert gateway.trade == gateway.overlay.site(VERSION_TEXT).trade
 
-    run(story)
+    run(scenario)
 
 
-def test_while_parts_move_the_smaller_and_outside_of_a_count_none(tmp_path):
-    async def story(house: GatewaySite) -> None:
-        one = One(house, tmp_path)
-        gateway = await one.open(2, own=OWN.replace('voters: ["d0"]', 'voters: ["d9"]'))
+def test_joint_phase_uses_the_smaller_quota_and_a_seat_beyond_the_count_has_none(tmp_path):
+    async def scenario(gateway_site: GatewaySite) -> None:
+        dispatcher = SingleDispatcher(gateway_site, tmp_path)
+        gateway = await dispatcher.open(2, own=OWN_FILE.replace('voters: ["d0"]', 'voters: ["d9"]'))
         gateway.agent.config.replica._is_certain = True
-        old = gateway.overlay.judge("", "")[1]
-        assert old == QuotaDivisors(3, (("v", 3), ("w", 2)))
+        old_divisors = gateway.overlay.judge("", "")[1]
+        assert old_divisors == QuotaDivisors(3, (("v", 3), ("w", 2)))
         more, fewer = "place: dispatchers: 5", "place: dispatchers: 2"
-        assert await gateway.in_force(version(1, more, old), 2) == ""
+        assert await gateway.in_force(version(1, more, old_divisors), 2) == ""
         assert gateway.company.dispatcher_counts == (3, 5) and gateway.trade.volumes["v"].hosts == 5
         assert gateway.agent.membership.fleet_size == 5 and not gateway.company.forfeits_quota
-        assert await gateway.in_force(version(1, more, old), 3) == ""
+        assert await gateway.in_force(version(1, more, old_divisors), 3) == ""
         assert gateway.company.dispatcher_counts == (5,)
-        grown = gateway.overlay.judge("", more)[1]
-        assert await gateway.in_force(version(2, fewer, grown), 4) == ""
+        grown_divisors = gateway.overlay.judge("", more)[1]
+        assert await gateway.in_force(version(2, fewer, grown_divisors), 4) == ""
         assert gateway.company.dispatcher_counts == (2, 5) and gateway.trade.volumes["v"].hosts == 5
-        assert gateway.company.forfeits_quota and gateway.place.number == 2  # outside of the new count
-        assert await gateway.in_force(version(2, fewer, grown), 5) == ""
+        assert (
+            gateway.company.forfeits_quota and gateway.place.number == 2
+        )  # seat 2 is outside of the new count
+        assert await gateway.in_force(version(2, fewer, grown_divisors), 5) == ""
         assert gateway.company.dispatcher_counts == (2,) and gateway.company.forfeits_quota
         assert gateway.agent.membership.fleet_size == 2
-        client = house.client(gateway)
+        client = gateway_site.client(gateway)
         assert isinstance(await client.write("write", "w", "k", b"x", shard=0, deadline_ms=900), Ok)
 
-    run(story)
+    run(scenario)
 
 
-def test_the_mark_of_settings_is_the_own_files(tmp_path):
-    async def story(house: GatewaySite) -> None:
-        one = One(house, tmp_path)
-        gateway = await one.open()
-        await one.sure(gateway)
-        mark = gateway.agent.membership.table.own.info.settings_digest
-        assert await gateway.in_force(version(1, ALL), 3) == ""
+def test_settings_digest_is_that_of_the_own_file(tmp_path):
+    async def scenario(gateway_site: GatewaySite) -> None:
+        dispatcher = SingleDispatcher(gateway_site, tmp_path)
+        gateway = await dispatcher.open()
+        await dispatcher.wait_until_certain(gateway)
+        digest = gateway.agent.membership.table.own.info.settings_digest
+        assert await gateway.in_force(version(1, VERSION_TEXT), 3) == ""
         assert (
             gateway.agent.membership.table.own.info.settings_digest
-            == mark
+            == digest
             == origin_of(gateway.overlay.own).settings
         )
 
-    run(story)
+    run(scenario)
 
 
-def test_divisors_that_were_named_stay_named(tmp_path):
-    async def story(house: GatewaySite) -> None:
-        gateway = await One(house, tmp_path).open()
+def test_divisors_once_named_by_a_version_must_be_named_by_the_next(tmp_path):
+    async def scenario(gateway_site: GatewaySite) -> None:
+        gateway = await SingleDispatcher(gateway_site, tmp_path).open()
         judge = gateway.overlay.judge
-        why, _, _ = judge("place: dispatchers: 5\nvolumes: w: hosts: 4", "earnings: in_share: 0.4")
-        assert why.startswith("place.dispatchers, volumes.w.hosts: the version before names it")
+        reason, _, _ = judge("place: dispatchers: 5\nvolumes: w: hosts: 4", "earnings: in_share: 0.4")
+        assert reason.startswith("place.dispatchers, volumes.w.hosts: the version before names it")
         assert judge("place: dispatchers: 5", "place: dispatchers: 3")[0] == ""
-        assert judge("volumes: x: {plan: plans.gold, hosts: 1}", "")[0] == ""  # it is gone
+        assert judge("volumes: x: {plan: plans.gold, hosts: 1}", "")[0] == ""  # volume x is removed
 
-    run(story)
+    run(scenario)
 
 
-def test_the_own_file_is_that_of_the_start(tmp_path):
-    async def story(house: GatewaySite) -> None:
-        one = One(house, tmp_path)
-        gateway = await one.open()
+def test_own_file_is_read_once_at_the_start(tmp_path):
+    async def scenario(gateway_site: GatewaySite) -> None:
+        dispatcher = SingleDispatcher(gateway_site, tmp_path)
+        gateway = await dispatcher.open()
         before = gateway.overlay.site("")
-        one.file.write_text("nonsense {")
+        dispatcher.file.write_text("nonsense {")
         text = "earnings: in_share: 0.3"
         assert gateway.overlay.site("") == before
         assert gateway.overlay.site(text).bearings.earnings.within_quota == 0.3
         with pytest.raises(RecordError):
-            read_site(one.file)
+            read_site(dispatcher.file)
 
-    run(story)
+    run(scenario)
 
 
-def test_an_older_stage_never_comes_into_force_behind_a_newer_one(tmp_path):
-    async def story(house: GatewaySite) -> None:
-        gateway = await One(house, tmp_path).open()
+def test_older_stage_is_not_put_in_force_after_a_newer_one(tmp_path):
+    async def scenario(gateway_site: GatewaySite) -> None:
+        gateway = await SingleDispatcher(gateway_site, tmp_path).open()
         raised, lowered = (f"plans: gold: {{limit_rate: {rate}, limit_depth: 9}}" for rate in (900, 60))
         assert await gateway.in_force(version(2, lowered), 5) == ""
         assert "a stage never goes back" in await gateway.in_force(version(1, raised), 3)
         assert gateway.trade.volumes["v"].plan.limit_rate == 60.0 and gateway._in_force[2] == 5
 
-    run(story)
+    run(scenario)
--- a/tests/fleet/runtime/test_sealed_file.py
+++ b/tests/fleet/runtime/test_sealed_file.py
@@ -1,5 +1,8 @@
-"""The file a dispatcher keeps its configuration in: a save stopped at any point leaves the old or the new
-body, and a damaged file is never read as either."""
+"""The file that stores a dispatcher's configuration.
+
+A save that a crash interrupts at any point must leave the complete old or the complete new body, and a
+damaged file must never be read as either.
+"""
 
 from __future__ import annotations
 
@@ -13,20 +16,20 @@
 OLD, NEW = b"version 7", b"version 8, which is longer than the one before"
 
 
-class StoppedError(Exception):
-    """The machine stops here."""
+class CrashError(Exception):
+    """The simulated crash of the machine."""
 
 
-def stop_at(monkeypatch: pytest.MonkeyPatch, point: int) -> list[str]:
-    """Each step of the write counts one; at this one, and behind it, nothing happens any more."""
+def crash_after(monkeypatch: pytest.MonkeyPatch, step_count: int) -> list[str]:
+    """Let `step_count` system calls of a save succeed and fail later ones; return the calls' names."""
     steps: list[str] = []
 
     def counted(name: str, real):  # type: ignore[no-untyped-def]
-        def step(*parts, **more):  # type: ignore[no-untyped-def]
+        def step(*arguments, **keywords):  # type: ignore[no-untyped-def]
             steps.append(name)
-            if len(steps) > point:
-                raise StoppedError(name)
-            return real(*parts, **more)
+            if len(steps) > step_count:
+                raise CrashError(name)
+            return real(*arguments, **keywords)
 
         return step
 
@@ -35,49 +38,51 @@
     return steps
 
 
-def test_load_returns_the_body_saved_last_and_nothing_where_there_is_no_file(tmp_path):
+def test_load_returns_the_last_saved_body_and_empty_bytes_without_a_file(tmp_path):
     file = SealedFile(tmp_path / "deep" / "kept")
     assert file.load() == b""
     for body in (OLD, NEW, b"\0" * 300_000):
         file.save(body)
         assert SealedFile(tmp_path / "deep" / "kept").load() == body
-    assert [one.name for one in (tmp_path / "deep").iterdir()] == ["kept"]
+    assert [path.name for path in (tmp_path / "deep").iterdir()] == ["kept"]
 
 
-def test_a_save_stopped_at_any_step_leaves_the_old_or_the_new_body(tmp_path, monkeypatch):
-    found = []
-    for point in range(5):
-        file = SealedFile(tmp_path / f"kept-{point}")
+def test_save_interrupted_at_any_step_leaves_the_old_or_the_new_body(tmp_path, monkeypatch):
+    loaded = []
+    for step_count in range(5):
+        file = SealedFile(tmp_path / f"kept-{step_count}")
         file.save(OLD)
         with monkeypatch.context() as patch:
-            steps = stop_at(patch, point)
+            steps = crash_after(patch, step_count)
             try:
                 file.save(NEW)
-            except StoppedError:
+            except CrashError:
                 pass
-        found.append(SealedFile(file.path).load())
-        file.save(NEW)  # and what a stop left beside is in nobody's way
+        loaded.append(SealedFile(file.path).load())
+        file.save(NEW)  # a `.new` file left by the crash does not prevent a later save
         assert SealedFile(file.path).load() == NEW
     assert steps == ["fsync", "replace", "fsync"]
-    assert found == [OLD, OLD, NEW, NEW, NEW]
+    assert loaded == [OLD, OLD, NEW, NEW, NEW]
 
 
-def test_a_save_stopped_within_its_bytes_leaves_the_old_body(tmp_path):
+def test_partly_written_new_file_leaves_the_old_body(tmp_path):
     file = SealedFile(tmp_path / "kept")
     file.save(OLD)
-    whole = sealed_file.seal(NEW)
-    for length in range(len(whole) + 1):
-        (tmp_path / "kept.new").write_bytes(whole[:length])
+    sealed = sealed_file.seal(NEW)
+    for length in range(len(sealed) + 1):
+        (tmp_path / "kept.new").write_bytes(sealed[:length])
         assert file.load() == OLD
 
 
-def test_any_changed_byte_or_missing_end_is_refused_and_put_aside(tmp_path):
+def test_file_with_a_changed_byte_or_missing_end_is_refused_and_quarantined(tmp_path):
     file = SealedFile(tmp_path / "kept")
-    whole = sealed_file.seal(OLD)
-    spoilt = [whole[:length] for length in range(len(whole))]
-    spoilt += [whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1 :] for at in range(len(whole))]
-    spoilt += [whole + b"\0", b"\0" * (sealed_file.MAX_FILE_BYTES + 1)]
-    for data in spoilt:
+    sealed = sealed_file.seal(OLD)
+    damaged = [sealed[:length] for length in range(len(sealed))]
+    damaged += [
+        sealed[:index] + bytes([sealed[index] ^ 1]) + sealed[index + 1 :] for index in range(len(sealed))
+    ]
+    damaged += [sealed + b"\0", b"\0" * (sealed_file.MAX_FILE_BYTES + 1)]
+    for data in damaged:
         file.path.write_bytes(data)
         with pytest.raises(SealedFileError):
             file.load()
@@ -86,7 +91,7 @@
     assert file.quarantine() == tmp_path / "kept.aside-1"
 
 
-def test_a_failed_save_leaves_the_old_body(tmp_path):
+def test_failed_save_leaves_the_old_body(tmp_path):
     file = SealedFile(tmp_path / "kept")
     file.save(OLD)
     (tmp_path / "kept.new").mkdir()
@@ -95,13 +100,13 @@
     assert file.load() == OLD
 
 
-def test_the_left_marker_lasts_across_restarts_until_it_is_removed(tmp_path):
-    place = tmp_path / "deep" / "kept"
-    assert not SealedFile(place).has_leave_marker
-    SealedFile(place).set_leave_marker()
-    assert SealedFile(place).has_leave_marker and SealedFile(place).load() == b""
-    SealedFile(place).save(OLD)
-    assert SealedFile(place).has_leave_marker and SealedFile(place).load() == OLD
-    SealedFile(place).set_leave_marker(False)
-    SealedFile(place).set_leave_marker(False)
-    assert not SealedFile(place).has_leave_marker and SealedFile(place).load() == OLD
+def test_leave_marker_lasts_across_restarts_until_it_is_removed(tmp_path):
+    path = tmp_path / "deep" / "kept"
+    assert not SealedFile(path).has_leave_marker
+    SealedFile(path).set_leave_marker()
+    assert SealedFile(path).has_leave_marker and SealedFile(path).load() == b""
+    SealedFile(path).save(OLD)
+    assert SealedFile(path).has_leave_marker and SealedFile(path).load() == OLD
+    SealedFile(path).set_leave_marker(False)
+    SealedFile(path).set_leave_marker(False)
+    assert not SealedFile(path).has_leave_marker and SealedFile(path).load() == OLD
