--- a/tests/fleet/runtime/test_config_in_force.py
+++ b/tests/fleet/runtime/test_config_in_force.py
@@ -71,7 +71,7 @@
     async def open(
         self, number: int = 0, *, own: str = OWN_FILE, stored: StoredConfig | None = None
     ) -> Gateway:
-        """Start the dispatcher with seat `number` and its own settings file, and optionally a stored version."""
+        """Start the dispatcher with seat `number` and its own settings file, or also a stored version."""
         if not self.gateway_site.nodes:
             await self.gateway_site.node(0)
             await self.gateway_site.register.start()
--- a/tests/fleet/runtime/test_council_processes.py
+++ b/tests/fleet/runtime/test_council_processes.py
@@ -1,4 +1,8 @@
-"""The council and its leases kept by processes of the program; judged by the receiver's record alone."""
+"""The council and its leases between dispatcher processes that are killed, paused or lose their store.
+
+Each exercise task must go on at another holder, and no two holders may act for a task at the same time. The
+tests judge both from the orders that the receiver recorded.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 from typing import Any
 
 import pytest
-from fleet.runtime.test_fleet_processes import ROOT, Company
+from fleet.runtime.test_fleet_processes import ROOT, FleetProcesses
 from support.gateway_site import GatewaySite, run
 
 from cherrygrade.fleet.runtime.voter_store import create_founding_store
@@ -21,59 +25,71 @@
 
 LEASE_MS = 1500.0
 VOTERS = ["d0", "d1", "d2"]
-TASKS = [f"t{at}" for at in range(12)]
+TASKS = [f"t{index}" for index in range(12)]
+
 
+class CouncilProcesses(FleetProcesses):
+    """Five dispatcher processes, three of them voters, with twelve exercise tasks, and a receiver process.
 
-class CouncilServer(Company):
-    """Five dispatchers, three of them voters, twelve drills, one receiver, each a process."""
+    Attributes:
+        numbered: Whether the receiver refuses orders with an older lease number.
+    """
 
     numbered = True
 
     async def open(self) -> None:
         self.record = self.folder / "receiver.jsonl"
-        numbered = [] if self.numbered else ["--no-numbered"]
+        options = [] if self.numbered else ["--no-numbered"]
         self.receiver = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "cherrygrade", "standin", "receiver", str(self.record), *numbered,
+            sys.executable, "-m", "cherrygrade", "standin", "receiver", str(self.record), *options,
             cwd=ROOT, stdout=asyncio.subprocess.PIPE,
         )  # fmt: skip
         assert self.receiver.stdout is not None
-        self.place = (await self.receiver.stdout.readline()).decode().split()[1]
+        self.receiver_address = (await self.receiver.stdout.readline()).decode().split()[1]
         for name in VOTERS:
             create_founding_store(self.folder / name, "processes", name, VOTERS)
-        await self.all_start()
+        await self.start_all()
 
-    def more(self, number: int) -> str:
+    def extra_settings(self, number: int) -> str:
         council = {
             "voters": VOTERS,
             "folder": str(self.folder / f"d{number}"),
             "lease_ms": LEASE_MS,
             "drills": TASKS,
-            "receiver": self.place,
+            "receiver": self.receiver_address,
         }
         return f"fleet: council: {json.dumps(council)}\n"
 
     def orders(self) -> list[list[Any]]:
+        """Return the receiver's record, one list for each order."""
         return [json.loads(line) for line in self.record.read_text().splitlines()]
 
     def holders(self, after: float = 0.0) -> dict[str, str]:
-        """Who did each task last, as the receiver has it."""
-        return {one[1]: one[3] for one in self.orders() if one[6] and one[0] > after}
+        """Return the holder of each task's last order that was carried out later than `after` (ms)."""
+        return {order[1]: order[3] for order in self.orders() if order[6] and order[0] > after}
+
+    async def wait_for_all_tasks(self, after: float, within_s: float, excluded: str = "") -> None:
+        """Wait until each task was done after `after` (ms), none of them last by the holder `excluded`."""
 
-    async def all_done(self, after: float, within_s: float, but: str = "") -> None:
         async def holds() -> bool:
-            found_ = self.holders(after)
-            return len(found_) == len(TASKS) and but not in found_.values()
+            holders = self.holders(after)
+            return len(holders) == len(TASKS) and excluded not in holders.values()
 
-        await self.until(holds, within_s)
+        await self.wait_until(holds, within_s)
 
-    def log(self, number: int, event: str) -> list[dict[str, Any]]:
+    def log_lines(self, number: int, event: str) -> list[dict[str, Any]]:
+        """Return the log lines of a dispatcher that have this event."""
         lines = (self.folder / f"d{number}.log").read_text().splitlines()
-        return [one for one in map(json.loads, lines) if one["event"] == event]
+        return [line for line in map(json.loads, lines) if line["event"] == event]
 
     def leader(self) -> int:
-        """By what they say of themselves; only to choose whom to hurt."""
-        told = [(one["term"], one["leader"]) for n in self.running for one in self.log(n, "council leader")]
-        return int(max(told)[1][1:] or 0)
+        """Return the leader of the highest term that was logged; used only to choose the process to kill."""
+        logged = [
+            (line["term"], line["leader"])
+            for n in self.running
+            for line in self.log_lines(n, "council leader")
+        ]
+        return int(max(logged)[1][1:] or 0)
 
     async def close(self) -> None:
         for process in self.running.values():
@@ -87,100 +103,104 @@
     return asyncio.get_running_loop().time() * 1000.0
 
 
-def play(
-    story: Callable[[CouncilServer], Coroutine[Any, Any, None]], folder: Path, numbered: bool = True
+def run_scenario(
+    scenario: Callable[[CouncilProcesses], Coroutine[Any, Any, None]], folder: Path, numbered: bool = True
 ) -> None:
-    async def whole(house: GatewaySite) -> None:
-        await house.node(0)
-        await house.register.start()
-        council_server = CouncilServer(folder, house.register.address)
-        council_server.numbered = numbered
+    """Run a scenario once all tasks are held, within 60 s, and judge the receiver's record after it."""
+
+    async def with_processes(gateway_site: GatewaySite) -> None:
+        await gateway_site.node(0)
+        await gateway_site.register.start()
+        processes = CouncilProcesses(folder, gateway_site.register.address)
+        processes.numbered = numbered
         try:
-            await council_server.open()
-            await council_server.all_done(0.0, 10.0)
-            await story(council_server)
-            assert not judge(council_server.record)
+            await processes.open()
+            await processes.wait_for_all_tasks(0.0, 10.0)
+            await scenario(processes)
+            assert not judge(processes.record)
         finally:
-            await council_server.close()
+            await processes.close()
 
-    run(whole, 60.0)
+    run(with_processes, 60.0)
 
 
-def test_a_killed_holders_tasks_are_done_by_others_within_its_lease_and_a_second(tmp_path):
-    async def story(council_server: CouncilServer) -> None:
-        holders = council_server.holders()
-        assert len({*holders.values()}) >= 3  # spread
+def test_killed_holders_tasks_are_taken_over_within_its_lease_and_two_and_a_half_seconds(tmp_path):
+    async def scenario(processes: CouncilProcesses) -> None:
+        holders = processes.holders()
+        assert len({*holders.values()}) >= 3  # the tasks are spread over the members
         victim = next(name for name in ("d3", "d4") if name in holders.values())
-        await council_server.kill(int(victim[1:]))
+        await processes.kill(int(victim[1:]))
         killed = now_ms()
-        await council_server.all_done(killed, 10.0, but=victim)
-        first = {}
-        for at, task, _, holder, _, _, done in council_server.orders():
-            if done and at > killed and holder != victim and holders[task] == victim:
-                first.setdefault(task, at)
-        assert max(first.values()) - killed < LEASE_MS * 1.01 + 2500.0
-        assert len({council_server.holders(killed)[task] for task in first}) >= 1
+        await processes.wait_for_all_tasks(killed, 10.0, excluded=victim)
+        taken_over_ms = {}
+        for order_ms, task, _, holder, _, _, done in processes.orders():
+            if done and order_ms > killed and holder != victim and holders[task] == victim:
+                taken_over_ms.setdefault(task, order_ms)
+        assert max(taken_over_ms.values()) - killed < LEASE_MS * 1.01 + 2500.0
+        assert len({processes.holders(killed)[task] for task in taken_over_ms}) >= 1
 
-    play(story, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
-def test_a_leader_that_is_killed_costs_no_task_and_its_restart_neither(tmp_path):
-    async def story(council_server: CouncilServer) -> None:
-        leader = council_server.leader()
-        await council_server.kill(leader)
+def test_all_tasks_go_on_after_the_leader_is_killed_and_restarted(tmp_path):
+    async def scenario(processes: CouncilProcesses) -> None:
+        leader = processes.leader()
+        await processes.kill(leader)
         killed = now_ms()
-        await council_server.all_done(killed, 10.0, but=f"d{leader}")
-        await council_server.start(leader)
-        back = now_ms()
-        await council_server.all_done(back + 500.0, 6.0)
+        await processes.wait_for_all_tasks(killed, 10.0, excluded=f"d{leader}")
+        await processes.start(leader)
+        restarted = now_ms()
+        await processes.wait_for_all_tasks(restarted + 500.0, 6.0)
 
-    play(story, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
-def test_a_holder_paused_past_its_lease_goes_on_with_nothing(tmp_path):
-    async def story(council_server: CouncilServer) -> None:
-        victim = next(name for name in ("d4", "d3") if name in council_server.holders().values())
+def test_holder_paused_past_its_lease_does_no_task_after_the_pause(tmp_path):
+    async def scenario(processes: CouncilProcesses) -> None:
+        victim = next(name for name in ("d4", "d3") if name in processes.holders().values())
         number = int(victim[1:])
-        process = council_server.running[number]
-        for _ in range(3):  # it may stand anywhere: between the look and the write too
+        process = processes.running[number]
+        for _ in range(3):  # a pause may also fall between the check of the lease and the write of the order
             process.send_signal(signal.SIGSTOP)
             paused = now_ms()
-            await council_server.all_done(paused + 200.0, 12.0, but=victim)
+            await processes.wait_for_all_tasks(paused + 200.0, 12.0, excluded=victim)
             process.send_signal(signal.SIGCONT)
             await asyncio.sleep(1.0)
 
-    play(story, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
-def test_a_majority_that_is_gone_ends_all_tasks_and_brings_them_back_with_it(tmp_path):
-    async def story(council_server: CouncilServer) -> None:
+def test_tasks_stop_without_a_majority_of_voters_and_go_on_with_it(tmp_path):
+    async def scenario(processes: CouncilProcesses) -> None:
         for number in (0, 1):
-            await council_server.kill(number)
+            await processes.kill(number)
         await asyncio.sleep(LEASE_MS / 1000.0 * 1.1)
-        quiet = now_ms()
+        expired = now_ms()
         await asyncio.sleep(1.0)
-        assert not council_server.holders(quiet)  # holders stopped by themselves
-        await council_server.start(0)
-        await council_server.all_done(quiet, 10.0)
+        assert not processes.holders(expired)  # the holders stopped by themselves as their leases expired
+        await processes.start(0)
+        await processes.wait_for_all_tasks(expired, 10.0)
 
-    play(story, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
-def test_a_voter_whose_store_is_lost_is_let_in_again(tmp_path):
-    async def story(council_server: CouncilServer) -> None:
-        await council_server.kill(1)
-        for file in (council_server.folder / "d1").iterdir():
+def test_voter_that_lost_its_store_is_admitted_again(tmp_path):
+    async def scenario(processes: CouncilProcesses) -> None:
+        await processes.kill(1)
+        for file in (processes.folder / "d1").iterdir():
             file.unlink()
-        await council_server.start(1)
+        await processes.start(1)
 
-        async def let_in() -> bool:
-            told = [one["council"] for one in await council_server.told()]
-            voters = next((one["voters"] for one in told if one["leader"] and one.get("me")), [])
+        async def is_admitted() -> bool:
+            councils = [status["council"] for status in await processes.statuses()]
+            voters = next(
+                (council["voters"] for council in councils if council["leader"] and council.get("me")), []
+            )
             return len(voters) == 3 and "d1/0" not in voters
 
-        await council_server.until(let_in, 10.0)
-        await council_server.kill(2 if council_server.leader() != 2 else 0)  # it has to count now
+        await processes.wait_until(is_admitted, 10.0)
+        await processes.kill(2 if processes.leader() != 2 else 0)  # d1 is now needed for a majority
         killed = now_ms()
-        await council_server.all_done(killed, 12.0)
+        await processes.wait_for_all_tasks(killed, 12.0)
 
-    play(story, tmp_path)
+    run_scenario(scenario, tmp_path)
--- a/tests/fleet/runtime/test_fleet_processes.py
+++ b/tests/fleet/runtime/test_fleet_processes.py
@@ -1,4 +1,8 @@
-"""The fleet's promises kept by processes of the program: killed, stopped, restarted, deaf."""
+"""A fleet of dispatcher processes that are killed, paused, restarted or alone.
+
+Members must declare a killed process failed and must not declare a shortly paused one failed, and requests of
+clients must never wait for the fleet.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +25,7 @@
 pytestmark = pytest.mark.alone
 
 ROOT = Path(__file__).parents[3]
-COUNT = 5
+DISPATCHER_COUNT = 5
 SITE = """
 place: {{name: "{name}", listen: "{listen}", register: "{register}", number: {seat}, dispatchers: {count}}}
 workloads: {{
@@ -38,21 +42,23 @@
 """
 
 
-class Company:
-    """Processes of the program, by number; ended by id."""
+class FleetProcesses:
+    """Dispatcher processes, by seat; `close` kills those that still run."""
 
-    def __init__(self, folder: Path, register: str, count: int = COUNT, fleet: bool = True) -> None:
+    def __init__(
+        self, folder: Path, register: str, count: int = DISPATCHER_COUNT, fleet: bool = True
+    ) -> None:
         self.folder, self.register, self.count, self.fleet = folder, register, count, fleet
-        self.listens, self.places = reserve(count), reserve(count)
+        self.client_addresses, self.fleet_addresses = reserve(count), reserve(count)
         self.running: dict[int, asyncio.subprocess.Process] = {}
 
     async def start(self, number: int, *flags: str) -> None:
-        place = {"name": f"d{number}", "listen": self.listens[number], "seat": number}
-        text = SITE.format(**place, register=self.register, count=self.count)
+        fields = {"name": f"d{number}", "listen": self.client_addresses[number], "seat": number}
+        text = SITE.format(**fields, register=self.register, count=self.count)
         if self.fleet:
-            contacts = json.dumps(self.places[:2])
-            text += FLEET.format(place=self.places[number], contacts=contacts, seat=number)
-            text += self.more(number)
+            contacts = json.dumps(self.fleet_addresses[:2])
+            text += FLEET.format(place=self.fleet_addresses[number], contacts=contacts, seat=number)
+            text += self.extra_settings(number)
         else:
             text = text.replace("peers: true", "peers: false")
         file = self.folder / f"d{number}.rec"
@@ -62,41 +68,50 @@
                 sys.executable, *flags, "-m", "cherrygrade", "serve", str(file),
                 cwd=ROOT, stdout=asyncio.subprocess.PIPE, stderr=log,
             )  # fmt: skip
-        self.running[number] = process  # also of one that fails at its start: none is left behind
+        self.running[number] = process  # before it listens: `close` also kills one that fails to start
         assert process.stdout is not None
         assert b"listening" in await process.stdout.readline()
 
-    def more(self, number: int) -> str:
+    def extra_settings(self, number: int) -> str:
+        """Return record text that is appended to a dispatcher's settings file."""
         return ""
 
-    async def all_start(self) -> None:
+    async def start_all(self) -> None:
         starts = [self.start(number) for number in range(self.count)]
-        for failed in filter(None, await asyncio.gather(*starts, return_exceptions=True)):
-            raise failed
+        for error in filter(None, await asyncio.gather(*starts, return_exceptions=True)):
+            raise error
 
     async def kill(self, number: int) -> None:
         process = self.running.pop(number)
         process.kill()
         await process.wait()
 
-    async def told(self) -> list[dict[str, Any]]:
-        return [*await asyncio.gather(*(query_status(self.places[number]) for number in self.running))]
-
-    async def equal(self) -> bool:
-        told = await self.told()
-        return len({one["digest"] for one in told}) == 1 and told[0]["living"] == len(self.running)
-
-    async def standings(self, name: str) -> set[str]:
-        found = set()
-        for told in await self.told():
-            found |= {one["standing"] for one in told["members"] if one["name"] == name}
-        return found
-
-    async def until(self, holds: Callable[[], Coroutine[Any, Any, bool]], within_s: float) -> None:
+    async def statuses(self) -> list[dict[str, Any]]:
+        """Return the status answers of all running processes."""
+        return [
+            *await asyncio.gather(*(query_status(self.fleet_addresses[number]) for number in self.running))
+        ]
+
+    async def has_converged(self) -> bool:
+        """Return whether all have the same membership table, and as many living members as processes run."""
+        statuses = await self.statuses()
+        return len({status["digest"] for status in statuses}) == 1 and statuses[0]["living"] == len(
+            self.running
+        )
+
+    async def states_of(self, name: str) -> set[str]:
+        """Return the states that the running processes have the member in."""
+        states = set()
+        for status in await self.statuses():
+            states |= {member["standing"] for member in status["members"] if member["name"] == name}
+        return states
+
+    async def wait_until(self, holds: Callable[[], Coroutine[Any, Any, bool]], within_s: float) -> None:
+        """Wait until a condition holds; fail after `within_s`."""
         loop = asyncio.get_running_loop()
-        ends = loop.time() + within_s
+        deadline = loop.time() + within_s
         while not await holds():
-            assert loop.time() < ends, f"not within {within_s} s"
+            assert loop.time() < deadline, f"condition does not hold within {within_s} s"
             await asyncio.sleep(0.05)
 
     async def close(self) -> None:
@@ -104,115 +119,125 @@
             if process.returncode is None:
                 process.kill()
             await process.wait()
-        release(*self.listens, *self.places)
+        release(*self.client_addresses, *self.fleet_addresses)
 
 
-def play(
-    story: Callable[[GatewaySite, Company], Coroutine[Any, Any, None]], folder: Path, **more: Any
+def run_scenario(
+    scenario: Callable[[GatewaySite, FleetProcesses], Coroutine[Any, Any, None]], folder: Path, **options: Any
 ) -> None:
-    async def whole(house: GatewaySite) -> None:
-        await house.node(0)
-        await house.register.start()
-        company = Company(folder, house.register.address, **more)
+    """Run a scenario with a storage node, an endpoint list and the processes of a fleet, within 40 s."""
+
+    async def with_processes(gateway_site: GatewaySite) -> None:
+        await gateway_site.node(0)
+        await gateway_site.register.start()
+        processes = FleetProcesses(folder, gateway_site.register.address, **options)
         try:
-            await story(house, company)
+            await scenario(gateway_site, processes)
         finally:
-            await company.close()
+            await processes.close()
 
-    run(whole, 40.0)
+    run(with_processes, 40.0)
 
 
-def test_a_killed_process_is_known_dead_and_back_after_its_restart(tmp_path):
-    async def story(house: GatewaySite, company: Company) -> None:
-        await company.all_start()
-        await company.until(company.equal, 8.0)
-        await company.kill(3)
+def test_killed_process_is_declared_failed_and_alive_after_its_restart(tmp_path):
+    async def scenario(gateway_site: GatewaySite, processes: FleetProcesses) -> None:
+        await processes.start_all()
+        await processes.wait_until(processes.has_converged, 8.0)
+        await processes.kill(3)
 
-        async def known() -> bool:
-            return await company.standings("d3") == {"failed"}
+        async def is_failed() -> bool:
+            return await processes.states_of("d3") == {"failed"}
 
-        await company.until(known, 7.0)
-        await company.start(3)
-        await company.until(company.equal, 4.0)
-        # One that leaves by its own will has not failed.
-        process = company.running.pop(2)
+        await processes.wait_until(is_failed, 7.0)
+        await processes.start(3)
+        await processes.wait_until(processes.has_converged, 4.0)
+        # A process that is terminated leaves the fleet, and is not declared failed.
+        process = processes.running.pop(2)
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
-        assert await company.standings("d2") == {"left"}
+        assert await processes.states_of("d2") == {"left"}
 
-    play(story, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
-def test_a_process_that_stands_still_two_seconds_is_not_called_dead(tmp_path):
-    async def story(house: GatewaySite, company: Company) -> None:
-        await company.all_start()
-        await company.until(company.equal, 8.0)
-        process = company.running[1]
-        others = {number: one for number, one in company.running.items() if number != 1}
-        company.running, seen = others, set()
-        for _ in range(5):  # whom a probe meets is up to its order: not each stop is noticed
+def test_process_paused_for_two_seconds_is_suspected_and_not_declared_failed(tmp_path):
+    async def scenario(gateway_site: GatewaySite, processes: FleetProcesses) -> None:
+        await processes.start_all()
+        await processes.wait_until(processes.has_converged, 8.0)
+        process = processes.running[1]
+        others = {number: other for number, other in processes.running.items() if number != 1}
+        processes.running, states = others, set()
+        for _ in range(5):  # the order of probes varies: a pause may end before a probe notices it
             process.send_signal(signal.SIGSTOP)
             for _ in range(20):
-                seen |= await company.standings("d1")
+                states |= await processes.states_of("d1")
                 await asyncio.sleep(0.1)
             process.send_signal(signal.SIGCONT)
             for _ in range(10):
-                seen |= await company.standings("d1")
+                states |= await processes.states_of("d1")
                 await asyncio.sleep(0.1)
-            if "suspect" in seen:
+            if "suspect" in states:
                 break
-        company.running = others | {1: process}  # before the story may end: it is ended with the others
-        assert "suspect" in seen and "failed" not in seen
-        await company.until(company.equal, 4.0)
+        processes.running = others | {1: process}  # before an assertion can fail: `close` kills it too
+        assert "suspect" in states and "failed" not in states
+        await processes.wait_until(processes.has_converged, 4.0)
 
-    play(story, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
-def test_no_rpc_waits_for_a_fleet_that_is_deaf(tmp_path):
-    # The first process finds nobody: neither its start nor its answers take notice.
-    async def story(house: GatewaySite, company: Company) -> None:
-        await company.start(2)
-        client = Client(company.listens[2], "c")
-        took = []
+def test_requests_do_not_wait_for_a_fleet_that_does_not_answer(tmp_path):
+    # The only process of the fleet: neither its start nor its answers may wait for the other members.
+    async def scenario(gateway_site: GatewaySite, processes: FleetProcesses) -> None:
+        await processes.start(2)
+        client = Client(processes.client_addresses[2], "c")
+        durations_s = []
         for index in range(20):
-            begun = asyncio.get_running_loop().time()
+            started = asyncio.get_running_loop().time()
             answer = await client.write("write", "v", f"k{index}", b"x" * 64, shard=0, deadline_ms=1500)
             assert isinstance(answer, Ok)
-            took.append(asyncio.get_running_loop().time() - begun)
+            durations_s.append(asyncio.get_running_loop().time() - started)
         client.close()
-        assert sorted(took)[10] < 0.2
-        assert (await query_status(company.places[2]))["side"] == "alone"
+        assert sorted(durations_s)[10] < 0.2
+        assert (await query_status(processes.fleet_addresses[2]))["side"] == "alone"
 
-    play(story, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
-def test_where_no_fleet_is_named_none_of_it_is_loaded(tmp_path):
-    async def story(house: GatewaySite, company: Company) -> None:
-        await company.start(0, "-X", "importtime")
-        loaded = (tmp_path / "d0.log").read_text()
-        assert "cherrygrade.gateway.process" in loaded and "cherrygrade.fleet" not in loaded
+def test_fleet_modules_are_not_imported_without_a_fleet(tmp_path):
+    async def scenario(gateway_site: GatewaySite, processes: FleetProcesses) -> None:
+        await processes.start(0, "-X", "importtime")
+        log = (tmp_path / "d0.log").read_text()
+        assert "cherrygrade.gateway.process" in log and "cherrygrade.fleet" not in log
 
-    play(story, tmp_path, fleet=False)
+    run_scenario(scenario, tmp_path, fleet=False)
 
 
-def test_a_person_is_shown_the_fleet_with_an_exit_code_for_scripts(tmp_path):
-    async def story(house: GatewaySite, company: Company) -> None:
-        await company.all_start()
-        await company.until(company.equal, 8.0)
+def test_status_command_shows_the_fleet_and_gives_an_exit_code(tmp_path):
+    async def scenario(gateway_site: GatewaySite, processes: FleetProcesses) -> None:
+        await processes.start_all()
+        await processes.wait_until(processes.has_converged, 8.0)
 
-        def status(*more: str) -> subprocess.CompletedProcess[str]:
-            line = [sys.executable, "-m", "cherrygrade", "fleet", "status", company.places[0], *more]
-            return subprocess.run(line, cwd=ROOT, capture_output=True, text=True)
+        def status(*options: str) -> subprocess.CompletedProcess[str]:
+            command = [
+                sys.executable,
+                "-m",
+                "cherrygrade",
+                "fleet",
+                "status",
+                processes.fleet_addresses[0],
+                *options,
+            ]
+            return subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
 
         shown = await asyncio.to_thread(status)
         assert shown.returncode == 0
         assert "among the most, 5 of 5 live" in shown.stdout and "d4" in shown.stdout
         assert json.loads((await asyncio.to_thread(status, "--json")).stdout)["living"] == 5
-        await company.kill(4)
+        await processes.kill(4)
         assert (await asyncio.to_thread(status)).returncode in (0, 1)
         await asyncio.sleep(4.5)
         assert (await asyncio.to_thread(status)).returncode == 1
-        await company.kill(0)
+        await processes.kill(0)
         assert (await asyncio.to_thread(status)).returncode == 3
 
-    play(story, tmp_path)
+    run_scenario(scenario, tmp_path)
