--- a/tests/fleet/runtime/test_quota_parts_processes.py
+++ b/tests/fleet/runtime/test_quota_parts_processes.py
@@ -1,5 +1,9 @@
-"""Rules 4 and 7 between processes while the fleet's configuration changes under load: sums are judged from
-what the nodes' stand-ins recorded. Rigs of the greedy kind, in one process: test_parts_in_force.py."""
+"""Quotas of limits and cold nodes between dispatcher processes, while the configuration changes under load.
+
+At no time may all dispatchers together send a limited volume's requests above its limit, or a cold node more
+than it may get, also while some of them are cut off and use other quotas. The tests sum up what the storage
+nodes' stand-ins recorded. tests/gateway/test_quota_parts_in_force.py tests the same within one process.
+"""
 
 from __future__ import annotations
 
@@ -17,12 +21,12 @@
 
 pytestmark = pytest.mark.few
 
-SLACK_MS = 150.0  # by which what was sent apart may be seen together: a busy machine
+SLACK_MS = 150.0  # on a busy machine, requests sent at times this far apart may be recorded as one burst
 COLD_UNITS, SPAN_MS, WARM_MS, SHARE = 18.0, 1000.0, 60_000.0, 0.5
 
 
-def text(dispatchers: int, rate: float, depth: float = 24.0) -> str:
-    """`v` is limited, `u` is not."""
+def config_text(dispatchers: int, rate: float, depth: float = 24.0) -> str:
+    """Return a version's text, in which volume `v` is limited and volume `u` is not."""
     return f"""
 place: dispatchers: {dispatchers}
 plans: plan: {{usual_rate: 1000, limit_rate: {rate}, limit_depth: {depth}}}
@@ -33,27 +37,29 @@
 """
 
 
-class Loaded(Fleet):
-    """With load at the limit on each dispatcher: `v` at shard 0, and `u` at shard 1, which is cold."""
+class LoadedFleet(Fleet):
+    """A fleet with load at the limit on each dispatcher: `v` at shard 0, `u` at shard 1, which is cold."""
 
-    def __init__(self, folder: Path, house: GatewaySite, count: int) -> None:
-        super().__init__(folder, house.register.address, count)
-        self.house = house
+    def __init__(self, folder: Path, gateway_site: GatewaySite, count: int) -> None:
+        super().__init__(folder, gateway_site.register.address, count)
+        self.gateway_site = gateway_site
         self.clients: dict[int, Client] = {}
         self.tasks: dict[int, list[asyncio.Task[None]]] = {}
 
     @property
-    def now(self) -> float:
+    def now_ms(self) -> float:
+        """The event loop's time, ms; the stand-ins record it too."""
         return asyncio.get_running_loop().time() * 1000.0
 
-    def load(self, numbers: Iterable[int]) -> None:
+    def start_load(self, numbers: Iterable[int]) -> None:
+        """Start four writers of `v` and two of `u` at each of these dispatchers."""
         for number in numbers:
             address = self.log_lines(number, "listening")[-1]["address"]
             client = self.clients[number] = Client(address, f"c{number}")
-            asks = [("v", 0)] * 4 + [("u", 1)] * 2
-            self.tasks[number] = [asyncio.create_task(self._ask(client, *one)) for one in asks]
+            targets = [("v", 0)] * 4 + [("u", 1)] * 2
+            self.tasks[number] = [asyncio.create_task(self._write(client, *target)) for target in targets]
 
-    async def _ask(self, client: Client, volume: str, shard: int) -> None:
+    async def _write(self, client: Client, volume: str, shard: int) -> None:
         count = 0
         while True:
             count += 1
@@ -68,46 +74,63 @@
         await super().close()
 
     def cut(self, *numbers: int) -> None:
-        """Between these and the others, both ways; their nodes and clients are reached as before."""
+        """Cut these dispatchers off from the others, both ways; nodes and clients still reach them."""
         self.ways.act("cut", {"on": " ".join(map(str, numbers))})
 
     def heal(self, *numbers: int) -> None:
+        """Connect these dispatchers to the others again."""
         self.ways.act("heal", {"on": " ".join(map(str, numbers))})
 
-    async def settled(self, number: int, within_s: float = 8.0) -> None:
+    async def wait_until_settled(self, number: int, within_s: float = 8.0) -> None:
+        """Wait until version `number` is in force and settled at all dispatchers."""
+
         async def holds() -> bool:
-            told = await asyncio.gather(*(self.status(one) for one in self.running))
-            return all(one["number"] == number and one["settled"] for one in told)
+            statuses = await asyncio.gather(*(self.status(seat) for seat in self.running))
+            return all(status["number"] == number and status["settled"] for status in statuses)
 
         await self.wait_until(holds, within_s)
 
-    async def on(self, number: int, *numbers: int) -> None:
+    async def wait_until_in_force(self, number: int, *seats: int) -> None:
+        """Wait until version `number` is in force at the dispatchers with these seats."""
+
         async def holds() -> bool:
-            told = await asyncio.gather(*(self.status(one) for one in numbers))
-            return all(one["number"] == number for one in told)
+            statuses = await asyncio.gather(*(self.status(seat) for seat in seats))
+            return all(status["number"] == number for status in statuses)
 
         await self.wait_until(holds, 6.0)
 
 
-def play(story: Callable[[Loaded], Coroutine[Any, Any, None]], folder: Path, count: int, begins: int) -> None:
-    async def whole(house: GatewaySite) -> None:
-        await house.node(0, Build(unit_ms=3.0, put_off=0.0))
-        await house.node(1, Build(unit_ms=40.0, put_off=0.0))
-        await house.register.start()
-        fleet = Loaded(folder, house, count)
+def run_scenario(
+    scenario: Callable[[LoadedFleet], Coroutine[Any, Any, None]], folder: Path, count: int, initial_count: int
+) -> None:
+    """Run a scenario with two storage nodes and a fleet, within 90 s.
+
+    Args:
+        scenario: The scenario.
+        folder: For the files of the processes.
+        count: How many dispatchers the files of later processes name.
+        initial_count: How many dispatchers are started, and are named by their own files.
+    """
+
+    async def with_fleet(gateway_site: GatewaySite) -> None:
+        await gateway_site.node(0, Build(unit_ms=3.0, put_off=0.0))
+        await gateway_site.node(1, Build(unit_ms=40.0, put_off=0.0))
+        await gateway_site.register.start()
+        fleet = LoadedFleet(folder, gateway_site, count)
         try:
-            fleet.count = begins  # that the own files know, at first
+            fleet.count = initial_count
             await fleet.open()
             fleet.count = count
-            await story(fleet)
+            await scenario(fleet)
             fleet.assert_stages_never_decrease()
         finally:
             await fleet.close()
 
-    run(whole, 90.0)
+    run(with_fleet, 90.0)
 
 
-def sends(node: Node, volume: str, since: float, until: float) -> list[tuple[float, float]]:
+def received(node: Node, volume: str, since: float, until: float) -> list[tuple[float, float]]:
+    """Return the time (ms) and units of each request for a volume that a node received between two times."""
     return [
         (line[0], line[8])
         for line in node.record.lines
@@ -115,127 +138,134 @@
     ]
 
 
-def over_limit(came: list[tuple[float, float]], rate: float, depth: float) -> float:
-    """By how many units they passed the limit at most: a store that holds what slack may bring together."""
-    deep = depth + rate * SLACK_MS / 1000.0
-    store, last, worst = deep, came[0][0], -deep
-    for at, units in came:
-        store = min(deep, store + rate * (at - last) / 1000.0) - units
-        last, worst = at, max(worst, -store)
+def max_units_over_limit(requests: list[tuple[float, float]], rate: float, depth: float) -> float:
+    """Return by how many units the requests exceeded a limit at most; negative where they never did.
+
+    The limit is a token bucket, deeper by the tokens of SLACK_MS, since requests may be recorded as a burst.
+    """
+    capacity = depth + rate * SLACK_MS / 1000.0
+    tokens, last_ms, worst = capacity, requests[0][0], -capacity
+    for time_ms, units in requests:
+        tokens = min(capacity, tokens + rate * (time_ms - last_ms) / 1000.0) - units
+        last_ms, worst = time_ms, max(worst, -tokens)
     return worst
 
 
-def most_cold(came: list[tuple[float, float]], born: float) -> float:
-    """The largest part of what rule 4 lets a cold node bear that came within a span of it."""
+def max_cold_load(requests: list[tuple[float, float]], listed_ms: float) -> float:
+    """Return the largest load of a cold node within SPAN_MS, as a ratio to the load that it may get.
+
+    The load that it may get grows from COLD_UNITS to COLD_UNITS / SHARE within WARM_MS of the time at which
+    the node was listed.
+    """
     first, total, worst = 0, 0.0, 0.0
-    for at, units in came:
+    for time_ms, units in requests:
         total += units
-        while came[first][0] < at - SPAN_MS + SLACK_MS:
-            total -= came[first][1]
+        while requests[first][0] < time_ms - SPAN_MS + SLACK_MS:
+            total -= requests[first][1]
             first += 1
-        age = max(0.0, at - born - SPAN_MS / 2.0)
-        worst = max(worst, total / (COLD_UNITS * (1.0 + (1.0 / SHARE - 1.0) * age / WARM_MS)))
+        age_ms = max(0.0, time_ms - listed_ms - SPAN_MS / 2.0)
+        worst = max(worst, total / (COLD_UNITS * (1.0 + (1.0 / SHARE - 1.0) * age_ms / WARM_MS)))
     return worst
 
 
-def test_a_limit_is_lowered_while_a_third_is_cut_off(tmp_path):
-    async def story(fleet: Loaded) -> None:
-        assert await fleet.put(text(9, 270.0)) == 1
-        await fleet.settled(1)
-        fleet.load(range(9))
+def test_limit_holds_while_lowered_with_a_third_of_the_dispatchers_cut_off(tmp_path):
+    async def scenario(fleet: LoadedFleet) -> None:
+        assert await fleet.put(config_text(9, 270.0)) == 1
+        await fleet.wait_until_settled(1)
+        fleet.start_load(range(9))
         await asyncio.sleep(1.0)
         fleet.cut(6, 7, 8)
-        begun = fleet.now
-        assert await fleet.put(text(9, 60.0)) == 2
-        await fleet.on(2, *range(6))
-        both = fleet.now
+        started = fleet.now_ms
+        assert await fleet.put(config_text(9, 60.0)) == 2
+        await fleet.wait_until_in_force(2, *range(6))
+        lowered_majority = fleet.now_ms
         await asyncio.sleep(4.0)
         assert set((await fleet.version_numbers()).values()) == {1, 2}
-        healed = fleet.now
+        healed = fleet.now_ms
         fleet.heal(6, 7, 8)
         await fleet.wait_for_version(2)
-        lowered = fleet.now
+        lowered = fleet.now_ms
         await asyncio.sleep(3.0)
-        node = fleet.house.nodes[0]
-        came = sends(node, "v", begun, lowered)
-        assert over_limit(came, 270.0, 24.0) <= 0.0
-        halves = sum(units for _, units in sends(node, "v", both + 500.0, healed))
-        within_s = (healed - both - 500.0) / 1000.0
-        # A third by the old one, two thirds by the new: load was at the limit on both sides.
-        assert 0.7 < halves / within_s / (270.0 / 3.0 + 60.0 * 2.0 / 3.0) < 1.1
-        after = sends(node, "v", lowered + SLACK_MS, fleet.now)
-        assert over_limit(after, 60.0, 24.0) <= 0.0
+        node = fleet.gateway_site.nodes[0]
+        requests = received(node, "v", started, lowered)
+        assert max_units_over_limit(requests, 270.0, 24.0) <= 0.0
+        cut_units = sum(units for _, units in received(node, "v", lowered_majority + 500.0, healed))
+        within_s = (healed - lowered_majority - 500.0) / 1000.0
+        # A third of the dispatchers use the old limit, two thirds the new one, all with load at their quota.
+        assert 0.7 < cut_units / within_s / (270.0 / 3.0 + 60.0 * 2.0 / 3.0) < 1.1
+        after = received(node, "v", lowered + SLACK_MS, fleet.now_ms)
+        assert max_units_over_limit(after, 60.0, 24.0) <= 0.0
         assert sum(units for _, units in after) > 60.0 * 2.0
 
-    play(story, tmp_path, 9, 9)
+    run_scenario(scenario, tmp_path, 9, 9)
 
 
-def test_a_limit_raised_then_lowered_with_words_arriving_in_the_wrong_order(tmp_path):
-    async def story(fleet: Loaded) -> None:
-        assert await fleet.put(text(9, 60.0)) == 1
-        await fleet.settled(1)
-        fleet.load(range(9))
+def test_limit_holds_when_raised_then_lowered_with_reordered_datagrams(tmp_path):
+    async def scenario(fleet: LoadedFleet) -> None:
+        assert await fleet.put(config_text(9, 60.0)) == 1
+        await fleet.wait_until_settled(1)
+        fleet.start_load(range(9))
         fleet.ways.all.jitter_ms, fleet.ways.all.doubled = 350.0, 0.3
-        begun = fleet.now
-        assert await fleet.put(text(9, 300.0)) == 2
-        assert await fleet.put(text(9, 30.0)) == 3
-        await fleet.wait_for_version(3, 12.0)  # slower than the goal, with words that are so late
-        lowered = fleet.now
-        await asyncio.sleep(4.0)  # words of version 2 still come
+        started = fleet.now_ms
+        assert await fleet.put(config_text(9, 300.0)) == 2
+        assert await fleet.put(config_text(9, 30.0)) == 3
+        await fleet.wait_for_version(3, 12.0)  # longer than the target, since datagrams are up to 350 ms late
+        lowered = fleet.now_ms
+        await asyncio.sleep(4.0)  # datagrams about version 2 still arrive
         assert {*(await fleet.version_numbers()).values()} == {3}
-        node = fleet.house.nodes[0]
-        assert over_limit(sends(node, "v", begun, lowered), 300.0, 24.0) <= 0.0
-        after = sends(node, "v", lowered + SLACK_MS, fleet.now)
-        assert over_limit(after, 30.0, 24.0) <= 0.0
+        node = fleet.gateway_site.nodes[0]
+        assert max_units_over_limit(received(node, "v", started, lowered), 300.0, 24.0) <= 0.0
+        after = received(node, "v", lowered + SLACK_MS, fleet.now_ms)
+        assert max_units_over_limit(after, 30.0, 24.0) <= 0.0
         assert sum(units for _, units in after) > 30.0 * 2.0
 
-    play(story, tmp_path, 9, 9)
+    run_scenario(scenario, tmp_path, 9, 9)
 
 
-def test_the_number_of_dispatchers_is_raised_from_9_to_12_and_back_under_load(tmp_path):
-    async def story(fleet: Loaded) -> None:
-        assert await fleet.put(text(9, 90.0)) == 1
-        await fleet.settled(1)
-        register, (node, cold) = fleet.house.register, fleet.house.nodes
-        register.set(cold.address, "z", 1, "live", 2, 0.0)  # it is young from here to the end
-        born = begun = fleet.now
-        fleet.load(range(9))
-        for number in (9, 10, 11):  # their own files know twelve
+def test_limits_hold_while_dispatchers_grow_from_9_to_12_and_back_under_load(tmp_path):
+    async def scenario(fleet: LoadedFleet) -> None:
+        assert await fleet.put(config_text(9, 90.0)) == 1
+        await fleet.wait_until_settled(1)
+        register, (node, cold) = fleet.gateway_site.register, fleet.gateway_site.nodes
+        register.set(cold.address, "z", 1, "live", 2, 0.0)  # the node is cold from here to the end
+        listed = started = fleet.now_ms
+        fleet.start_load(range(9))
+        for number in (9, 10, 11):  # their own files name twelve dispatchers
             await fleet.start(number)
-        await fleet.settled(1)
-        fleet.load((9, 10, 11))
+        await fleet.wait_until_settled(1)
+        fleet.start_load((9, 10, 11))
         await asyncio.sleep(1.0)
         fleet.cut(5, 6, 7, 8)
-        assert await fleet.put(text(12, 90.0)) == 2
-        await fleet.on(2, *(one for one in range(12) if one not in (5, 6, 7, 8)))
-        await asyncio.sleep(4.0)  # four go by nine, five by the smaller of both, three not yet
+        assert await fleet.put(config_text(12, 90.0)) == 2
+        await fleet.wait_until_in_force(2, *(other for other in range(12) if other not in (5, 6, 7, 8)))
+        await asyncio.sleep(4.0)  # quotas: four by 9, five by the smaller of both quotas, three none yet
         assert not (await fleet.status(0))["settled"]
-        assert not doors(node, "v", begun, fleet.now) & {f"d{at}" for at in (9, 10, 11)}
+        assert not senders(node, "v", started, fleet.now_ms) & {f"d{seat}" for seat in (9, 10, 11)}
         fleet.heal(5, 6, 7, 8)
-        await fleet.settled(2)
+        await fleet.wait_until_settled(2)
         await asyncio.sleep(2.5)
-        assert doors(node, "v", fleet.now - 2000.0, fleet.now) == {f"d{at}" for at in range(12)}
+        assert senders(node, "v", fleet.now_ms - 2000.0, fleet.now_ms) == {f"d{seat}" for seat in range(12)}
         fleet.cut(9, 10, 11)
-        assert await fleet.put(text(9, 90.0)) == 3
-        await fleet.on(3, *range(9))
-        await asyncio.sleep(4.0)  # three go on by twelve, nine by the smaller of both
+        assert await fleet.put(config_text(9, 90.0)) == 3
+        await fleet.wait_until_in_force(3, *range(9))
+        await asyncio.sleep(4.0)  # quotas: three by 12, nine by the smaller of both quotas
         assert not (await fleet.status(0))["settled"]
         fleet.heal(9, 10, 11)
-        await fleet.settled(3)
-        settled = fleet.now
+        await fleet.wait_until_settled(3)
+        settled = fleet.now_ms
         await asyncio.sleep(2.5)
-        assert doors(node, "v", settled + SLACK_MS, fleet.now) == {f"d{at}" for at in range(9)}
-        came = sends(node, "v", begun, fleet.now)
-        assert over_limit(came, 90.0, 24.0) <= 0.0
-        assert sum(units for _, units in came) > 0.6 * 90.0 * (fleet.now - begun) / 1000.0
-        young = sends(cold, "u", begun + 2.0 * SPAN_MS, fleet.now)
-        assert most_cold(young, born) <= 1.0
-        assert len(young) > 0.3 * COLD_UNITS * (fleet.now - begun) / SPAN_MS
+        assert senders(node, "v", settled + SLACK_MS, fleet.now_ms) == {f"d{seat}" for seat in range(9)}
+        requests = received(node, "v", started, fleet.now_ms)
+        assert max_units_over_limit(requests, 90.0, 24.0) <= 0.0
+        assert sum(units for _, units in requests) > 0.6 * 90.0 * (fleet.now_ms - started) / 1000.0
+        cold_requests = received(cold, "u", started + 2.0 * SPAN_MS, fleet.now_ms)
+        assert max_cold_load(cold_requests, listed) <= 1.0
+        assert len(cold_requests) > 0.3 * COLD_UNITS * (fleet.now_ms - started) / SPAN_MS
 
-    play(story, tmp_path, 12, 9)
+    run_scenario(scenario, tmp_path, 12, 9)
 
 
-def doors(node: Node, volume: str, since: float, until: float) -> set[str]:
-    """Dispatchers that sent it."""
+def senders(node: Node, volume: str, since: float, until: float) -> set[str]:
+    """Return the names of the dispatchers whose requests for a volume a node received between two times."""
     lines = [line for line in node.record.lines if line[1] == "recv" and since <= line[0] <= until]
     return {line[2] for line in lines if line[6] == volume}
