--- a/tests/fleet/runtime/test_config_in_force.py
+++ b/tests/fleet/runtime/test_config_in_force.py
@@ -21,7 +21,7 @@
 from cherrygrade.fleet.config.versions import NO_DIGEST, ConfigVersion, QuotaDivisors
 from cherrygrade.fleet.runtime.sealed_file import SealedFile
 from cherrygrade.fleet.runtime.voter_store import create_founding_store
-from cherrygrade.gateway import inforce
+from cherrygrade.gateway import settings_in_force
 from cherrygrade.gateway.overlay import Overlay
 from cherrygrade.gateway.process import Gateway
 from cherrygrade.records.load import RecordError, read_site
@@ -99,14 +99,14 @@
         """Wait until the dispatcher knows the fleet's version for certain, and has its quotas."""
         while not gateway._sure():
             await asyncio.sleep(0.01)
-        gateway.rounds.stir()
+        gateway.rounds.schedule_round()
         await asyncio.sleep(0.01)
-        assert not gateway.company.forfeits_quota
+        assert not gateway.peer_directory.forfeits_quota
 
 
 def applied_settings(gateway: Gateway) -> dict[str, Any]:
     """Return all values in a gateway that depend on the configuration in force."""
-    scheduler, rooms = gateway.rounds.module, gateway.rooms
+    scheduler, rooms = gateway.rounds.scheduler, gateway.rooms
     settings, admission = scheduler.settings, scheduler.admission
     return {
         "trade": gateway.trade,
@@ -183,7 +183,7 @@
         assert isinstance(await client.write("scan", "x", "k", b"x", shard=0, deadline_ms=3000), Ok)
         assert await gateway.in_force(version(2, ""), 5) == ""  # back to the dispatcher's own file
         assert gateway.trade == gateway.overlay.own.trade
-        assert gateway.rounds.module.admission.retry_budget.settings is None
+        assert gateway.rounds.scheduler.admission.retry_budget.settings is None
 
     run(scenario)
 
@@ -199,7 +199,7 @@
         before = applied_settings(gateway)
         if broken == "terms":
             text = "place: dispatchers: 3"
-            monkeypatch.setattr(inforce, "max", lambda *_, **__: 1 / 0, raising=False)
+            monkeypatch.setattr(settings_in_force, "max", lambda *_, **__: 1 / 0, raising=False)
         else:
             text = "plans: gold: weight: 4"
             monkeypatch.setattr("cherrygrade.peers.rooms.Share", lambda *_: 1 / 0)
@@ -248,12 +248,12 @@
         client = gateway_site.client(gateway)
         await client.write("write", "v", "k", b"x", shard=0, deadline_ms=2000)
         await asyncio.sleep(0.5)
-        volume = gateway.rounds.module.volumes["v"]
+        volume = gateway.rounds.scheduler.volumes["v"]
         volume.refill(gateway.clock())
         assert volume.limit_tokens > 35.0  # a third of 120: there are three dispatchers
         lower = "plans: gold: {usual_rate: 1000, limit_rate: 30, limit_depth: 12}"
         assert await gateway.in_force(version(1, lower), 3) == ""
-        assert volume.limit_tokens <= 4.0 and gateway.rounds.module.volumes["v"] is volume
+        assert volume.limit_tokens <= 4.0 and gateway.rounds.scheduler.volumes["v"] is volume
         writes = [
             client.write("write", "v", f"k{index}", b"x", shard=0, deadline_ms=400) for index in range(20)
         ]
@@ -275,7 +275,7 @@
             for index in range(4)
         ]
         await asyncio.sleep(0.05)
-        in_flight = [*gateway.held]
+        in_flight = [*gateway.open_requests]
         assert len(in_flight) >= 3  # the limit admits four a second
         overlay = Overlay(dispatcher.file, (), gateway.overlay.own)
         overlay._below = [("file", dispatcher.file.read_text().replace("export:", "other:"))]
@@ -304,8 +304,8 @@
         body = bytes(range(256)) * 512  # eight extents, of which two pieces are in flight at a time
         gateway_site.nodes[0].build.unit_ms = 20.0
         write = asyncio.ensure_future(client.write("write", "v", "", body, offset=0, deadline_ms=2900))
-        while not gateway.held or not any(
-            hasattr(request, "helds") and request.helds for request in gateway.held
+        while not gateway.open_requests or not any(
+            hasattr(request, "helds") and request.helds for request in gateway.open_requests
         ):
             await asyncio.sleep(0.001)
         overlay = Overlay(dispatcher.file, (), gateway.overlay.own)
@@ -332,7 +332,7 @@
             assert await gateway.in_force(version(number, text), 2 * number + 1) == ""
             for key in ("a", "b"):
                 assert isinstance(await client.write("write", "w", key, b"x", shard=0, deadline_ms=2000), Ok)
-            assert bool(gateway.rounds.module.admission.retry_budget.arrivals_ms) == (text == budget)
+            assert bool(gateway.rounds.scheduler.admission.retry_budget.arrivals_ms) == (text == budget)
 
     run(scenario)
 
@@ -343,13 +343,13 @@
         # The council's only voter d9 does not run: the dispatcher can't learn the fleet's version.
         gateway = await dispatcher.open(1, own=OWN_FILE.replace('voters: ["d0"]', 'voters: ["d9"]'))
         client = gateway_site.client(gateway)
-        assert gateway.company.forfeits_quota
+        assert gateway.peer_directory.forfeits_quota
         assert isinstance(await client.write("write", "w", "k", b"x", shard=0, deadline_ms=500), Ok)
         limited = await client.write("write", "v", "k", b"x", shard=0, deadline_ms=500)
         assert not isinstance(limited, Ok)
         gateway.agent.config.replica._is_certain = True  # as if witnesses had confirmed the version
         assert isinstance(await client.write("write", "v", "k", b"x", shard=0, deadline_ms=900), Ok)
-        assert not gateway.company.forfeits_quota
+        assert not gateway.peer_directory.forfeits_quota
 
     run(scenario)
 
@@ -360,11 +360,11 @@
         gateway = await dispatcher.open(1, own=OWN_FILE.replace('voters: ["d0"]', 'voters: ["d9"]'))
         client = gateway_site.client(gateway)
         await client.write("write", "v", "k", b"x", shard=0, deadline_ms=500)
-        volume = gateway.rounds.module.volumes["v"]
+        volume = gateway.rounds.scheduler.volumes["v"]
         volume.refill(gateway.clock())
         assert volume.limit_tokens > 20.0  # gained at a quota that the dispatcher did not have
         gateway.agent.config.replica._is_certain = True
-        gateway.rounds.stir()
+        gateway.rounds.schedule_round()
         await asyncio.sleep(0.01)
         assert volume.limit_tokens < 5.0
 
@@ -392,18 +392,18 @@
         assert old_divisors == QuotaDivisors(3, (("v", 3), ("w", 2)))
         more, fewer = "place: dispatchers: 5", "place: dispatchers: 2"
         assert await gateway.in_force(version(1, more, old_divisors), 2) == ""
-        assert gateway.company.dispatcher_counts == (3, 5) and gateway.trade.volumes["v"].hosts == 5
-        assert gateway.agent.membership.fleet_size == 5 and not gateway.company.forfeits_quota
+        assert gateway.peer_directory.dispatcher_counts == (3, 5) and gateway.trade.volumes["v"].hosts == 5
+        assert gateway.agent.membership.fleet_size == 5 and not gateway.peer_directory.forfeits_quota
         assert await gateway.in_force(version(1, more, old_divisors), 3) == ""
-        assert gateway.company.dispatcher_counts == (5,)
+        assert gateway.peer_directory.dispatcher_counts == (5,)
         grown_divisors = gateway.overlay.judge("", more)[1]
         assert await gateway.in_force(version(2, fewer, grown_divisors), 4) == ""
-        assert gateway.company.dispatcher_counts == (2, 5) and gateway.trade.volumes["v"].hosts == 5
+        assert gateway.peer_directory.dispatcher_counts == (2, 5) and gateway.trade.volumes["v"].hosts == 5
         assert (
-            gateway.company.forfeits_quota and gateway.place.number == 2
+            gateway.peer_directory.forfeits_quota and gateway.place.number == 2
         )  # seat 2 is outside of the new count
         assert await gateway.in_force(version(2, fewer, grown_divisors), 5) == ""
-        assert gateway.company.dispatcher_counts == (2,) and gateway.company.forfeits_quota
+        assert gateway.peer_directory.dispatcher_counts == (2,) and gateway.peer_directory.forfeits_quota
         assert gateway.agent.membership.fleet_size == 2
         client = gateway_site.client(gateway)
         assert isinstance(await client.write("write", "w", "k", b"x", shard=0, deadline_ms=900), Ok)
