--- a/cherrygrade/fleet/runtime/config_exchange.py
+++ b/cherrygrade/fleet/runtime/config_exchange.py
@@ -2,7 +2,8 @@
 
 `config/replica.py` decides which version is believed, fetched, stored and put in force, and
 `config/joint_phase.py` decides when all dispatchers use the new quotas. This module carries out their
-effects. A version is written to disk before it is put in force.
+effects. A version is written to disk before it is put in force. The replica is certain once it knows the
+fleet's version; until then this dispatcher uses no quotas.
 
 A stage is 2N while version N is being introduced, and 2N+1 once it is settled. A seat is a dispatcher's
 number in the fleet, from 0, by which quotas are divided.
--- a/cherrygrade/fleet/runtime/config_judge.py
+++ b/cherrygrade/fleet/runtime/config_judge.py
@@ -30,7 +30,7 @@
         text: The proposed text.
 
     Returns:
-        The refusal, or the quota divisors and, where it is shorter than the text, their difference.
+        The refusal; or the quota divisors, and the difference of the texts where that is shorter than `text`.
     """
     if judge is None:
         return ConfigVerdict("this dispatcher takes no shared configuration")
--- a/cherrygrade/fleet/runtime/council_client.py
+++ b/cherrygrade/fleet/runtime/council_client.py
@@ -41,8 +41,7 @@
             timeout_s: For the request at all voters together.
 
         Raises:
-            CouncilUnreachableError: No leader replied in time; the request may have been carried out all the
-                same.
+            CouncilUnreachableError: No leader replied in time; the request may still have been carried out.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
--- a/cherrygrade/fleet/runtime/council_server.py
+++ b/cherrygrade/fleet/runtime/council_server.py
@@ -205,8 +205,7 @@
             timeout_s: For the request at all voters together.
 
         Raises:
-            CouncilUnreachableError: No leader replied in time; the request may have been carried out all the
-                same.
+            CouncilUnreachableError: No leader replied in time; the request may still have been carried out.
         """
         return await self.client.request(request, timeout_s)
 
--- a/cherrygrade/fleet/runtime/fleet_agent.py
+++ b/cherrygrade/fleet/runtime/fleet_agent.py
@@ -41,7 +41,7 @@
     from cherrygrade.fleet.runtime.council_server import CouncilServer
     from cherrygrade.fleet.runtime.lease_tasks import LeaseTaskRunner
 
-TIMER_GRAIN_MS = 5.0  # a tick also does the work that falls due within this time
+TIMER_GRAIN_MS = 5.0  # a timer may fire this late: a tick also does the work that is due within this time
 MIN_TIMER_CHANGE_MS = 1.0  # the timer is set anew only for a deadline that is earlier by more than this
 NEVER_MS = 1e14
 NODE_HASH_MASK = 0xFFFF
