--- a/benchmarks/bench.py
+++ b/benchmarks/bench.py
@@ -142,7 +142,7 @@
     def connected(self, conn: Connection) -> None:
         conn.send(wire.Hello(wire.VERSION, "client", "bench"))
 
-    def room(self, conn: Connection, message: Any, length: int) -> bytearray:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> bytearray:
         return bytearray(length)
 
     def send(self) -> None:
@@ -150,7 +150,7 @@
         self.conn.send(self.make(self.next))
         self.next += 1
 
-    def frame(self, conn: Connection, message: Any, body: Any) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: Any) -> None:
         if isinstance(message, wire.Welcome):
             self.ready.set_result(None)
             return
@@ -268,7 +268,7 @@
     done = asyncio.get_running_loop().create_future()
 
     class Writes(Peer):
-        def frame(self, conn: Connection, message: Any, body: Any) -> None:
+        def on_frame(self, conn: Connection, message: Any, body: Any) -> None:
             if isinstance(message, wire.Welcome):
                 conn.send(wire.WriteSend(1, "bench:1", "v", "k", 0, 1.0, 5000.0, 0), bytes(length))
             else:
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -426,10 +426,10 @@
         elif self.watching is not None:
             self.watching.add(self)
 
-    def room(self, conn: Connection, message: Any, length: int) -> bytearray:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> bytearray:
         return bytearray(length)
 
-    def frame(self, conn: Connection, message: Any, body: Any) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: Any) -> None:
         if isinstance(message, wire.Hello):
             self.name = message.name
             conn.send(wire.Welcome(wire.VERSION, "quick"))
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -40,10 +40,10 @@
     def connected(self, conn: Connection) -> None:
         conn.send(Hello(VERSION, "dispatcher", "relay"))
 
-    def room(self, conn: Connection, message: Any, length: int) -> bytearray:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> bytearray:
         return bytearray(length)
 
-    def frame(self, conn: Connection, message: Any, body: Any) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: Any) -> None:
         if isinstance(message, Answer):
             client, id_ = self.out.pop(message.id)
             client.conn.send(Errored(id_) if message.code else Ok(id_, 0), body)
@@ -63,10 +63,10 @@
     def connected(self, conn: Connection) -> None:
         pass
 
-    def room(self, conn: Connection, message: Any, length: int) -> bytearray:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> bytearray:
         return bytearray(length)
 
-    def frame(self, conn: Connection, message: Any, body: Any) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: Any) -> None:
         if isinstance(message, Hello):
             conn.send(Welcome(VERSION, "relay", [], MOST, 1 << 20))
             return
--- a/benchmarks/slow_peers.py
+++ b/benchmarks/slow_peers.py
@@ -30,8 +30,15 @@
 from bench import SITE, Rig, Tally, closed_loop, cores, cpu_us, open_loop, peak_mib
 from extents import EXTENT, EXTENTS, scattered, volume
 
-from cherrygrade.peers.ladder import Ladder, Step, charged, eased, least_rate, scarcity
-from cherrygrade.peers.rate import Rate
+from cherrygrade.peers.slow_peer_escalation import (
+    SlowPeerEscalation,
+    Step,
+    limit_scarcity_rise,
+    min_rate,
+    min_rate_for_occupancy,
+    scarcity,
+)
+from cherrygrade.peers.transfer_rate import TransferRate
 from cherrygrade.standin.control import Controller
 from cherrygrade.wire import messages as wire
 from cherrygrade.wire.frames import encode
@@ -190,21 +197,21 @@
     wrong = 0
     for seed in range(runs):
         chance = random.Random(seed)
-        peers = [(Rate(500.0, 1500.0), Ladder(400.0)) for _ in range(20)]
+        peers = [(TransferRate(500.0, 1500.0), SlowPeerEscalation(400.0)) for _ in range(20)]
         owed, paused, used, scarce = [0.0] * len(peers), [0] * len(peers), 0.0, 0.0
         for _ in range(600):
             used = max(0.0, min(16.0 * MIB, used + chance.uniform(-1.0, 1.0) * MIB))
             took = chance.uniform(80.0, 200.0)
-            scarce = eased(scarce, scarcity(used, 16.0 * MIB), took, 1500.0)
-            least = charged(least_rate(16384.0, 262144.0, scarce), 262144.0, scarce, MIB, 4000.0)
+            scarce = limit_scarcity_rise(scarce, scarcity(used, 16.0 * MIB), took, 1500.0)
+            least = min_rate_for_occupancy(min_rate(16384.0, 262144.0, scarce), 262144.0, scarce, MIB, 4000.0)
             for index, (rate, ladder) in enumerate(peers):
                 owed[index] += 1.5 * max(least, 262144.0 * scarce) * took / 1000.0
                 stays = paused[index] < 2 and chance.random() < (0.5 if paused[index] else 0.15)
                 paused[index] = paused[index] + 1 if stays else 0
                 moved = 0.0 if paused[index] else owed[index]
                 owed[index] -= moved
-                rate.saw(int(moved), took)
-                ladder.judge(rate.per_s(), least, took, False)
+                rate.record(int(moved), took)
+                ladder.update(rate.bytes_per_second(), least, took, False)
         wrong += sum(ladder.step is Step.CUT for _, ladder in peers)
     print(f"false cuts (simulated): {wrong} of {runs * 20} peers in {runs} runs")
     return wrong
--- a/cherrygrade/client/library.py
+++ b/cherrygrade/client/library.py
@@ -204,7 +204,7 @@
         self._greeted = asyncio.get_running_loop().time() - 0.001
         conn.send(wire.Hello(wire.VERSION, "client", self.name, ["parts"]))
 
-    def room(self, conn: Connection, message: Any, length: int) -> bytearray | memoryview | None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> bytearray | memoryview | None:
         if isinstance(message, wire.Ok) and message.id in self._open:
             return bytearray(length)
         if isinstance(message, wire.Part) and message.id in self._lengths:
@@ -215,7 +215,7 @@
                 return memoryview(whole)[message.at : message.at + length]
         return None
 
-    def frame(self, conn: Connection, message: Any, body: Any) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: Any) -> None:
         if isinstance(message, wire.Welcome):
             self._conn = conn
             self._backoff.made(asyncio.get_running_loop().time() * 1000.0)
--- a/cherrygrade/extents/parent.py
+++ b/cherrygrade/extents/piece_tracker.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from cherrygrade.extents.map import NOWHERE, Stretch
+from cherrygrade.extents.extent_map import NOWHERE, Stretch
 
 
 class End(Enum):
--- a/cherrygrade/extents/carrier.py
+++ b/cherrygrade/extents/range_service.py
@@ -10,13 +10,13 @@
 from itertools import pairwise
 from typing import Any, Protocol
 
-from cherrygrade.extents.hold import Company
-from cherrygrade.extents.map import NOWHERE, ExtentMap, Stretch
-from cherrygrade.extents.parent import End, Parent, Piece
+from cherrygrade.extents.coalescing_predictor import Company
+from cherrygrade.extents.extent_map import NOWHERE, ExtentMap, Stretch
+from cherrygrade.extents.piece_tracker import End, Parent, Piece
 from cherrygrade.inflight import Body, ClientSession, InflightRequest, RangeRequest
-from cherrygrade.peers.ladder import Step
-from cherrygrade.peers.rooms import Rooms
-from cherrygrade.peers.store import Claim, waits
+from cherrygrade.peers.memory_admission import MemoryAdmission
+from cherrygrade.peers.memory_budget import Reservation, is_waiting
+from cherrygrade.peers.slow_peer_escalation import Step
 from cherrygrade.scheduling.model import Idempotency, Workload
 from cherrygrade.settings import ExtentSettings, TrafficSettings, VolumeSettings
 from cherrygrade.wire.messages import Errored, MapPart, Ok, Part, ReadRpc, Rejected, WriteRpc
@@ -32,7 +32,7 @@
     def trade(self) -> TrafficSettings: ...
 
     @property
-    def rooms(self) -> Rooms: ...
+    def rooms(self) -> MemoryAdmission: ...
 
     @property
     def come_back_ms(self) -> float: ...
@@ -66,9 +66,9 @@
     def abandon(self, held: InflightRequest) -> None:
         """The module is to go on with it no more."""
 
-    def release(self, one: InflightRequest | RangeRequest) -> Claim | None: ...
+    def release(self, one: InflightRequest | RangeRequest) -> Reservation | None: ...
 
-    def pin_sends(self, held: InflightRequest, claim: Claim) -> None: ...
+    def pin_sends(self, held: InflightRequest, claim: Reservation) -> None: ...
 
     def let_go(self, one: InflightRequest | RangeRequest) -> None: ...
 
@@ -89,7 +89,7 @@
 
     def __init__(
         self,
-        carrier: Carrier,
+        carrier: RangeService,
         session: ClientSession,
         ask: ReadRpc | WriteRpc,
         body: Any,
@@ -103,7 +103,7 @@
         self.length = ask.length if isinstance(ask, ReadRpc) else len(body or b"")
         self.streams = not self.writes and PARTS in session.features
         self.whole = memoryview(body or b"") if self.writes else None  # a read's bytes, put together
-        self.claim: Claim | None = None  # room of the whole; pieces that stream have their own
+        self.claim: Reservation | None = None  # room of the whole; pieces that stream have their own
         self.cramped_piece: InflightRequest | None = None  # one that waited for room when last looked at
         self.helds: dict[Piece, InflightRequest] = {}
         self.parent = Parent([Stretch(-1, 0, self.length, 0)], self.length, self.writes, 1, 1)
@@ -112,15 +112,17 @@
         """Find room for the whole, if it is put together here, and then the map."""
         session, ask, rooms = self.session, self.rpc, self.carrier.house.rooms
         if not (self.writes or self.streams) and self.length:
-            self.claim = rooms.ask(session.account, ask.workload, ask.volume, self.length, self, ask.left_ms)
-            if waits(self.claim):
+            self.claim = rooms.reserve(
+                session.account, ask.workload, ask.volume, self.length, self, ask.left_ms
+            )
+            if is_waiting(self.claim):
                 return
         self.carrier.find(self)
 
-    def roomy(self, claim: Claim) -> None:
+    def reservation_granted(self, claim: Reservation) -> None:
         self.carrier.find(self)
 
-    def cramped(self, claim: Claim) -> None:
+    def reservation_timed_out(self, claim: Reservation) -> None:
         self.drop()
         house = self.carrier.house
         house.final(self, Rejected(self.rpc.id, house.come_back_ms, "no room for its bytes"))
@@ -147,16 +149,16 @@
             session.waiting_ranges[self] = None
             return
         session.waiting_ranges.pop(self, None)
-        if self.cramped_piece is not None and waits(self.cramped_piece.claim):
+        if self.cramped_piece is not None and is_waiting(self.cramped_piece.claim):
             return  # one that waits for room is enough: the next goes behind it
         carrier, self.cramped_piece = self.carrier, None
-        most = 1 if carrier.house.rooms.store.waits else carrier.cuts.pieces
+        most = 1 if carrier.house.rooms.budget.waiting_count else carrier.cuts.pieces
         for piece in self.parent.more(lambda extent: carrier.map.home(self.rpc.volume, extent), most):
             held = carrier.hold_piece(self, piece)
             self.helds[piece] = held
             session.bytes_in_flight += piece.stretch.length
             carrier.house.admit(held)
-            if waits(held.claim):
+            if is_waiting(held.claim):
                 self.cramped_piece = held
 
     def ok(self, held: InflightRequest) -> None:
@@ -227,7 +229,7 @@
         house.let_go(held)
 
 
-class Carrier:
+class RangeService:
     """All of a dispatcher's ranges. `astray` is emptied by the map's word and by the RPCs' ends, `unmapped`
     by the volume's map or its RPCs' ends, `company` by the hold's end."""
 
@@ -239,7 +241,7 @@
         self.unmapped: dict[str, list[Range]] = {}
         self.company: dict[tuple[str, int], list[InflightRequest]] = {}
         # RPCs that went with others; those that went as pieces; holds that met nobody; old entries met.
-        self.joined = self.split = self.held_vain = self.stales = 0
+        self.coalesced_count = self.split = self.held_vain = self.stales = 0
         self._again: asyncio.TimerHandle | None = None
 
     def take(
@@ -345,7 +347,7 @@
             self._stray(held)
         return held
 
-    def stale(self, held: InflightRequest) -> None:
+    def map_entry_stale(self, held: InflightRequest) -> None:
         """A node's answer told that the map is old: the RPC waits for the newer word, in the module."""
         self.stales += 1
         self.map.forget(held.volume, held.extent, held.version)
@@ -384,7 +386,7 @@
             else:
                 del self.unmapped[volume]
 
-    def heard(self, word: MapPart) -> None:
+    def map_received(self, word: MapPart) -> None:
         learned = self.map.hear(word.volume, word.epoch, word.size, word.extent_bytes, word.first, word.homes)
         found = False
         for extent in learned:
@@ -430,16 +432,16 @@
         if self._again is not None:
             self._again.cancel()
 
-    def tell(self) -> None:
+    def log_counts(self) -> None:
         """What merging and splitting did since the last line; silent where they did nothing."""
-        if self.joined or self.split or self.held_vain or self.stales:
+        if self.coalesced_count or self.split or self.held_vain or self.stales:
             self.house.log(
                 "ranges",
-                joined=self.joined,
+                joined=self.coalesced_count,
                 split=self.split,
                 held_vain=self.held_vain,
                 stale=self.stales,
                 astray=len(self.astray),
                 unmapped=len(self.unmapped),
             )
-        self.joined = self.split = self.held_vain = self.stales = 0
+        self.coalesced_count = self.split = self.held_vain = self.stales = 0
--- a/cherrygrade/fleet/runtime/admin_client.py
+++ b/cherrygrade/fleet/runtime/admin_client.py
@@ -32,7 +32,7 @@
         conn.send(Hello(VERSION, stream_roles.OPERATOR, "cherrygrade fleet config"))
         self.send_message(msgspec.json.encode(self._request))
 
-    def frame(self, conn: Connection, message: Any, body: object) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: object) -> None:
         """Called by the connection with each frame."""
         if isinstance(message, Bye):
             self._events.put_nowait(message.reason)
--- a/cherrygrade/fleet/runtime/framed_connection.py
+++ b/cherrygrade/fleet/runtime/framed_connection.py
@@ -69,11 +69,11 @@
     def connected(self, conn: Connection) -> None:
         """Called by the connection once it is open."""
 
-    def room(self, conn: Connection, message: Any, length: int) -> None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> None:
         """Called by the connection for a frame's body: these messages have none."""
         return
 
-    def frame(self, conn: Connection, message: Any, body: object) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: object) -> None:
         """Called by the connection with each frame."""
         if isinstance(message, Members):
             self.frame_received(message)
--- a/cherrygrade/fleet/runtime/peer_stream.py
+++ b/cherrygrade/fleet/runtime/peer_stream.py
@@ -124,11 +124,11 @@
         for index, batch in enumerate(batches):
             self.conn.send(Members(msgspec.msgpack.encode(batch), index == len(batches) - 1))
 
-    def room(self, conn: Connection, message: Any, length: int) -> None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> None:
         """Called by the connection for a frame's body: these messages have none."""
         return
 
-    def frame(self, conn: Connection, message: Any, body: object) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: object) -> None:
         """Called by the connection with each frame."""
         if isinstance(message, Hello) and not self.target and not self.peer:
             self._hello_received(message)
--- a/cherrygrade/fleet/runtime/status_query.py
+++ b/cherrygrade/fleet/runtime/status_query.py
@@ -31,11 +31,11 @@
         """Ask; the role is the whole question."""
         conn.send(Hello(VERSION, stream_roles.STATUS, "cherrygrade fleet"))
 
-    def room(self, conn: Connection, message: Any, length: int) -> None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> None:
         """Called by the connection for a frame's body: these messages have none."""
         return
 
-    def frame(self, conn: Connection, message: Any, body: object) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: object) -> None:
         """Called by the connection with each frame; the status has any length."""
         if isinstance(message, Members) and not self.answer.done():
             self._received += message.payload
--- a/cherrygrade/gateway/links.py
+++ b/cherrygrade/gateway/links.py
@@ -15,7 +15,7 @@
 from cherrygrade.gateway.rounds import Rounds
 from cherrygrade.gateway.wheel import Wheel
 from cherrygrade.inflight import InflightAttempt, InflightRequest
-from cherrygrade.peers.store import Claim
+from cherrygrade.peers.memory_budget import Reservation
 from cherrygrade.scheduling.model import Idempotency, Node, NodeState, Outcome
 from cherrygrade.settings import NodeConnectionSettings
 from cherrygrade.transport.connection import Connection
@@ -56,7 +56,8 @@
         self.link, self.line = link, line
         self.conn = Connection(self, link.most_body, taken=link.unpin)
         self.receiving: Flight | None = None  # whose body is coming in
-        self.keeps: list[Claim] = []  # room of what comes in, though its send is over; emptied by its end
+        # room of what comes in, though its send is over; emptied by its end
+        self.keeps: list[Reservation] = []
         self.flights: dict[int, Flight] = {}  # out on this line; emptied by outcomes and by the line's end
         self.last = 0  # newest stream number given out
         self.let_go = False  # it was we who closed it
@@ -65,7 +66,7 @@
     def connected(self, conn: Connection) -> None:
         conn.send(Hello(VERSION, "dispatcher", self.link.name))
 
-    def room(self, conn: Connection, message: Any, length: int) -> bytearray | memoryview | None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> bytearray | memoryview | None:
         """A late answer to a send that was given up on has no room: it is read off and dropped."""
         if not isinstance(message, Answer):
             return None
@@ -78,7 +79,7 @@
             return held.destination if held.length == length else None
         return bytearray(length)
 
-    def frame(self, conn: Connection, message: Any, body: bytearray | memoryview | None) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: bytearray | memoryview | None) -> None:
         self._received()
         if isinstance(message, Answer):
             self._answer(message, body)
@@ -155,7 +156,7 @@
         lines: NodeConnectionSettings,
         log: Callable[..., None],
         stale: Callable[[InflightRequest], None],
-        unpin: Callable[[Claim], None],
+        unpin: Callable[[Reservation], None],
     ) -> None:
         self.node, self.name, self.rounds, self.wheel = node, name, rounds, wheel
         self.most_body, self.log = most_body, log
--- a/cherrygrade/gateway/process.py
+++ b/cherrygrade/gateway/process.py
@@ -7,7 +7,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from cherrygrade.extents.carrier import Carrier
+from cherrygrade.extents.range_service import RangeService
 from cherrygrade.gateway.lateness import Lateness
 from cherrygrade.gateway.life import LEFT_BROKEN, LEFT_BY_FORCE, LEFT_CLEAN, Alarm, module_broke
 from cherrygrade.gateway.links import Link, NodeLine
@@ -18,10 +18,10 @@
 from cherrygrade.gateway.wheel import Wheel
 from cherrygrade.gateway.words import Words
 from cherrygrade.inflight import Body, ClientSession, InflightAttempt, InflightRequest, RangeRequest
-from cherrygrade.peers.arrivals import Arrivals
-from cherrygrade.peers.rooms import Rooms
-from cherrygrade.peers.store import Claim, waits
-from cherrygrade.peers.watch import Watch
+from cherrygrade.peers.connection_admission import ConnectionAdmission
+from cherrygrade.peers.memory_admission import MemoryAdmission
+from cherrygrade.peers.memory_budget import Reservation, is_waiting
+from cherrygrade.peers.watch import SlowPeerWatch
 from cherrygrade.scheduling.model import Node, Outcome
 from cherrygrade.scheduling.round_inputs import NodeTable
 from cherrygrade.scheduling.scheduler import Scheduler
@@ -81,7 +81,9 @@
             InflightRequest | RangeRequest, None
         ] = {}  # taken and not over; emptied by final answers and leavings
         self.sessions: dict[Session, None] = {}
-        self.arrivals: Arrivals[Session] = Arrivals(bounds.most_clients, bounds.most_silent)
+        self.arrivals: ConnectionAdmission[Session] = ConnectionAdmission(
+            bounds.most_clients, bounds.most_silent
+        )
         self.links: dict[Node, Link] = {}
         self.nodes = NodeTable()
         self.wheel: Wheel[InflightAttempt] = Wheel()
@@ -130,9 +132,9 @@
             highest_weight=dispatcher.settings.highest_weight,
             tightest_objective_ms=dispatcher.settings.tightest_objective_ms,
         )
-        self.rooms = Rooms(trade, bearings.earnings, pressed, pace, bounds.most_body, log)
+        self.rooms = MemoryAdmission(trade, bearings.earnings, pressed, pace, bounds.most_body, log)
         self.rounds = Rounds(dispatcher, self, self._crashed, lambda text: log("module", text=text))
-        self.ranges = Carrier(self, cuts or ExtentSettings(), self._ask_map)
+        self.ranges = RangeService(self, cuts or ExtentSettings(), self._ask_map)
         self.register_watch = RegisterWatch(
             place.register,
             place.name,
@@ -140,12 +142,12 @@
             bearings.permits.polls_endpoints,
             self.rounds.clock,
             self._heard,
-            self.ranges.heard,
+            self.ranges.map_received,
             log,
             lines.source,
         )
         self.lateness = Lateness(self.rounds.clock())
-        self.watch = Watch(
+        self.watch = SlowPeerWatch(
             pace,
             self.rooms,
             lambda: self.sessions,
@@ -203,8 +205,8 @@
 
     def _tell(self) -> None:
         """A line each minute of what ranges and room came to; none of what did nothing."""
-        self.ranges.tell()
-        self.rooms.tell()
+        self.ranges.log_counts()
+        self.rooms.log_shortage()
         if self.agent is not None:
             self.log("fleet", side=self.agent.membership.partition_state.value, **self.agent.counts())
         if self.words is not None:
@@ -270,7 +272,7 @@
     def enter(self, session: Session) -> bool:
         if self.leaving:
             return False
-        place, goes = self.arrivals.came(session, len(self.sessions))
+        place, goes = self.arrivals.admit(session, len(self.sessions))
         if goes is not None:
             goes.conn.close("no hello yet, and others come", self.come_back_ms)
         if place:
@@ -278,10 +280,10 @@
         return place
 
     def spoke(self, session: Session) -> None:
-        self.arrivals.spoke(session)
+        self.arrivals.mark_identified(session)
 
     def exit(self, session: Session, why: str) -> None:
-        self.arrivals.spoke(session)
+        self.arrivals.mark_identified(session)
         if self.sessions.pop(session, self) is None:
             self.log("client left", client=session.name, peer=session.conn.peer, why=why)
             self._look_done()
@@ -347,8 +349,8 @@
         whole = held.is_write or (held.range is not None and (not held.range.streams or held.extent < 0))
         if work is not None and held.length and not whole and not session.reserve_small_read(held, work.name):
             left = held.deadline_ms - self.rounds.clock()
-            held.claim = self.rooms.ask(session.account, work.name, held.volume, held.length, held, left)
-        if not waits(held.claim):
+            held.claim = self.rooms.reserve(session.account, work.name, held.volume, held.length, held, left)
+        if not is_waiting(held.claim):
             self.rounds.take(held)
 
     def admitted(self, held: InflightRequest) -> None:
@@ -375,7 +377,7 @@
         elif held.rpc is not None:
             self.final(held, Rejected(held.rpc.id, self.come_back_ms, "no room for its bytes"))
 
-    def release(self, held: InflightRequest | RangeRequest) -> Claim | None:
+    def release(self, held: InflightRequest | RangeRequest) -> Reservation | None:
         """The RPC needs its room no more: whoever gets it gives it back. Sends that are out still hold it."""
         if isinstance(held, InflightRequest) and held.purse is not None:
             held.purse.spent -= held.length
@@ -385,7 +387,7 @@
             self.pin_sends(held, claim)
         return claim
 
-    def pin_sends(self, held: InflightRequest, claim: Claim) -> None:
+    def pin_sends(self, held: InflightRequest, claim: Reservation) -> None:
         """The RPC is over, its sends are not: their bytes have to go, or to come in."""
         for out in held.attempts:
             if (
@@ -399,7 +401,7 @@
 
     def let_go(self, held: InflightRequest | RangeRequest) -> None:
         """Nobody gets its bytes."""
-        self.rooms.leave(self.release(held))
+        self.rooms.release(self.release(held))
 
     def left(self, held: InflightRequest | RangeRequest) -> None:
         self.held.pop(held, None)
@@ -460,7 +462,7 @@
         into = terms(site, quota_parts(self.place.number, quota_divisors(site), old, sure), old)
         pressed = partial(is_pressed_workload, highest_weight=into.top, tightest_objective_ms=into.tight)
         held = self._held()
-        self.rooms.put(
+        self.rooms.apply_settings(
             into.trade,
             into.bearings.earnings,
             pressed,
@@ -522,13 +524,13 @@
                 self.most_body,
                 self.lines_,
                 self.log,
-                self.ranges.stale,
+                self.ranges.map_entry_stale,
                 self.rooms.unpin,
             )
         outs = [out]
         if out.coalesced:
             outs += [mate for mate in out.coalesced if isinstance(mate, InflightAttempt)]
-            self.ranges.joined += len(out.coalesced)
+            self.ranges.coalesced_count += len(out.coalesced)
         for one in outs:
             one.timer_slot = self.wheel.put(one, one.request.deadline_ms)
         link.carry(outs)
--- a/cherrygrade/gateway/register_watch.py
+++ b/cherrygrade/gateway/register_watch.py
@@ -96,10 +96,10 @@
         if not self.must_ask or self._asked:
             conn.send(Follow(push=True))
 
-    def room(self, conn: Connection, message: Any, length: int) -> None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> None:
         return None
 
-    def frame(self, conn: Connection, message: Any, body: object) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: object) -> None:
         if isinstance(message, Roster):
             learned = self.book.hear(message, self._clock())
             if learned is None:
--- a/cherrygrade/gateway/sessions.py
+++ b/cherrygrade/gateway/sessions.py
@@ -7,11 +7,11 @@
 
 from cherrygrade.gateway.transit import Transit
 from cherrygrade.inflight import Body, InflightRequest, RangeRequest
-from cherrygrade.peers.ladder import Step
-from cherrygrade.peers.rooms import PURSE, Rooms
-from cherrygrade.peers.store import Account, Claim, Purse, waits
+from cherrygrade.peers.memory_admission import PREPAID_CREDIT_BYTES, MemoryAdmission
+from cherrygrade.peers.memory_budget import Account, PrepaidCredit, Reservation, is_waiting
+from cherrygrade.peers.slow_peer_escalation import Step
 from cherrygrade.transport.connection import Connection
-from cherrygrade.wire.frames import LATER, Later
+from cherrygrade.wire.frames import BODY_DEFERRED, BodyDeferred
 from cherrygrade.wire.messages import (
     VERSION,
     Bye,
@@ -52,7 +52,7 @@
     def full(self) -> bool: ...
 
     @property
-    def rooms(self) -> Rooms: ...
+    def rooms(self) -> MemoryAdmission: ...
 
     def enter(self, session: Session) -> bool:
         """Whether there is a place for it."""
@@ -91,8 +91,8 @@
         # wait for room here; emptied by it and by their ends
         self.waiting_ranges: dict[RangeRequest, None] = {}
         self.account = Account()
-        self.claim: Claim | None = None  # of the body that is coming in, or that waits to
-        self.purse: Purse | None = None
+        self.claim: Reservation | None = None  # of the body that is coming in, or that waits to
+        self.purse: PrepaidCredit | None = None
         self._dropped = False  # the body that is being read off found no room
         self.transit = Transit()
         self._greeting: asyncio.TimerHandle | None = None
@@ -105,41 +105,45 @@
         if not self.house.enter(self):
             conn.close("too many clients", self.house.come_back_ms)
             return
-        conn.show_slowness()
+        conn.limit_unsent_bytes()
         wait = self.house.hello_ms / 1000.0
         self._greeting = asyncio.get_running_loop().call_later(wait, conn.close, "no hello in time")
 
-    def room(self, conn: Connection, message: Any, length: int) -> bytearray | Later | None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> bytearray | BodyDeferred | None:
         """A write that would not be taken is read off and dropped: it costs no memory."""
         if not (isinstance(message, WriteRpc) and self.name):
             return None
         house, self._dropped = self.house, self.house.full
         if self._dropped:
             return None
-        self.claim = house.rooms.ask(
+        self.claim = house.rooms.reserve(
             self.account, message.workload, message.volume, length, self, message.left_ms
         )
-        if self.claim is None and house.rooms.bounded:
+        if self.claim is None and house.rooms.is_limited:
             return None  # of a workload or a volume that nobody knows
-        return LATER if waits(self.claim) else bytearray(length)
+        return BODY_DEFERRED if is_waiting(self.claim) else bytearray(length)
 
-    def roomy(self, claim: Claim) -> None:
-        self.conn.give(bytearray(claim.length))
+    def reservation_granted(self, claim: Reservation) -> None:
+        self.conn.provide_body(bytearray(claim.length))
         self.read_on()
 
-    def cramped(self, claim: Claim) -> None:
+    def reservation_timed_out(self, claim: Reservation) -> None:
         self.claim, self._dropped = None, True
-        self.conn.give(None)
+        self.conn.provide_body(None)
         self.read_on()
 
     def reserve_small_read(self, held: InflightRequest, workload: str) -> bool:
         """Whether the purse pays for the bytes that a small read will bring."""
         conn = self.conn
-        if held.length > PURSE // 8 or conn.stuck or not self.house.rooms.bounded:
+        if (
+            held.length > PREPAID_CREDIT_BYTES // 8
+            or conn.is_write_blocked
+            or not self.house.rooms.is_limited
+        ):
             return False
         purse = self.purse
         if purse is None:
-            purse = self.purse = self.house.rooms.purse(self.account, workload, held.volume, self)
+            purse = self.purse = self.house.rooms.open_credit(self.account, workload, held.volume, self)
             if purse is None:
                 return False
         if not purse.spend(workload, held.volume, held.length, conn.waiting):
@@ -160,11 +164,11 @@
     def idle(self) -> None:
         """Now and then: a purse that pays for nothing is given back."""
         purse = self.purse
-        if purse is not None and not (purse.spent or self.conn.waiting or self.conn.stuck):
+        if purse is not None and not (purse.spent or self.conn.waiting or self.conn.is_write_blocked):
             self.purse = None
-            self.house.rooms.leave(purse.claim)
+            self.house.rooms.release(purse.reservation)
 
-    def taken(self, claim: Claim) -> None:
+    def taken(self, claim: Reservation) -> None:
         """The client has a body; a narrowed one gets its next piece only then."""
         self.house.rooms.unpin(claim)
         if self.waiting_ranges and not self.conn.waiting:
@@ -173,9 +177,9 @@
     def read_on(self) -> None:
         """Read, unless it does not read its answers, or is slow: then only what it has begun to say."""
         conn = self.conn
-        conn.hold_reading(conn.full or (self.slow >= Step.HELD and not conn.within))
+        conn.set_reading_paused(conn.full or (self.slow >= Step.HELD and not conn.is_mid_frame))
 
-    def frame(self, conn: Connection, message: Any, body: bytearray | memoryview | None) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: bytearray | memoryview | None) -> None:
         if isinstance(message, (ReadRpc, WriteRpc)) and self.name:
             self._take(message, body)
         elif isinstance(message, Leave) and self.name:
@@ -208,7 +212,7 @@
         self.claim, self._dropped = None, False
         taken = self._taken(ask, body, dropped)
         if taken is None:
-            self.house.rooms.leave(claim)
+            self.house.rooms.release(claim)
             return
         self.rpcs[ask.id] = taken
         self.house.keep(taken)
@@ -234,7 +238,9 @@
             return None
         return self.house.take(self, ask, body)
 
-    def send_message(self, message: Ok | Rejected | Errored | Part, body: Body, claim: Claim | None) -> None:
+    def send_message(
+        self, message: Ok | Rejected | Errored | Part, body: Body, claim: Reservation | None
+    ) -> None:
         """To the client. A body's room goes with it, until the client has taken it."""
         if self.conn.waiting and isinstance(body, memoryview) and len(body) < memoryview(body.obj).nbytes:
             body = bytearray(body)  # a part of what others share: it must not keep all of that for long
@@ -242,16 +248,16 @@
             self.conn.send(message, body, holds=(claim,))
         else:
             self.conn.send(message, body)
-            self.house.rooms.leave(claim)
+            self.house.rooms.release(claim)
 
-    def answer(self, message: Ok | Rejected | Errored, body: Body, claim: Claim | None) -> None:
+    def answer(self, message: Ok | Rejected | Errored, body: Body, claim: Reservation | None) -> None:
         """The final answer; nothing where the client went away meanwhile."""
         if self.rpcs.pop(message.id, None) is None:
-            self.house.rooms.leave(claim)
+            self.house.rooms.release(claim)
             return
         self.send_message(message, body, claim)
         if self.conn.full:  # it does not read its answers: no more of its RPCs are read either
-            self.conn.hold_reading(True)
+            self.conn.set_reading_paused(True)
 
     def writable(self, conn: Connection) -> None:
         self.read_on()
@@ -265,11 +271,11 @@
         if self._greeting is not None:
             self._greeting.cancel()
         claim, self.claim = self.claim, None
-        self.house.rooms.leave(claim)
+        self.house.rooms.release(claim)
         rpcs, self.rpcs = self.rpcs, {}
         for held in rpcs.values():
             self.house.left(held)
         purse, self.purse = self.purse, None
         if purse is not None:
-            self.house.rooms.leave(purse.claim)
+            self.house.rooms.release(purse.reservation)
         self.house.exit(self, why)
--- a/cherrygrade/gateway/words.py
+++ b/cherrygrade/gateway/words.py
@@ -64,10 +64,10 @@
         self._backoff.made(self._clock())
         conn.send(Hello(VERSION, "peer", self.name, [self.seat]))
 
-    def room(self, conn: Connection, message: Any, length: int) -> None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> None:
         return None
 
-    def frame(self, conn: Connection, message: Any, body: object) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: object) -> None:
         if not isinstance(message, Welcome | Bye):
             conn.close(f"unexpected {type(message).__name__} from a dispatcher")
 
@@ -96,10 +96,10 @@
         self.words.ears[self] = None
         self._greeting = asyncio.get_running_loop().call_later(HELLO_S, conn.close, "no hello in time")
 
-    def room(self, conn: Connection, message: Any, length: int) -> None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> None:
         return None
 
-    def frame(self, conn: Connection, message: Any, body: object) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: object) -> None:
         if isinstance(message, Word) and self.number >= 0:
             second = self.words.clock() // 1000.0
             self._heard = self._heard + 1 if second == self._second else 1
--- a/cherrygrade/inflight.py
+++ b/cherrygrade/inflight.py
@@ -12,8 +12,8 @@
 from cherrygrade.scheduling.model import Attempt, Request
 
 if TYPE_CHECKING:  # a platform's dispatcher loads none of these
-    from cherrygrade.peers.ladder import Step
-    from cherrygrade.peers.store import Account, Claim, Purse
+    from cherrygrade.peers.memory_budget import Account, PrepaidCredit, Reservation
+    from cherrygrade.peers.slow_peer_escalation import Step
     from cherrygrade.transport.connection import Connection
     from cherrygrade.wire.messages import Errored, Ok, Part, ReadRpc, Rejected, WriteRpc
 
@@ -23,7 +23,7 @@
 class RangeRequest(Protocol):
     """A client's RPC that goes as pieces: what its pieces and its client tell it."""
 
-    claim: Claim | None
+    claim: Reservation | None
 
     @property
     def session(self) -> ClientSession: ...
@@ -84,10 +84,10 @@
         """It did not come in time."""
 
     def send_message(
-        self, message: Ok | Rejected | Errored | Part, body: Body, claim: Claim | None
+        self, message: Ok | Rejected | Errored | Part, body: Body, claim: Reservation | None
     ) -> None: ...
 
-    def answer(self, message: Ok | Rejected | Errored, body: Body, claim: Claim | None) -> None: ...
+    def answer(self, message: Ok | Rejected | Errored, body: Body, claim: Reservation | None) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
@@ -106,23 +106,23 @@
     range: RangeRequest | None = None
     piece: Any = None
     """What it is of its range; the range's own."""
-    claim: Claim | None = None
+    claim: Reservation | None = None
     """Room of its own; bytes of a parent that holds them whole are in the parent's."""
 
-    purse: Purse | None = None
+    purse: PrepaidCredit | None = None
     """That pays for it in place of a claim of its own."""
 
-    def memory_claim(self) -> Claim | None:
+    def memory_claim(self) -> Reservation | None:
         """What holds the room of its bytes."""
         return self.claim or (self.range.claim if self.range is not None else None)
 
-    def roomy(self, claim: Claim) -> None:
+    def reservation_granted(self, claim: Reservation) -> None:
         assert self.session is not None
         self.session.memory_granted(self)
         if self.range is not None:
             self.range.start_pieces()
 
-    def cramped(self, claim: Claim) -> None:
+    def reservation_timed_out(self, claim: Reservation) -> None:
         assert self.session is not None
         self.session.memory_refused(self)
 
@@ -135,7 +135,7 @@
     """The frame; of the link that carries it."""
     timer_slot: int = 0
     """Of the wheel of time-outs."""
-    claim: Claim | None = None
+    claim: Reservation | None = None
     """Pinned where the RPC is over before it."""
     expires_ms: float = 0.0
     """When its answer is waited for no longer."""
--- a/cherrygrade/peers/ladder.py
+++ b/cherrygrade/peers/slow_peer_escalation.py
@@ -22,17 +22,17 @@
     return max(0.0, min(1.0, (used / max(room, 1.0) - 0.5) * 2.0))
 
 
-def eased(last: float, scarce: float, took_ms: float, span_ms: float) -> float:
+def limit_scarcity_rise(last: float, scarce: float, took_ms: float, span_ms: float) -> float:
     """Scarcity as it is asked by: it rises no faster than a rate over the span can follow."""
     return min(scarce, last + took_ms / span_ms)
 
 
-def least_rate(floor: float, top: float, scarce: float) -> float:
+def min_rate(floor: float, top: float, scarce: float) -> float:
     """Bytes a second that a peer must move: the floor in plenty, the top when nothing is left."""
     return floor + (top - floor) * scarce
 
 
-def charged(least: float, top: float, scarce: float, occupied: float, hold_ms: float) -> float:
+def min_rate_for_occupancy(least: float, top: float, scarce: float, occupied: float, hold_ms: float) -> float:
     """The least rate of a peer that occupies so many bytes in the mean: it pays for bytes times time.
 
     What it occupies must be gone within `hold_ms` when room is short, later in plenty; nothing above the top
@@ -41,7 +41,7 @@
     return max(least, min(top, scarce * occupied * 1000.0 / hold_ms))
 
 
-class Ladder:
+class SlowPeerEscalation:
     """One peer's standing. Up a step each time the grace passes below the least rate, down one each time it
     passes above it by `BACK`, or four graces do above it by less."""
 
@@ -49,7 +49,7 @@
         self.grace_ms, self.step = grace_ms, Step.FREE
         self._below = self._above = 0.0
 
-    def judge(self, per_s: float, least: float, took_ms: float, spared: bool) -> Step:
+    def update(self, per_s: float, least: float, took_ms: float, spared: bool) -> Step:
         """A look after `took_ms` in which the peer was waited for; one that is spared is not cut."""
         if per_s < least:
             self._below, self._above = self._below + took_ms, 0.0
@@ -66,7 +66,7 @@
         return self.step
 
 
-def everybody_slow(slow: int, waited_for: int, since_good_ms: float, span_ms: float) -> bool:
+def is_network_slow(slow: int, waited_for: int, since_good_ms: float, span_ms: float) -> bool:
     """Whether it is the network, or ourselves, rather than these peers.
 
     Most of those waited for are slow, and for a span nobody at all moved bytes as a good peer does. Many
@@ -75,7 +75,9 @@
     return waited_for >= FEW and slow > waited_for * MANY and since_good_ms >= span_ms
 
 
-def spared(everybody: bool, scarce: float, heaviest: bool, since_cut_ms: float, grace_ms: float) -> bool:
+def keeps_connection(
+    everybody: bool, scarce: float, heaviest: bool, since_cut_ms: float, grace_ms: float
+) -> bool:
     """Whether a slow peer keeps its connection for the network's sake.
 
     While the network is slow nobody is cut, unless room is short: then the one that occupies most, one in
@@ -84,7 +86,7 @@
     return everybody and not (scarce > 0.0 and heaviest and since_cut_ms >= grace_ms)
 
 
-class Memory:
+class RecentCuts:
     """Who was cut lately, by address and name: reconnecting wipes nothing. Emptied by time and by `most`."""
 
     def __init__(self, keep_ms: float, most: int = 4096) -> None:
--- a/cherrygrade/peers/watch.py
+++ b/cherrygrade/peers/watch.py
@@ -6,21 +6,21 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from cherrygrade.peers.ladder import (
+from cherrygrade.peers.memory_admission import MemoryAdmission
+from cherrygrade.peers.memory_budget import Account
+from cherrygrade.peers.slow_peer_escalation import (
     BACK,
-    Ladder,
-    Memory,
+    RecentCuts,
+    SlowPeerEscalation,
     Step,
-    charged,
-    eased,
-    everybody_slow,
-    least_rate,
+    is_network_slow,
+    keeps_connection,
+    limit_scarcity_rise,
+    min_rate,
+    min_rate_for_occupancy,
     scarcity,
-    spared,
 )
-from cherrygrade.peers.rate import Rate
-from cherrygrade.peers.rooms import Rooms
-from cherrygrade.peers.store import Account
+from cherrygrade.peers.transfer_rate import TransferRate
 from cherrygrade.settings import FlowControlSettings
 from cherrygrade.transport.connection import Connection
 
@@ -57,12 +57,12 @@
     def __init__(
         self, pace: FlowControlSettings, grace_ms: float, one: Line, client: Client | None, now: float
     ) -> None:
-        self.rate, self.ladder = Rate(pace.short_ms, pace.long_ms), Ladder(grace_ms)
+        self.rate, self.ladder = TransferRate(pace.short_ms, pace.long_ms), SlowPeerEscalation(grace_ms)
         self.client, self.conn, self.moved, self.seen = client, one.conn, one.conn.moved, now
         self.least = self.occupied = 0.0  # what is asked of it; bytes that waited for it, in the mean
 
 
-class Watch:
+class SlowPeerWatch:
     """Asks `sessions` and `lines` for what is there now; keeps nothing of a connection that is gone.
 
     Each connection is looked at once in LOOK_MS, a part of them at a time: with a thousand of them one long
@@ -72,7 +72,7 @@
     def __init__(
         self,
         pace: FlowControlSettings,
-        rooms: Rooms,
+        rooms: MemoryAdmission,
         sessions: Callable[[], Iterable[Client]],
         lines: Callable[[], Iterable[Line]],
         come_back_ms: float,
@@ -82,7 +82,7 @@
         """`late` is told how late each look was, and when: it is the clockwork that always runs."""
         self.pace, self.rooms, self._sessions, self._lines = pace, rooms, sessions, lines
         self.come_back_ms, self._log, self._late = come_back_ms, log, late
-        self.memory = Memory(pace.remember_ms)
+        self.memory = RecentCuts(pace.remember_ms)
         self._records: dict[Line, Watched] = {}  # made anew each cycle from what is still there
         self._left: list[Line] = []  # of this cycle, not looked at yet
         self._share, self._parts, self._scarce = 1, PARTS, 0.0
@@ -113,10 +113,12 @@
             self._begin(now)
         self._timer = loop.call_later(LOOK_MS / self._parts / 1000.0, self._look)
         some, self._left = self._left[: self._share], self._left[self._share :]
-        pace, store = self.pace, self.rooms.store
-        self._scarce = eased(self._scarce, scarcity(store.used, store.room), took, pace.long_ms)
+        pace, store = self.pace, self.rooms.budget
+        self._scarce = limit_scarcity_rise(
+            self._scarce, scarcity(store.used_bytes, store.capacity_bytes), took, pace.long_ms
+        )
         scarce = self._scarce
-        least = least_rate(pace.floor, pace.top, scarce)
+        least = min_rate(pace.floor, pace.top, scarce)
         for one in some:
             record = self._records.get(one)
             if record is not None and record.conn.open:
@@ -124,7 +126,7 @@
 
     def _begin(self, now: float) -> None:
         """A cycle: the last one's sums are judged by, and who is there now is listed."""
-        everybody = everybody_slow(self._slow, self._waited, now - self._good_at, self.pace.long_ms)
+        everybody = is_network_slow(self._slow, self._waited, now - self._good_at, self.pace.long_ms)
         self._judged, self._heaviest = (everybody, self._heaviest), None
         self._waited = self._slow = 0
         old, self._records = self._records, {}
@@ -152,30 +154,30 @@
             return
         part = min(1.0, took / pace.long_ms)
         if not conn.waits_for_peer:
-            record.rate.rested()
+            record.rate.reset_wait()
             record.occupied -= part * record.occupied
             # With nothing left waiting: what a slow network takes at last comes in lumps, and looks as fast.
             if 1000.0 * moved / took >= least * BACK and client is not None:
                 self._good_at = now
             return
-        record.rate.saw(moved, took)
+        record.rate.record(moved, took)
         record.occupied += part * (conn.waiting - record.occupied)
-        record.least = charged(least, pace.top, scarce, record.occupied, pace.hold_ms)
-        per_s = record.rate.per_s()
+        record.least = min_rate_for_occupancy(least, pace.top, scarce, record.occupied, pace.hold_ms)
+        per_s = record.rate.bytes_per_second()
         self._waited += 1
         self._slow += per_s < record.least
         if self._heaviest is None or record.occupied > self._heaviest.occupied:
             self._heaviest = record
         everybody, heaviest = self._judged
         before = record.ladder.step
-        stays = spared(everybody, scarce, record is heaviest, now - self._cut_at, pace.grace_ms)
-        step = record.ladder.judge(per_s, record.least, took, stays)
+        stays = keeps_connection(everybody, scarce, record is heaviest, now - self._cut_at, pace.grace_ms)
+        step = record.ladder.update(per_s, record.least, took, stays)
         if step is not before:
             self._take_step(record, step, now)
 
     def _take_step(self, record: Watched, step: Step, now: float) -> None:
         client = record.client
-        conn, per_s, least = record.conn, record.rate.per_s(), record.least
+        conn, per_s, least = record.conn, record.rate.bytes_per_second(), record.least
         self._log(
             "slow peer",
             peer=conn.peer,
@@ -184,10 +186,10 @@
             bytes_per_s=round(per_s),
             least=round(least),
             waiting=conn.waiting,
-            used=self.rooms.store.used,
+            used=self.rooms.budget.used_bytes,
         )
         if client is not None:
-            self.rooms.mark(client.account, step)
+            self.rooms.set_step(client.account, step)
             client.read_on()
             if step < Step.NARROW:
                 client.feed_hungry()
--- a/cherrygrade/platform/client_registry.py
+++ b/cherrygrade/platform/client_registry.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cherrygrade.peers.arrivals import Arrivals
+from cherrygrade.peers.connection_admission import ConnectionAdmission
 from cherrygrade.platform.client_connection import ClientConnection
 
 
@@ -19,7 +19,9 @@
         """The subset whose last request was answered, longest idle first; a new request removes it."""
         self.lingering: dict[ClientConnection, None] = {}
         """Half-closed connections, oldest first, until the other side closes too or the sweep aborts them."""
-        self._arrivals: Arrivals[ClientConnection] = Arrivals(max_connections, max_connections // 2)
+        self._arrivals: ConnectionAdmission[ClientConnection] = ConnectionAdmission(
+            max_connections, max_connections // 2
+        )
 
     def admit(self, client: ClientConnection) -> bool:
         """Register a new connection, closing another one for it where the registry is full.
@@ -32,7 +34,7 @@
             idle = next((one for one in self.idle if not (one.within_message or one.has_unread_bytes)), None)
             if idle is not None:
                 idle.close_idle()
-        admitted, displaced = self._arrivals.came(client, len(self.connections))
+        admitted, displaced = self._arrivals.admit(client, len(self.connections))
         if displaced is not None:
             displaced.close_idle()
         if admitted:
@@ -41,7 +43,7 @@
 
     def mark_active(self, client: ClientConnection) -> None:
         """It has sent a whole request."""
-        self._arrivals.spoke(client)
+        self._arrivals.mark_identified(client)
         self.idle.pop(client, None)
 
     def mark_idle(self, client: ClientConnection) -> None:
@@ -64,6 +66,6 @@
         self.lingering.pop(client, None)
 
     def _remove_open(self, client: ClientConnection) -> None:
-        self._arrivals.spoke(client)
+        self._arrivals.mark_identified(client)
         self.idle.pop(client, None)
         self.connections.pop(client, None)
--- a/cherrygrade/standin/control.py
+++ b/cherrygrade/standin/control.py
@@ -20,10 +20,10 @@
     def connected(self, conn: Connection) -> None:
         pass
 
-    def room(self, conn: Connection, message: Any, length: int) -> None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> None:
         return None
 
-    def frame(self, conn: Connection, message: Any, body: Any) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: Any) -> None:
         if isinstance(message, Hello):
             conn.send(Welcome(VERSION, "control"))
         elif isinstance(message, Control):
@@ -78,10 +78,10 @@
     def connected(self, conn: Connection) -> None:
         conn.send(Hello(VERSION, "lab", "lab"))
 
-    def room(self, conn: Connection, message: Any, length: int) -> None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> None:
         return None
 
-    def frame(self, conn: Connection, message: Any, body: Any) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: Any) -> None:
         if isinstance(message, Done) and self._waits:
             self._waits.pop(0).set_result(message.text)
 
--- a/cherrygrade/standin/node.py
+++ b/cherrygrade/standin/node.py
@@ -61,10 +61,10 @@
     def connected(self, conn: Connection) -> None:
         self.node.doors[self] = None
 
-    def room(self, conn: Connection, message: Any, length: int) -> bytearray:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> bytearray:
         return bytearray(length)
 
-    def frame(self, conn: Connection, message: Any, body: Any) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: Any) -> None:
         node = self.node
         if isinstance(message, ReadSend | WriteSend):
             node.receive(self, message, body)
--- a/cherrygrade/standin/register.py
+++ b/cherrygrade/standin/register.py
@@ -30,10 +30,10 @@
     def connected(self, conn: Connection) -> None:
         self.register.doors[self] = None
 
-    def room(self, conn: Connection, message: Any, length: int) -> None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> None:
         return None
 
-    def frame(self, conn: Connection, message: Any, body: Any) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: Any) -> None:
         if isinstance(message, Hello):
             self.name = message.name
             conn.send(Welcome(VERSION, "register"))
--- a/cherrygrade/transport/connection.py
+++ b/cherrygrade/transport/connection.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from cherrygrade.wire.frames import FrameReader, Later, ProtocolError, encode
+from cherrygrade.wire.frames import BodyDeferred, FrameReader, ProtocolError, encode
 from cherrygrade.wire.messages import Bye, Message
 
 Bytes = bytes | bytearray | memoryview
@@ -27,9 +27,11 @@
 
     def connected(self, conn: Connection) -> None: ...
 
-    def room(self, conn: Connection, message: Any, length: int) -> bytearray | memoryview | Later | None: ...
+    def body_buffer(
+        self, conn: Connection, message: Any, length: int
+    ) -> bytearray | memoryview | BodyDeferred | None: ...
 
-    def frame(self, conn: Connection, message: Any, body: bytearray | memoryview | None) -> None: ...
+    def on_frame(self, conn: Connection, message: Any, body: bytearray | memoryview | None) -> None: ...
 
     def writable(self, conn: Connection) -> None: ...
 
@@ -81,12 +83,13 @@
         try:
             self._reader.filled(nbytes)
             if self._reader.waits:
-                self.hold_reading(True)
+                self.set_reading_paused(True)
         except ProtocolError as trouble:
             self.close(str(trouble))
 
-    def give(self, body: bytearray | memoryview | None) -> None:
-        """The place that `room` put off, or None to drop the body; reading goes on by `hold_reading`."""
+    def provide_body(self, body: bytearray | memoryview | None) -> None:
+        """The place that `room` put off, or None to drop the body; reading goes on by
+        `set_reading_paused`."""
         if self._closing or not self.open:
             return
         try:
@@ -122,19 +125,19 @@
         return self._full
 
     @property
-    def stuck(self) -> bool:
+    def is_write_blocked(self) -> bool:
         """The socket took less than it was last given."""
         return self._paused
 
     @property
-    def within(self) -> bool:
+    def is_mid_frame(self) -> bool:
         """A frame of the peer's has begun and not ended."""
         return not self._reader.idle
 
     @property
     def waits_for_peer(self) -> bool:
         """Something is handed over that it does not take, or it began a frame that it does not end."""
-        reads = self.within and not self._reader.waits  # else its body waits for our room
+        reads = self.is_mid_frame and not self._reader.waits  # else its body waits for our room
         return self.open and not self._closing and (self._paused or reads)
 
     def send(
@@ -200,14 +203,14 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def show_slowness(self, unsent: int = UNSENT) -> None:
+    def limit_unsent_bytes(self, unsent: int = UNSENT) -> None:
         """Let the system hold no more than this unsent, where it can: its buffers hide a slow reader."""
         sock = self._transport.get_extra_info("socket") if self._transport is not None else None
         option = getattr(socket, "TCP_NOTSENT_LOWAT", None)
         if sock is not None and option is not None:
             sock.setsockopt(socket.IPPROTO_TCP, option, unsent)
 
-    def hold_reading(self, hold: bool) -> None:
+    def set_reading_paused(self, hold: bool) -> None:
         """Read nothing more until told otherwise."""
         if self._transport is None or not self.open:
             return
@@ -217,12 +220,12 @@
         elif not hold and not self._transport.is_reading():
             self._transport.resume_reading()
 
-    def _room(self, message: Any, length: int) -> bytearray | memoryview | Later | None:
-        return self.owner.room(self, message, length)
+    def _room(self, message: Any, length: int) -> bytearray | memoryview | BodyDeferred | None:
+        return self.owner.body_buffer(self, message, length)
 
     def _frame(self, message: Any, body: bytearray | memoryview | None) -> None:
         if not self._closing:
-            self.owner.frame(self, message, body)
+            self.owner.on_frame(self, message, body)
 
     def _flush(self) -> None:
         self._flushing = False
--- a/cherrygrade/wire/frames.py
+++ b/cherrygrade/wire/frames.py
@@ -15,7 +15,7 @@
 from cherrygrade.wire.messages import KINDS, Message
 
 HEAD = struct.Struct(">BBHI")  # kind, flags, header's length, body's length
-MAY_PASS = 1  # flag: a reader that does not know this kind passes it over
+SKIP_IF_UNKNOWN = 1  # flag: a reader that does not know this kind passes it over
 MOST_HEADER = 16384
 SCRATCH = 256 * 1024
 
@@ -36,12 +36,12 @@
     return HEAD.pack(_numbers[type(message)], flags, len(header), body_length) + header
 
 
-class Later:
+class BodyDeferred:
     """What `room` gives where a body's place is not known yet: the reader stands still until `give`."""
 
 
-LATER = Later()
-Room = Callable[[Any, int], "bytearray | memoryview | Later | None"]
+BODY_DEFERRED = BodyDeferred()
+Room = Callable[[Any, int], "bytearray | memoryview | BodyDeferred | None"]
 Taker = Callable[[Any, "bytearray | memoryview | None"], None]
 
 
@@ -53,8 +53,9 @@
 class FrameReader:
     """Cuts a stream of bytes into messages and bodies.
 
-    `room(message, length)` gives the place for a body, None to have it read off and dropped, or LATER: its
-    owner feeds nothing more then until it has called `give`. `taker(message, body)` gets each whole frame.
+    `room(message, length)` gives the place for a body, None to have it read off and dropped, or
+    BODY_DEFERRED: its owner feeds nothing more then until it has called `give`. `taker(message, body)` gets
+    each whole frame.
     Bytes go to the place last lent by `place`, and `filled` follows at once: readers share a page. What a
     reader keeps is bounded by one head and header, and one body; a page while a body's place is to be given.
     Raises ProtocolError out of `filled`; after that the reader must not be used again.
@@ -146,7 +147,7 @@
                     self._taker(message, None)
                 continue
             body = None if message is None else self._room(message, body_length)
-            if isinstance(body, Later):
+            if isinstance(body, BodyDeferred):
                 self._later, self._rest, self.idle = (message, body_length), bytes(page[start:end]), False
                 return
             start += self._begin(message, body_length, body, page[start:end], end - start)
@@ -158,7 +159,7 @@
     def _decode(self, kind: int, flags: int, header: memoryview) -> Any:
         decoder = _decoders.get(kind)
         if decoder is None:
-            if flags & MAY_PASS:
+            if flags & SKIP_IF_UNKNOWN:
                 return None
             raise ProtocolError(f"unknown kind of frame {kind}")
         try:
--- a/tests/extents/test_extents.py
+++ b/tests/extents/test_extents.py
@@ -13,9 +13,9 @@
 from support.gateway_site import PERMITS, GatewaySite, run
 
 from cherrygrade.client import Client, Errored, Ok, Rejected
-from cherrygrade.extents.hold import Company
-from cherrygrade.extents.map import NOWHERE, ExtentMap
-from cherrygrade.extents.parent import End, Parent
+from cherrygrade.extents.coalescing_predictor import Company
+from cherrygrade.extents.extent_map import NOWHERE, ExtentMap
+from cherrygrade.extents.piece_tracker import End, Parent
 from cherrygrade.scheduling.model import Outcome, SitePolicy
 from cherrygrade.settings import ExtentSettings
 from cherrygrade.standin.node import Build
--- a/tests/fleet/runtime/test_config_in_force.py
+++ b/tests/fleet/runtime/test_config_in_force.py
@@ -130,8 +130,11 @@
         "node queues": [
             queue.tightest_objective_ms for queue in [*scheduler.node_queues.values(), scheduler.unplaced]
         ],
-        "rooms": (dict(rooms._works), {name: (one[0].weight, one[1]) for name, one in rooms._shares.items()}),
-        "store": (rooms.store.in_share, rooms.store.beyond),
+        "rooms": (
+            dict(rooms._workloads),
+            {name: (one[0].weight, one[1]) for name, one in rooms._volumes.items()},
+        ),
+        "store": (rooms.budget.value_within_quota, rooms.budget.value_beyond_quota),
         "record": gateway.agent.membership.fleet_size,
         "stage": gateway._in_force[2],
     }
@@ -191,7 +194,7 @@
             monkeypatch.setattr(inforce, "max", lambda *_, **__: 1 / 0, raising=False)
         else:
             text = "plans: gold: weight: 4"
-            monkeypatch.setattr("cherrygrade.peers.rooms.Share", lambda *_: 1 / 0)
+            monkeypatch.setattr("cherrygrade.peers.memory_admission.VolumeUsage", lambda *_: 1 / 0)
         with pytest.raises(ZeroDivisionError):
             await gateway.in_force(version(1, f"{text}\nvolumes: x: plan: plans.gold"), 3)
         assert told(gateway) == before
--- a/tests/gateway/test_bad_input.py
+++ b/tests/gateway/test_bad_input.py
@@ -12,7 +12,7 @@
 
 from cherrygrade.client import Ok
 from cherrygrade.settings import LimitSettings
-from cherrygrade.wire.frames import HEAD, MAY_PASS, FrameReader, ProtocolError, encode
+from cherrygrade.wire.frames import HEAD, SKIP_IF_UNKNOWN, FrameReader, ProtocolError, encode
 from cherrygrade.wire.messages import VERSION, Answer, Bye, Hello, ReadRpc, WriteRpc
 from cherrygrade.wire.messages import Ok as WireOk
 
@@ -67,7 +67,7 @@
 
 def test_unknown_kinds_that_may_be_passed_over_are_and_others_break_the_stream():
     reader, got = collect()
-    feed(reader, HEAD.pack(200, MAY_PASS, 3, 5) + b"abc" + b"12345" + encode(WireOk(1)), [7])
+    feed(reader, HEAD.pack(200, SKIP_IF_UNKNOWN, 3, 5) + b"abc" + b"12345" + encode(WireOk(1)), [7])
     assert [message for message, _ in got if isinstance(message, WireOk)] == [WireOk(1)]
     with pytest.raises(ProtocolError, match="unknown kind"):
         feed(reader, HEAD.pack(200, 0, 3, 0) + b"abc", [64])
--- a/tests/peers/test_memory_budget.py
+++ b/tests/peers/test_memory_budget.py
@@ -5,23 +5,30 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cherrygrade.peers.arrivals import Arrivals
-from cherrygrade.peers.ladder import Step
-from cherrygrade.peers.store import Account, Claim, Purse, Share, State, Store
+from cherrygrade.peers.connection_admission import ConnectionAdmission
+from cherrygrade.peers.memory_budget import (
+    Account,
+    MemoryBudget,
+    PrepaidCredit,
+    Reservation,
+    State,
+    VolumeUsage,
+)
+from cherrygrade.peers.slow_peer_escalation import Step
 
 
-def store(**more) -> Store:
-    return Store(
+def store(**more) -> MemoryBudget:
+    return MemoryBudget(
         **{"room": 100, "batch_room": 60, "peer": 50, "slow": 20, "in_share": 0.5, "beyond": 0.1} | more
     )
 
 
-def claim(length: int, *, account=None, share=None, pressed=False, value=1.0) -> Claim:
-    return Claim(account or Account(), share or Share(1.0), length, pressed, value, None)
+def claim(length: int, *, account=None, share=None, pressed=False, value=1.0) -> Reservation:
+    return Reservation(account or Account(), share or VolumeUsage(1.0), length, pressed, value, None)
 
 
-def admitted(kept: Store) -> list[Claim]:
-    into: list[Claim] = []
+def admitted(kept: MemoryBudget) -> list[Reservation]:
+    into: list[Reservation] = []
     kept.admit(into)
     return into
 
@@ -52,7 +59,7 @@
 
 def test_what_is_beyond_its_volumes_share_of_the_store_waits_behind_what_is_due():
     kept = store(batch_room=100, peer=100)
-    greedy, modest = Share(1.0), Share(1.0)
+    greedy, modest = VolumeUsage(1.0), VolumeUsage(1.0)
     full, own = claim(90, share=greedy), claim(10, share=modest)
     assert kept.take(full) and kept.take(own)
     first, second = claim(20, share=greedy, value=2.0), claim(20, share=modest, value=1.0)
@@ -96,7 +103,7 @@
 
 
 def test_a_purse_pays_for_small_bodies_of_one_volume_up_to_what_it_holds():
-    purse = Purse(claim(100, pressed=True), "read", "v")
+    purse = PrepaidCredit(claim(100, pressed=True), "read", "v")
     assert purse.spend("read", "v", 40, 0) and purse.spend("read", "v", 40, 0)
     assert not purse.spend("read", "v", 40, 0) and not purse.spend("read", "w", 1, 0)
     purse.spent -= 40  # handed over, and it waits for the client: it counts as before
@@ -126,9 +133,9 @@
 
 @given(acts)
 def test_no_interleaving_takes_it_below_nothing_over_its_bounds_or_leaks(acts):
-    kept, accounts, shares = store(), [Account() for _ in range(4)], [Share(1.0), Share(3.0)]
-    inside: list[Claim] = []
-    waiting: list[Claim] = []
+    kept, accounts, shares = store(), [Account() for _ in range(4)], [VolumeUsage(1.0), VolumeUsage(3.0)]
+    inside: list[Reservation] = []
+    waiting: list[Reservation] = []
 
     def settle() -> None:
         for one in admitted(kept):
@@ -157,28 +164,32 @@
                 if one.state is State.GONE:
                     inside.remove(one)
         settle()
-        assert kept.used == sum(one.length for one in inside) <= kept.room
-        assert kept.batch == sum(one.length for one in inside if not one.pressed) <= kept.batch_room
-        assert kept.slow == sum(one.length for one in inside if one.account.step)
-        assert kept.waits == len(waiting)
-        assert all(account.used >= 0 for account in accounts)
+        assert kept.used_bytes == sum(one.length for one in inside) <= kept.capacity_bytes
+        assert (
+            kept.batch_bytes
+            == sum(one.length for one in inside if not one.pressed)
+            <= kept.batch_capacity_bytes
+        )
+        assert kept.slow_bytes == sum(one.length for one in inside if one.account.step)
+        assert kept.waiting_count == len(waiting)
+        assert all(account.used_bytes >= 0 for account in accounts)
     while inside:  # once what is in has ended, all that waits comes in, and nothing is left
         one = inside.pop(0)
         while one.state is not State.GONE:
             kept.unpin(one)
         settle()
-    assert not waiting and not kept.waits
-    assert kept.used == kept.batch == kept.slow == 0 and abs(kept._weights) < 1e-9
-    assert all(not account.used and not account.waiting for account in accounts)
+    assert not waiting and not kept.waiting_count
+    assert kept.used_bytes == kept.batch_bytes == kept.slow_bytes == 0 and abs(kept._weights) < 1e-9
+    assert all(not account.used_bytes and not account.waiting for account in accounts)
 
 
 def test_a_crowd_that_never_speaks_shuts_nobody_out():
-    arrivals: Arrivals[int] = Arrivals(most=8, most_silent=2)
-    assert arrivals.came(1, 0) == (True, None) and arrivals.came(2, 1) == (True, None)
-    assert arrivals.came(3, 2) == (True, 1)  # the oldest silent one goes
-    arrivals.spoke(2)
-    assert arrivals.came(4, 2) == (True, None)
-    assert arrivals.came(5, 8) == (True, 3)  # every place is taken, one by a silent one
-    arrivals.spoke(4)
-    arrivals.spoke(5)
-    assert arrivals.came(6, 8) == (False, None)
+    arrivals: ConnectionAdmission[int] = ConnectionAdmission(max_connections=8, max_unidentified=2)
+    assert arrivals.admit(1, 0) == (True, None) and arrivals.admit(2, 1) == (True, None)
+    assert arrivals.admit(3, 2) == (True, 1)  # the oldest silent one goes
+    arrivals.mark_identified(2)
+    assert arrivals.admit(4, 2) == (True, None)
+    assert arrivals.admit(5, 8) == (True, 3)  # every place is taken, one by a silent one
+    arrivals.mark_identified(4)
+    arrivals.mark_identified(5)
+    assert arrivals.admit(6, 8) == (False, None)
--- a/tests/peers/test_room.py
+++ b/tests/peers/test_room.py
@@ -10,7 +10,7 @@
 from support.gateway_site import TRADE, GatewaySite, run
 
 from cherrygrade.client import Ok, Rejected
-from cherrygrade.peers.ladder import Step
+from cherrygrade.peers.slow_peer_escalation import Step
 from cherrygrade.scheduling.model import SlowStartSettings
 from cherrygrade.settings import ExtentSettings, FlowControlSettings, LimitSettings, NodeConnectionSettings
 from cherrygrade.standin.node import Build, Node
@@ -68,7 +68,7 @@
         )
         for index in range(2)
     ]
-    assert await until(lambda: house.gateways[0].rooms.store.used == 200 * K)
+    assert await until(lambda: house.gateways[0].rooms.budget.used_bytes == 200 * K)
     return node, writes
 
 
@@ -127,9 +127,9 @@
             house, "gone", encode(WriteRpc(1, "write", "v", "gone", 0, 0, 1400.0), 100 * K) + b"x" * K
         )
         rooms = house.gateways[0].rooms
-        assert await until(lambda: rooms.store.waits == 1)
+        assert await until(lambda: rooms.budget.waiting_count == 1)
         sock.close()
-        assert await until(lambda: rooms.store.waits == 0)
+        assert await until(lambda: rooms.budget.waiting_count == 0)
         assert all(isinstance(one, Ok) for one in await asyncio.gather(*first))
         assert ("v", "gone") not in node.bytes
 
@@ -142,8 +142,8 @@
         gateway = await house.gateway(pace=SMALL, bounds=SMALL_BODIES)
         client = house.client(gateway)  # brings a line to the node
         assert isinstance(await client.read("read", "v", "r", shard=0, length=10, deadline_ms=1400), Ok)
-        store = gateway.rooms.store
-        assert await until(lambda: store.used == 0)  # the read's purse is given back now and then
+        store = gateway.rooms.budget
+        assert await until(lambda: store.used_bytes == 0)  # the read's purse is given back now and then
         node.silent = True
         sock = await raw(
             house, "gone", encode(WriteRpc(1, "write", "v", "k", 0, 0, 600.0), 100 * K) + b"x" * 100 * K
@@ -151,8 +151,8 @@
         assert await until(lambda: any(line[1] == "silent" for line in node.record.lines))
         sock.close()
         assert await until(lambda: all(one.name != "gone" for one in gateway.sessions))
-        assert store.used == 100 * K  # its frame may have to go again, or stands in the node's line
-        assert await until(lambda: store.used == 0)
+        assert store.used_bytes == 100 * K  # its frame may have to go again, or stands in the node's line
+        assert await until(lambda: store.used_bytes == 0)
 
     run(story)
 
@@ -185,15 +185,15 @@
             for index in range(12)
         ]
         await asyncio.sleep(0.1)
-        store = house.gateways[0].rooms.store
-        assert store.batch > 90 * K and store.batch <= 128 * K
+        store = house.gateways[0].rooms.budget
+        assert store.batch_bytes > 90 * K and store.batch_bytes <= 128 * K
         for index in range(10):
             answer = await client.read("read", "v", f"r{index}", shard=0, length=8 * K, deadline_ms=1400)
             assert isinstance(answer, Ok)
         answers = await asyncio.gather(*writes)
         assert not any(isinstance(one, Ok) for one in answers[4:])
         assert all(isinstance(one, Rejected) and one.come_back_ms > 0.0 for one in answers[4:])
-        assert store.used == 0
+        assert store.used_bytes == 0
 
     run(story)
 
@@ -201,7 +201,7 @@
 def test_five_hundred_slow_clients_in_a_second_leave_pressed_reads_their_room():
     async def story(house: GatewaySite) -> None:
         good = await big(house, pace=QUICK, bounds=LimitSettings(most_body=2048 * K, most_silent=600))
-        store, highest = house.gateways[0].rooms.store, 0
+        store, highest = house.gateways[0].rooms.budget, 0
         ask = encode(ReadRpc(1, "export", "v", "", -1, 0, 2048 * K, 4900.0))
         socks, taken = [], []
         for index in range(500):
@@ -211,14 +211,16 @@
                 answer = await good.read("read", "v", offset=index * 100, length=4096, deadline_ms=1400)
                 taken.append(time.monotonic() - begun)
                 assert isinstance(answer, Ok)
-            highest = max(highest, store.used)
-            assert store.used <= store.room and store.batch <= store.batch_room
+            highest = max(highest, store.used_bytes)
+            assert (
+                store.used_bytes <= store.capacity_bytes and store.batch_bytes <= store.batch_capacity_bytes
+            )
         assert highest > 3072 * K  # they did fill what they may
         cut = [facts["step"] for event, facts in house.logs if event == "slow peer"].count
         await until(lambda: cut("cut") > 10, 3.0)
         for _ in range(20):
             assert isinstance(await good.read("read", "v", offset=4096, length=4096, deadline_ms=1400), Ok)
-            assert store.used <= store.room
+            assert store.used_bytes <= store.capacity_bytes
         assert all(facts["name"] != "good" for event, facts in house.logs if event == "slow peer")
         for sock in socks:
             sock.close()
@@ -294,7 +296,7 @@
         gateway, node = house.gateways[0], house.nodes[0]
         first = encode(ReadRpc(1, "export", "v", "", -1, 0, 2048 * K, 4900.0))
         socks = [await raw(house, f"sips{index}", first) for index in range(3)]
-        assert await until(lambda: gateway.rooms.store.used > 512 * K)
+        assert await until(lambda: gateway.rooms.budget.used_bytes > 512 * K)
         node.trickle = 10
         again = encode(ReadRpc(2, "export", "v", "", -1, 0, 64 * K, 4900.0))  # the node's own extent
         for sock in socks:
@@ -310,7 +312,7 @@
             answer = await good.read("read", "v", offset=64 * K, length=4096, deadline_ms=1400)
             assert isinstance(answer, Ok)  # of the other node
         assert set(lost()) == {node.address}
-        assert await until(lambda: gateway.rooms.store.used == 0)
+        assert await until(lambda: gateway.rooms.budget.used_bytes == 0)
         for sock in socks:
             sock.close()
 
@@ -359,11 +361,11 @@
         gateway = house.gateways[0]
         ask = encode(ReadRpc(1, "export", "v", "", -1, 0, 2048 * K, 4900.0))
         half, sips = await raw(house, "half", ask), await raw(house, "sips", ask)
-        assert await until(lambda: gateway.rooms.store.used > 0)
+        assert await until(lambda: gateway.rooms.budget.used_bytes > 0)
         half.shutdown(socket.SHUT_WR)
         await asyncio.get_running_loop().sock_recv(sips, 1)
         assert await until(lambda: all(one.name == "good" for one in gateway.sessions))
-        assert gateway.rooms.store.used == 0
+        assert gateway.rooms.budget.used_bytes == 0
         half.close()
         sips.close()
 
@@ -393,10 +395,10 @@
         socks = [await raw(house, f"slow{index}", ask) for index in range(4)]
         held = [one for one in gateway.sessions if one.name.startswith("slow")]
         assert await until(lambda: any(one.slow is Step.HELD for one in held))
-        store = gateway.rooms.store
-        assert store.slow == sum(one.account.used for one in gateway.sessions if one.slow)
+        store = gateway.rooms.budget
+        assert store.slow_bytes == sum(one.account.used_bytes for one in gateway.sessions if one.slow)
         for sock in socks:
             sock.close()
-        assert await until(lambda: store.used == 0 and store.slow == 0)
+        assert await until(lambda: store.used_bytes == 0 and store.slow_bytes == 0)
 
     run(story)
--- a/tests/peers/test_slow_peers.py
+++ b/tests/peers/test_slow_peers.py
@@ -11,18 +11,18 @@
 from support.gateway_site import GatewaySite, run
 
 from cherrygrade.client import Errored, Ok, Rejected
-from cherrygrade.peers.ladder import (
-    Ladder,
-    Memory,
+from cherrygrade.peers.slow_peer_escalation import (
+    RecentCuts,
+    SlowPeerEscalation,
     Step,
-    charged,
-    eased,
-    everybody_slow,
-    least_rate,
+    is_network_slow,
+    keeps_connection,
+    limit_scarcity_rise,
+    min_rate,
+    min_rate_for_occupancy,
     scarcity,
-    spared,
 )
-from cherrygrade.peers.rate import Rate
+from cherrygrade.peers.transfer_rate import TransferRate
 from cherrygrade.settings import ExtentSettings, FlowControlSettings
 from cherrygrade.wire.frames import encode
 from cherrygrade.wire.messages import VERSION, Hello, ReadRpc, WriteRpc
@@ -34,10 +34,10 @@
     rates: list[float], least: float = 100.0, grace: float = 300.0, everybody: bool = False
 ) -> list[Step]:
     """A peer that moves so much in each 100 ms."""
-    rate, ladder, steps = Rate(200.0, 1000.0), Ladder(grace), []
+    rate, ladder, steps = TransferRate(200.0, 1000.0), SlowPeerEscalation(grace), []
     for per_s in rates:
-        rate.saw(int(per_s / 10.0), 100.0)
-        steps.append(ladder.judge(rate.per_s(), least, 100.0, everybody))
+        rate.record(int(per_s / 10.0), 100.0)
+        steps.append(ladder.update(rate.bytes_per_second(), least, 100.0, everybody))
     return steps
 
 
@@ -59,8 +59,8 @@
 
 def test_where_everybody_is_slow_nobody_is_cut():
     assert max(walk([0.0] * 100, everybody=True)) is Step.NARROW
-    assert everybody_slow(9, 16, 5000.0, 5000.0) and not everybody_slow(8, 16, 5000.0, 5000.0)
-    assert not everybody_slow(5, 5, 5000.0, 5000.0) and not everybody_slow(100, 100, 400.0, 5000.0)
+    assert is_network_slow(9, 16, 5000.0, 5000.0) and not is_network_slow(8, 16, 5000.0, 5000.0)
+    assert not is_network_slow(5, 5, 5000.0, 5000.0) and not is_network_slow(100, 100, 400.0, 5000.0)
 
 
 @given(st.lists(st.floats(0.0, 1000.0), min_size=1, max_size=80), st.floats(10.0, 900.0))
@@ -73,43 +73,52 @@
 
 @given(st.floats(0.0, 1e6), st.floats(0.0, 1e6), st.floats(0.0, 2e9), st.floats(1.0, 1e9))
 def test_the_least_rate_rises_with_what_is_used_between_floor_and_top(floor, more, used, room):
-    least = least_rate(floor, floor + more, scarcity(used, room))
+    least = min_rate(floor, floor + more, scarcity(used, room))
     assert floor <= least <= (floor + more) * (1.0 + 1e-9)
-    assert least <= least_rate(floor, floor + more, scarcity(used + room, room)) * (1.0 + 1e-9)
+    assert least <= min_rate(floor, floor + more, scarcity(used + room, room)) * (1.0 + 1e-9)
     assert used > room / 2.0 or least == floor
 
 
 @given(st.floats(0.0, 1e6), st.floats(0.0, 1e6), st.floats(0.0, 1.0), st.floats(0.0, 1e9))
 def test_what_a_peer_occupies_raises_its_least_rate_but_never_over_the_top(floor, more, scarce, occupied):
     top = floor + more
-    least = least_rate(floor, top, scarce)
-    asked = charged(least, top, scarce, occupied, 2000.0)
-    assert least <= asked <= max(least, top) and asked <= charged(least, top, scarce, occupied * 2.0, 2000.0)
-    assert charged(least, top, 0.0, occupied, 2000.0) == least
+    least = min_rate(floor, top, scarce)
+    asked = min_rate_for_occupancy(least, top, scarce, occupied, 2000.0)
+    assert least <= asked <= max(least, top) and asked <= min_rate_for_occupancy(
+        least, top, scarce, occupied * 2.0, 2000.0
+    )
+    assert min_rate_for_occupancy(least, top, 0.0, occupied, 2000.0) == least
 
 
 def test_what_is_asked_rises_no_faster_than_a_rate_can_follow_and_falls_at_once():
-    assert eased(0.0, 1.0, 100.0, 1000.0) == 0.1 and eased(0.95, 1.0, 100.0, 1000.0) == 1.0
-    assert eased(1.0, 0.2, 100.0, 1000.0) == 0.2
+    assert (
+        limit_scarcity_rise(0.0, 1.0, 100.0, 1000.0) == 0.1
+        and limit_scarcity_rise(0.95, 1.0, 100.0, 1000.0) == 1.0
+    )
+    assert limit_scarcity_rise(1.0, 0.2, 100.0, 1000.0) == 0.2
 
 
 def test_one_just_above_the_least_rate_that_occupies_much_pays_for_it_when_room_is_short():
-    least = least_rate(100.0, 100_000.0, 0.01)
+    least = min_rate(100.0, 100_000.0, 0.01)
     rates = [least + 100.0] * 40
-    assert set(walk(rates, charged(least, 100_000.0, 0.01, 10_000.0, 4000.0))) == {Step.FREE}
-    assert walk(rates, charged(least, 100_000.0, 0.01, 1_000_000.0, 4000.0))[-1] is Step.CUT
-    assert set(walk(rates, charged(100.0, 100_000.0, 0.0, 1_000_000.0, 4000.0))) == {Step.FREE}  # plenty
+    assert set(walk(rates, min_rate_for_occupancy(least, 100_000.0, 0.01, 10_000.0, 4000.0))) == {Step.FREE}
+    assert walk(rates, min_rate_for_occupancy(least, 100_000.0, 0.01, 1_000_000.0, 4000.0))[-1] is Step.CUT
+    assert set(walk(rates, min_rate_for_occupancy(100.0, 100_000.0, 0.0, 1_000_000.0, 4000.0))) == {
+        Step.FREE
+    }  # plenty
 
 
 def test_a_slow_network_spares_everybody_until_room_is_short_and_then_goes_one_by_one():
-    assert spared(True, 0.0, True, 1e9, 100.0) and spared(True, 0.5, False, 1e9, 100.0)
-    assert spared(True, 0.5, True, 99.0, 100.0) and not spared(True, 0.5, True, 100.0, 100.0)
-    assert not spared(False, 0.0, False, 0.0, 100.0)
+    assert keeps_connection(True, 0.0, True, 1e9, 100.0) and keeps_connection(True, 0.5, False, 1e9, 100.0)
+    assert keeps_connection(True, 0.5, True, 99.0, 100.0) and not keeps_connection(
+        True, 0.5, True, 100.0, 100.0
+    )
+    assert not keeps_connection(False, 0.0, False, 0.0, 100.0)
 
 
 @given(st.lists(st.tuples(st.integers(0, 40), st.floats(0.0, 50.0)), max_size=80))
 def test_who_was_cut_is_remembered_for_its_time_in_bounded_room(cuts):
-    memory, now, last = Memory(100.0, most=8), 0.0, {}
+    memory, now, last = RecentCuts(100.0, most=8), 0.0, {}
     for peer, gap in cuts:
         now += gap
         memory.cut(("a", str(peer)), now)
--- a/tests/support/gateway_site.py
+++ b/tests/support/gateway_site.py
@@ -156,8 +156,8 @@
         release(*self.places)
         await asyncio.sleep(0.01)
         for gateway in self.gateways:  # whatever a story did, no body's room may be lost by it
-            store = gateway.rooms.store
-            assert (store.used, store.batch, store.slow, store.waits) == (0, 0, 0, 0)
+            pool = gateway.rooms.budget
+            assert (pool.used_bytes, pool.batch_bytes, pool.slow_bytes, pool.waiting_count) == (0, 0, 0, 0)
 
 
 def run(story: Callable[[GatewaySite], Coroutine[Any, Any, None]], seconds: float = 10.0) -> None:
