--- a/cherrygrade/platform/client_registry.py
+++ b/cherrygrade/platform/client_registry.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cherrygrade.peers.arrivals import Arrivals
+from cherrygrade.peers.connection_admission import ConnectionAdmission
 from cherrygrade.platform.client_connection import ClientConnection
 
 
@@ -25,7 +25,9 @@
         connection from here."""
         self.lingering: dict[ClientConnection, None] = {}
         """Half-closed connections, oldest first, until the other side closes or the sweep aborts them."""
-        self._arrivals: Arrivals[ClientConnection] = Arrivals(max_connections, max_connections // 2)
+        self._arrivals: ConnectionAdmission[ClientConnection] = ConnectionAdmission(
+            max_connections, max_connections // 2
+        )
 
     def admit(self, client: ClientConnection) -> bool:
         """Register a new connection; if the registry is full, close another connection for it.
@@ -40,7 +42,7 @@
             )
             if idle is not None:
                 idle.close_idle()
-        admitted, displaced = self._arrivals.came(client, len(self.connections))
+        admitted, displaced = self._arrivals.admit(client, len(self.connections))
         if displaced is not None:
             displaced.close_idle()
         if admitted:
@@ -49,7 +51,7 @@
 
     def mark_active(self, client: ClientConnection) -> None:
         """Note that the client has sent a complete request."""
-        self._arrivals.spoke(client)
+        self._arrivals.mark_identified(client)
         self.idle.pop(client, None)
 
     def mark_idle(self, client: ClientConnection) -> None:
@@ -72,6 +74,6 @@
         self.lingering.pop(client, None)
 
     def _remove_open(self, client: ClientConnection) -> None:
-        self._arrivals.spoke(client)
+        self._arrivals.mark_identified(client)
         self.idle.pop(client, None)
         self.connections.pop(client, None)
