--- a/benchmarks/fleet_members.py
+++ b/benchmarks/fleet_members.py
@@ -23,7 +23,7 @@
 from cherrygrade.lab.rig.run import play as play_day
 from cherrygrade.lab.virtual.many import death
 from cherrygrade.lab.virtual.virtual_fleet import VirtualFleet, play
-from cherrygrade.virtual.datagrams import Rain
+from cherrygrade.virtual.datagrams import DatagramConditions
 
 DEATH_MS, HEAL_MS, REST_BYTES, CORE_PERMILLE, SERVICE = 5000.0, 5000.0, 2048.0, 5.0, 0.99
 AGREE_MS, AGREE_BYTES = 1000.0, 0.25  # between processes and the same decisions on a queue of events
@@ -90,16 +90,18 @@
             turn += 1
             still = [virtual_fleet.agents[number][0] for number in range(turn % 10, count, 10)]
             for process in still:
-                process.stop()
+                process.pause()
             await asyncio.sleep(2.0)
             for process in still:
-                process.go_on()
+                process.resume()
             await asyncio.sleep(2.0)
         probings = [core.failure_detector for core in virtual_fleet.cores().values()]
         hours = count * (virtual_fleet.now() - begun) / 3_600_000.0
         return hours, sum(one.accusations for one in probings), sum(one.deaths for one in probings)
 
-    found: tuple[float, int, int] = play(story, count, 1, Rain(lost=0.05, jitter_ms=2.0))
+    found: tuple[float, int, int] = play(
+        story, count, 1, DatagramConditions(loss_probability=0.05, jitter_ms=2.0)
+    )
     return found
 
 
@@ -130,7 +132,7 @@
         figures, _, _, right = played(file, "on")
         told = ", ".join(f"{name} {value:.0f}" for name, value in figures.items())
         print(f"{count} processes: {told}; rules and promises {'held' if right else 'BROKEN'}")
-        same = death(count, 1, Rain(lost=0.05, jitter_ms=2.0))
+        same = death(count, 1, DatagramConditions(loss_probability=0.05, jitter_ms=2.0))
         apart, part = same.last_ms - figures["death_last_ms"], same.rest_bytes / figures["rest_bytes_s"] - 1.0
         print(f"  by the decisions alone: death {same.last_ms:.0f}, at rest {same.rest_bytes:.0f}: ", end="")
         print(f"{apart:+.0f} ms (bar {AGREE_MS:.0f} either way), {part:+.0%} (bar {AGREE_BYTES:.0%})")
--- a/cherrygrade/cli.py
+++ b/cherrygrade/cli.py
@@ -15,8 +15,8 @@
 
 from cyclopts import App, Parameter
 
-from cherrygrade.records.load import RecordError, plain, read_site, read_vertex
-from cherrygrade.records.settings_mark import settings_mark
+from cherrygrade.records.load import RecordError, checked_value, read_site, read_vertex
+from cherrygrade.records.settings_digest import settings_digest
 from cherrygrade.settings import SiteSettings, StartReference
 
 Form = Literal["json", "console", "none"]
@@ -46,7 +46,7 @@
         own = version("cherrygrade")
     except PackageNotFoundError:
         own = "?"
-    return StartReference(int(time.time() * 1000.0), own, settings_mark(site))
+    return StartReference(int(time.time() * 1000.0), own, settings_digest(site))
 
 
 def _site(file: Path, given: tuple[str, ...]) -> SiteSettings:
@@ -125,7 +125,7 @@
     """Show the values in force and where each comes from."""
     try:
         vertex = read_vertex(file, "site.rec", "\n".join(given))
-        value = plain(vertex)
+        value = checked_value(vertex)
     except RecordError as trouble:
         print(trouble, file=sys.stderr)
         return 2
@@ -423,10 +423,10 @@
     import gc
 
     from cherrygrade.lab.virtual.many import death
-    from cherrygrade.virtual.datagrams import Rain
+    from cherrygrade.virtual.datagrams import DatagramConditions
 
     gc.disable()  # members by the million, none of them in a circle
-    found = death(members, seed, Rain(lost=lost, jitter_ms=2.0), dead)
+    found = death(members, seed, DatagramConditions(loss_probability=lost, jitter_ms=2.0), dead)
     print(
         f"{members} members, {dead} dead: known to the first after {found.first_ms:.0f} ms, "
         f"to half after {found.median_ms:.0f}, to the last after {found.last_ms:.0f}; "
--- a/cherrygrade/gateway/overlay.py
+++ b/cherrygrade/gateway/overlay.py
@@ -12,7 +12,7 @@
 
 from cherrygrade.fleet.config.live_changes import quota_divisors, setting_changes
 from cherrygrade.fleet.config.versions import QuotaDivisors
-from cherrygrade.records.load import RecordError, laid, names, site_of
+from cherrygrade.records.load import RecordError, key_paths, merge_texts, site_from_vertex
 from cherrygrade.settings import SiteSettings
 
 MOST_READ = 2  # a change and what it is based on: judged, then taken
@@ -47,11 +47,13 @@
     def _site(self, text: str) -> SiteSettings:
         over = ("configuration", text)
         try:
-            return site_of(laid([*self._below, over], "site.rec"))
+            return site_from_vertex(merge_texts([*self._below, over], "site.rec"))
         except RecordError:
             if not self.own.place.number:
                 raise
-            site = site_of(laid([*self._below, ("place", "place: number: 0"), over], "site.rec"))
+            site = site_from_vertex(
+                merge_texts([*self._below, ("place", "place: number: 0"), over], "site.rec")
+            )
             return replace(site, place=replace(site.place, number=self.own.place.number))
 
     def judge(self, before: str, text: str) -> tuple[str, QuotaDivisors | None, QuotaDivisors | None]:
@@ -68,7 +70,7 @@
         restart = setting_changes(old, new).restart_keys
         if restart:
             return needs(restart), None, None
-        lost = {key for key in names(before) - names(text) if _deals(key)} - _gone(old, new)
+        lost = {key for key in key_paths(before) - key_paths(text) if _deals(key)} - _gone(old, new)
         if lost:
             keys = ", ".join(sorted(lost))
             return (
--- a/cherrygrade/lab/rig/load.py
+++ b/cherrygrade/lab/rig/load.py
@@ -16,7 +16,7 @@
 
 from cherrygrade.client import Answer, Client, Errored, Ok, Rejected
 from cherrygrade.lab.rig.scenario import Scenario, Stream, read_scenario
-from cherrygrade.records.load import plain, read_vertex, site_from
+from cherrygrade.records.load import checked_value, read_vertex, site_from_value
 from cherrygrade.scheduling.model import Idempotency, Workload
 from cherrygrade.settings import TrafficSettings
 from cherrygrade.standin.record import Record
@@ -296,7 +296,7 @@
     import json
 
     holder.write_text(json.dumps({"place": place, **scenario.site}))
-    trade = site_from(plain(read_vertex(holder, "site.rec"))).trade
+    trade = site_from_value(checked_value(read_vertex(holder, "site.rec"))).trade
     record = Record(folder / f"load-{index}.jsonl")
     loader = Loader(scenario, trade, index, addresses, record)
     await loader.prepare()
--- a/cherrygrade/lab/rig/scenario.py
+++ b/cherrygrade/lab/rig/scenario.py
@@ -9,7 +9,7 @@
 from typing import Any
 from zlib import crc32
 
-from cherrygrade.records.load import convert, plain, read_site, read_vertex
+from cherrygrade.records.load import checked_value, convert, read_site, read_vertex
 from cherrygrade.settings import SiteSettings
 from cherrygrade.standin.node import Build
 
@@ -88,7 +88,7 @@
 
 def read_scenario(path: Path, extra: str = "") -> Scenario:
     """Raises RecordError with every error at once."""
-    read = convert(plain(read_vertex(path, "scenario.rec", extra)), Scenario)
+    read = convert(checked_value(read_vertex(path, "scenario.rec", extra)), Scenario)
     return replace(read, troubles=[*read.troubles, *draw(read)]) if read.drawn else read
 
 
--- a/cherrygrade/lab/scale/run.py
+++ b/cherrygrade/lab/scale/run.py
@@ -42,7 +42,7 @@
 )
 from cherrygrade.lab.scale.putting import Putting
 from cherrygrade.lab.scale.sums import HostResult, Phase, Seen
-from cherrygrade.records.load import convert, plain, read_vertex
+from cherrygrade.records.load import checked_value, convert, read_vertex
 from cherrygrade.standin.record import Record
 
 ANSWER_S = 30.0
@@ -55,7 +55,7 @@
 
 def read_scale(file: Path, given: str = "") -> Scale:
     """RecordError with every fault at once."""
-    return convert(plain(read_vertex(file, "scale.rec", given)), Scale)
+    return convert(checked_value(read_vertex(file, "scale.rec", given)), Scale)
 
 
 class Child:
--- a/cherrygrade/lab/virtual/many.py
+++ b/cherrygrade/lab/virtual/many.py
@@ -19,7 +19,7 @@
 from cherrygrade.fleet.membership.membership_state import MembershipSettings
 from cherrygrade.fleet.membership.messages import MAX_DATAGRAM_BYTES, MessageCodec, Probe
 from cherrygrade.fleet.membership.table import MemberInfo, MemberRecord, MemberState
-from cherrygrade.virtual.datagrams import Rain
+from cherrygrade.virtual.datagrams import DatagramConditions
 
 BORN = 1_700_000_000_000
 EXCHANGE_MS = 2.0  # a whole roll and back
@@ -41,7 +41,7 @@
 class Many:
     """`killed` never come back. `cut`: those that are on another side than the rest."""
 
-    def __init__(self, count: int, seed: int, rain: Rain) -> None:
+    def __init__(self, count: int, seed: int, rain: DatagramConditions) -> None:
         self.count, self.rain, self.random = count, rain, Random(seed)
         self.now = 0.0
         self.book = MessageCodec("many")
@@ -128,7 +128,11 @@
         second = int(self.now // 1000.0)
         self.bytes[second] = self.bytes.get(second, 0) + len(data)
         to, rain = self.by_place[place], self.rain
-        if to in self.killed or (at in self.cut) != (to in self.cut) or self.random.random() < rain.lost:
+        if (
+            to in self.killed
+            or (at in self.cut) != (to in self.cut)
+            or self.random.random() < rain.loss_probability
+        ):
             return
         self.later(rain.delay_ms + rain.jitter_ms * self.random.random(), self._came, to, at, data)
 
@@ -162,7 +166,7 @@
         )
 
 
-def death(count: int, seed: int, rain: Rain, dead: int = 1, rest_ms: float = 4000.0) -> Figures:
+def death(count: int, seed: int, rain: DatagramConditions, dead: int = 1, rest_ms: float = 4000.0) -> Figures:
     """Rest, then so many killed at once, until all that live know it, at most 20 s."""
     many = Many(count, seed, rain)
     many.run(rest_ms)
--- a/cherrygrade/lab/virtual/virtual.py
+++ b/cherrygrade/lab/virtual/virtual.py
@@ -24,7 +24,7 @@
 from cherrygrade.standin.register import Register
 from cherrygrade.virtual.guard import guarded
 from cherrygrade.virtual.loop import Process, VirtualLoop
-from cherrygrade.virtual.network import Air, Network
+from cherrygrade.virtual.network import LinkConditions, Network
 
 LEFT_TO_END_S, LONGEST_S = 15.0, 120.0
 
@@ -169,9 +169,9 @@
         process, gateway = self.gateways[number]
         if trouble.kind == "stop":
             self.note.note("stopped", number)
-            process.stop()
+            process.pause()
             await asyncio.sleep(trouble.for_ms / 1000.0)
-            process.go_on()
+            process.resume()
             self.note.note("continued", number)
             return
         code: int = -9
@@ -187,7 +187,7 @@
         await self._launch(number)
 
     async def _told_to_leave(self, process: Process, gateway: Gateway) -> int:
-        process.go_on()
+        process.resume()
         process.context().run(gateway.leave)
         try:
             async with asyncio.timeout(LEFT_TO_END_S):
@@ -214,7 +214,11 @@
 
 
 def play(
-    file: Path, folder: Path, given: str = "", air: Air | None = None, make: type[Scheduler] = Scheduler
+    file: Path,
+    folder: Path,
+    given: str = "",
+    air: LinkConditions | None = None,
+    make: type[Scheduler] = Scheduler,
 ) -> tuple[Scenario, VirtualLoop]:
     """Play the day into `folder`. RecordError: a wrong scenario; RealWorldError: not virtual after all."""
     scenario = read_scenario(file, given)
--- a/cherrygrade/lab/virtual/virtual_fleet.py
+++ b/cherrygrade/lab/virtual/virtual_fleet.py
@@ -8,7 +8,7 @@
 from cherrygrade.fleet.membership.table import MemberState
 from cherrygrade.fleet.runtime.fleet_agent import FleetAgent
 from cherrygrade.settings import FleetSettings, StartReference
-from cherrygrade.virtual.datagrams import Rain
+from cherrygrade.virtual.datagrams import DatagramConditions
 from cherrygrade.virtual.guard import guarded
 from cherrygrade.virtual.loop import Process, VirtualLoop
 from cherrygrade.virtual.network import Network
@@ -24,7 +24,7 @@
         self.words: list[tuple[int, int, bytes]] = []
 
     def now(self) -> float:
-        return self.network.now()
+        return self.network.now_ms()
 
     async def start(self, number: int, name: str = "", host: str = "", seat: int | None = None) -> FleetAgent:
         self.births += 1000
@@ -67,12 +67,12 @@
     def cut(self, some: set[int], one_way: bool = False) -> None:
         for one in some:
             for other in self.agents.keys() - some:
-                self.network.deaf.add((f"d{one}", f"d{other}"))
+                self.network.blocked_datagram_paths.add((f"d{one}", f"d{other}"))
                 if not one_way:
-                    self.network.deaf.add((f"d{other}", f"d{one}"))
+                    self.network.blocked_datagram_paths.add((f"d{other}", f"d{one}"))
 
     def heal(self) -> None:
-        self.network.deaf.clear()
+        self.network.blocked_datagram_paths.clear()
 
     def cores(self) -> dict[int, Any]:
         return {number: agent.membership for number, (_, agent) in self.agents.items()}
@@ -100,12 +100,14 @@
         return self.now() - begun
 
 
-def play(story: Any, count: int, seed: int = 1, rain: Rain | None = None, keep_ms: float = 600_000.0) -> Any:
+def play(
+    story: Any, count: int, seed: int = 1, rain: DatagramConditions | None = None, keep_ms: float = 600_000.0
+) -> Any:
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     try:
         network = Network(loop, seed)
-        network.rain = rain
+        network.datagram_conditions = rain
         with guarded():
             return loop.run_until_complete(story(VirtualFleet(network, count, seed, keep_ms)))
     finally:
--- a/cherrygrade/records/grammar.py
+++ b/cherrygrade/records/grammar.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class At:
+class Position:
     """Where something stands: file, line and column from 1."""
 
     file: str
@@ -74,7 +74,7 @@
     """One expression. Kinds and their parts are those of the grammar's names."""
 
     kind: str
-    at: At
+    at: Position
     parts: tuple[Any, ...]
 
 
@@ -86,7 +86,7 @@
     label: Any
     alias: str
     value: Tree
-    at: At
+    at: Position
 
 
 class RecordSyntaxError(Exception):
@@ -120,8 +120,8 @@
         super().__init__()
         self.file = file
 
-    def at(self, meta: Any) -> At:
-        return At(self.file, getattr(meta, "line", 1), getattr(meta, "column", 1))
+    def at(self, meta: Any) -> Position:
+        return Position(self.file, getattr(meta, "line", 1), getattr(meta, "column", 1))
 
     def start(self, meta: Any, parts: list[Any]) -> Tree:
         return self.struct(meta, parts)
--- a/cherrygrade/records/lattice.py
+++ b/cherrygrade/records/lattice.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cherrygrade.records.grammar import At, Field, Tree
+from cherrygrade.records.grammar import Field, Position, Tree
 
 MOST_CHOICES = 256
 MOST_DEPTH = 60
@@ -24,7 +24,7 @@
 class Fault:
     """One thing wrong: where it stands, the path it concerns, and what."""
 
-    at: At | None
+    at: Position | None
     path: str
     text: str
 
@@ -58,12 +58,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class ScalarConstraint:
     """A scalar constraint: a literal, a type or a bound, and where it was said."""
 
     kind: str
     value: Any
-    at: At
+    at: Position
 
     def __str__(self) -> str:
         return f"{self.value if self.kind == 'type' else _show(self)} ({self.at})"
@@ -88,7 +88,7 @@
         )
 
 
-def _show(word: Word) -> str:
+def _show(word: ScalarConstraint) -> str:
     if word.kind == "bound":
         return f"{word.value[0]}{word.value[1]!r}"
     return _plain(word.value)
@@ -113,21 +113,21 @@
         self.conjuncts = conjuncts or []
         self.arcs: dict[str, Vertex] = {}
         self.kind = "any"  # any, struct, list, scalar
-        self.words: list[Word] = []
+        self.words: list[ScalarConstraint] = []
         self.faults: list[Fault] = []
         self.default = False  # it was a default that chose
         self._optional: dict[str, list[Conjunct]] = {}
         self._patterns: list[tuple[Conjunct, str, Conjunct]] = []
         self._groups: dict[Any, _Group] = {}
-        self._lists: list[tuple[int, Conjunct | None, At]] = []
-        self._named: dict[str, At] = {}  # fields said to be there, and where first
+        self._lists: list[tuple[int, Conjunct | None, Position]] = []
+        self._named: dict[str, Position] = {}  # fields said to be there, and where first
         self._done = self._busy = False
 
     def child(self, label: str) -> Vertex:
         path = f"{self.path}.{label}" if self.path else label
         return self.arcs.setdefault(label, Vertex(path, depth=self.depth + 1))
 
-    def fault(self, at: At | None, text: str) -> None:
+    def fault(self, at: Position | None, text: str) -> None:
         if len(self.faults) < 100:
             self.faults.append(Fault(at, self.path, text))
 
@@ -168,27 +168,27 @@
         elif tree.kind == "many":
             self._list(conjunct)
         elif tree.kind == "literal":
-            self._word(Word("literal", tree.parts[0], tree.at))
+            self._word(ScalarConstraint("literal", tree.parts[0], tree.at))
         elif tree.kind == "type":
             if tree.parts[0] != "_":
-                self._word(Word("type", tree.parts[0], tree.at))
+                self._word(ScalarConstraint("type", tree.parts[0], tree.at))
         elif tree.kind == "bound":
             value = self._value(tree.parts[1], scope)
             if value is not None:
-                self._word(Word("bound", (tree.parts[0], value), tree.at))
+                self._word(ScalarConstraint("bound", (tree.parts[0], value), tree.at))
         elif tree.kind == "arith":
             value = self._arith(tree, scope)
             if value is not None:
-                self._word(Word("literal", value, tree.at))
+                self._word(ScalarConstraint("literal", value, tree.at))
         return []
 
-    def _kind(self, kind: str, at: At) -> None:
+    def _kind(self, kind: str, at: Position) -> None:
         if self.kind not in ("any", kind):
             self.fault(at, f"a {kind} here, a {self.kind} elsewhere")
         else:
             self.kind = kind
 
-    def _word(self, word: Word) -> None:
+    def _word(self, word: ScalarConstraint) -> None:
         self._kind("scalar", word.at)
         self.words.append(word)
 
@@ -197,7 +197,7 @@
         scope: Scope | None = conjunct.scope
         while scope is not None:
             if parts[0] in scope.aliases and len(parts) == 1:
-                self._word(Word("literal", scope.aliases[parts[0]], conjunct.tree.at))
+                self._word(ScalarConstraint("literal", scope.aliases[parts[0]], conjunct.tree.at))
                 return []
             if parts[0] in scope.names or (scope.outer is None and parts[0] in scope.vertex.arcs):
                 break
@@ -418,7 +418,7 @@
                 lacking += more
         return (list(values.values()) if self.kind == "list" else values), lacking
 
-    def leaves(self) -> Iterator[tuple[str, Any, At, bool]]:
+    def leaves(self) -> Iterator[tuple[str, Any, Position, bool]]:
         """Path, value, where it was said, and whether it is a default."""
         self.expand()
         if self.kind == "scalar":
--- a/cherrygrade/records/load.py
+++ b/cherrygrade/records/load.py
@@ -53,10 +53,10 @@
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as trouble:
         raise RecordError([f"{path}: {trouble}"]) from trouble
-    return laid([(str(path), text), *([("given", extra)] if extra else [])], schema)
+    return merge_texts([(str(path), text), *([("given", extra)] if extra else [])], schema)
 
 
-def laid(texts: Sequence[tuple[str, str]], schema: str) -> Vertex:
+def merge_texts(texts: Sequence[tuple[str, str]], schema: str) -> Vertex:
     """Texts, each with the name that its faults are told under, and their schema as one. Each goes before
     what those before it say under the same names. Raises RecordError."""
     try:
@@ -93,7 +93,7 @@
     return found
 
 
-def names(text: str) -> set[str]:
+def key_paths(text: str) -> set[str]:
     """Keys that a text gives by name, structs and what is in them. Raises RecordError."""
     try:
         return _names(parse(text, "text"), "")
@@ -111,7 +111,7 @@
     return found
 
 
-def plain(vertex: Vertex) -> Any:
+def checked_value(vertex: Vertex) -> Any:
     """The record's value. Raises RecordError with all that is wrong or lacking."""
     faults = list(vertex.all_faults())
     value, lacking = vertex.export()
@@ -171,7 +171,7 @@
     }
 
 
-def site_from(value: dict[str, Any], where: Callable[[str], str] = lambda key: "") -> SiteSettings:
+def site_from_value(value: dict[str, Any], where: Callable[[str], str] = lambda key: "") -> SiteSettings:
     """The parts of a site from a checked record; `where` tells a key's place for what is wrong."""
     record = convert({"workloads": {}, "plans": {}, "volumes": {}, **value}, _SiteRecord)
     trade = convert(_traffic(record), TrafficSettings)
@@ -205,10 +205,10 @@
 
 def read_site(path: Path, extra: str = "") -> SiteSettings:
     """A dispatcher's settings. Raises RecordError with every error at once."""
-    return site_of(read_vertex(path, "site.rec", extra))
+    return site_from_vertex(read_vertex(path, "site.rec", extra))
 
 
-def site_of(vertex: Vertex) -> SiteSettings:
+def site_from_vertex(vertex: Vertex) -> SiteSettings:
     """Settings from texts that were laid over each other. Raises RecordError with every error at once."""
 
     def where(key: str) -> str:
@@ -217,4 +217,4 @@
             found = found.arcs[label]
         return f"{found.words[0].at if found.words else found.conjuncts[-1].tree.at}: "
 
-    return site_from(plain(vertex), where)
+    return site_from_value(checked_value(vertex), where)
--- a/cherrygrade/records/settings_mark.py
+++ b/cherrygrade/records/settings_digest.py
@@ -17,7 +17,7 @@
 from cherrygrade.settings import SiteSettings
 
 
-def settings_mark(site: SiteSettings) -> str:
+def settings_digest(site: SiteSettings) -> str:
     """Eight hexadecimal digits, equal for two dispatchers whose shared settings are equal.
 
     :param site: the settings of the dispatcher's own file, without the fleet's configuration.
--- a/cherrygrade/virtual/datagrams.py
+++ b/cherrygrade/virtual/datagrams.py
@@ -11,17 +11,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rain:
+class DatagramConditions:
     """What becomes of datagrams: parts lost and doubled; ms of way, each drawn anew, so that they
     overtake."""
 
-    lost: float = 0.0
-    doubled: float = 0.0
+    loss_probability: float = 0.0
+    duplicate_probability: float = 0.0
     delay_ms: float = 0.1
     jitter_ms: float = 0.5
 
 
-class Net(Protocol):
+class DatagramNetwork(Protocol):
     """The network, as a datagram needs it."""
 
     datagrams: dict[tuple[str, int], Any]
@@ -32,15 +32,17 @@
     def loop(self) -> VirtualLoop: ...
 
     @property
-    def chance(self) -> Any: ...
+    def random_streams(self) -> Any: ...
 
-    def parted(self, one: str, other: str) -> bool: ...
+    def is_partitioned(self, one: str, other: str) -> bool: ...
 
 
 class VirtualDatagrams(asyncio.DatagramTransport):
     """One bound place. What comes to a process that stands still waits for it, as in a socket's queue."""
 
-    def __init__(self, network: Net, rain: Rain, place: tuple[str, int], protocol: Any) -> None:
+    def __init__(
+        self, network: DatagramNetwork, rain: DatagramConditions, place: tuple[str, int], protocol: Any
+    ) -> None:
         super().__init__({"sockname": place})
         self.network, self.rain, self.place, self.protocol = network, rain, place, protocol
         self.process, self.context = CURRENT.get(), copy_context()
@@ -56,10 +58,14 @@
         there = network.datagrams.get(addr)
         ours = self.process.name if self.process else ""
         theirs = there.process.name if there is not None and there.process else ""
-        if there is None or network.parted(ours, theirs):
+        if there is None or network.is_partitioned(ours, theirs):
             return
-        draw = network.chance.part(f"{self.place}>")
-        times = 0 if draw.random() < self.rain.lost else 1 + (draw.random() < self.rain.doubled)
+        draw = network.random_streams.part(f"{self.place}>")
+        times = (
+            0
+            if draw.random() < self.rain.loss_probability
+            else 1 + (draw.random() < self.rain.duplicate_probability)
+        )
         for _ in range(times):
             after = self.rain.delay_ms + self.rain.jitter_ms * float(draw.random())
             at, landed = network.loop.time() + after / 1000.0, there.landed
--- a/cherrygrade/virtual/loop.py
+++ b/cherrygrade/virtual/loop.py
@@ -15,7 +15,7 @@
 START_S = 1000.0  # times are never 0, as on a machine that has been up for a while
 
 
-class NothingLeftError(RuntimeError):
+class NoPendingEventsError(RuntimeError):
     """Everybody waits and nothing is due: the day cannot go on."""
 
 
@@ -33,10 +33,10 @@
         made.run(CURRENT.set, self)
         return made
 
-    def stop(self) -> None:
+    def pause(self) -> None:
         self.still = True
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         self.still = False
         kept, self.kept = self.kept, []
         loop = asyncio.get_running_loop()
@@ -78,7 +78,7 @@
     def skip(self, timeout: float | None) -> None:
         """Nothing is ready: go to the next timer."""
         if timeout is None:
-            raise NothingLeftError(f"nothing left to happen at {self._virtual_now:.6f} s")
+            raise NoPendingEventsError(f"nothing left to happen at {self._virtual_now:.6f} s")
         if timeout > 0.0:
             scheduled: list[asyncio.TimerHandle] = self._scheduled  # type: ignore[attr-defined]
             self._virtual_now = max(self._virtual_now, scheduled[0].when())
--- a/cherrygrade/virtual/network.py
+++ b/cherrygrade/virtual/network.py
@@ -15,25 +15,27 @@
 
 import numpy
 
-from cherrygrade.virtual.datagrams import Rain, VirtualDatagrams
+from cherrygrade.virtual.datagrams import DatagramConditions, VirtualDatagrams
+from cherrygrade.virtual.link import Link
 from cherrygrade.virtual.loop import CURRENT, Process, VirtualLoop
-from cherrygrade.virtual.way import Way
 
 
 @dataclass(frozen=True, slots=True)
-class Air:
+class LinkConditions:
     """What a way between two processes is like. Ms; parts of pieces."""
 
     delay_ms: float = 0.05
     jitter_ms: float = 0.05
     bytes_per_ms: float = 1_000_000.0
-    room: int = 256 * 1024
-    lost: float = 0.0  # of pieces, that come a while later, as a loss does on a line that sends again
-    again_ms: float = 200.0
-    split: float = 0.1  # of reads, that bring a part of what lies there
+    buffer_bytes: int = 256 * 1024
+    loss_probability: float = (
+        0.0  # of pieces, that come a while later, as a loss does on a line that sends again
+    )
+    retransmit_ms: float = 200.0
+    partial_read_probability: float = 0.1  # of reads, that bring a part of what lies there
 
 
-class Chance:
+class RandomStreams:
     """A generator for each part, from one seed."""
 
     def __init__(self, seed: int) -> None:
@@ -77,19 +79,23 @@
 class Network:
     """`cuts` holds pairs of process names between which nothing moves; it comes once they are mended."""
 
-    def __init__(self, loop: VirtualLoop, seed: int, air: Air | None = None) -> None:
-        self.loop, self.air, self.chance = loop, air or Air(), Chance(seed)
+    def __init__(self, loop: VirtualLoop, seed: int, link_conditions: LinkConditions | None = None) -> None:
+        self.loop, self.link_conditions, self.random_streams = (
+            loop,
+            link_conditions or LinkConditions(),
+            RandomStreams(seed),
+        )
         self.listeners: dict[str, Listener] = {}
         self.transports: dict[VirtualTransport, None] = {}  # until their connection is lost
-        self.cuts: set[frozenset[str]] = set()
-        self.deaf: set[tuple[str, str]] = set()  # ways that carry no datagrams: from, to
+        self.partitions: set[frozenset[str]] = set()
+        self.blocked_datagram_paths: set[tuple[str, str]] = set()  # ways that carry no datagrams: from, to
         self.datagrams: dict[tuple[str, int], Any] = {}  # by place; until closed, or their process ends
         self.datagrams_sent = self.datagram_bytes = 0
         self._ports = 20000
-        self.rain: Rain | None = None
+        self.datagram_conditions: DatagramConditions | None = None
         loop.network = self
 
-    def now(self) -> float:
+    def now_ms(self) -> float:
         return self.loop.time() * 1000.0
 
     def listen(self, factory: Callable[[], Any], host: str, port: int | str) -> Listener:
@@ -107,13 +113,13 @@
         """For datagrams; `rain` says what becomes of them."""
         if place in self.datagrams:
             raise OSError(98, f"{place} is taken")
-        return VirtualDatagrams(self, self.rain or Rain(), place, protocol)
+        return VirtualDatagrams(self, self.datagram_conditions or DatagramConditions(), place, protocol)
 
     def delay(self, part: str) -> float:
         """Of one piece on its way."""
-        air, draw = self.air, self.chance.part(part)
+        air, draw = self.link_conditions, self.random_streams.part(part)
         jitter = air.jitter_ms * float(draw.random()) if air.jitter_ms else 0.0
-        lost = air.again_ms if air.lost and draw.random() < air.lost else 0.0
+        lost = air.retransmit_ms if air.loss_probability and draw.random() < air.loss_probability else 0.0
         return air.delay_ms + jitter + lost
 
     async def connect(self, factory: Callable[[], Any], at: str) -> tuple[Any, Any]:
@@ -123,7 +129,9 @@
         listener = self.listeners.get(at)
         theirs = listener.process if listener else None
         pair = frozenset((ours.name if ours else "", theirs.name if theirs else ""))
-        while pair in self.cuts or self.parted(*[end.name if end else "" for end in (ours, theirs)]):
+        while pair in self.partitions or self.is_partitioned(
+            *[end.name if end else "" for end in (ours, theirs)]
+        ):
             await asyncio.sleep(0.05)
         if listener is None or (theirs is not None and not theirs.alive):
             await asyncio.sleep(self.delay("connect") / 1000.0)
@@ -139,16 +147,16 @@
         protocol = near.begin(factory)
         return near, protocol
 
-    def parted(self, one: str, other: str) -> bool:
+    def is_partitioned(self, one: str, other: str) -> bool:
         """Whether nothing gets from one process to the other."""
-        return frozenset((one, other)) in self.cuts or (one, other) in self.deaf
+        return frozenset((one, other)) in self.partitions or (one, other) in self.blocked_datagram_paths
 
-    def cut(self, one: str, other: str) -> None:
-        self.cuts.add(frozenset((one, other)))
+    def partition(self, one: str, other: str) -> None:
+        self.partitions.add(frozenset((one, other)))
 
-    def mend(self, one: str, other: str) -> None:
+    def heal(self, one: str, other: str) -> None:
         pair = frozenset((one, other))
-        self.cuts.discard(pair)
+        self.partitions.discard(pair)
         for transport in self.transports:
             if transport.pair == pair:
                 transport.move_on()
@@ -177,8 +185,8 @@
         super().__init__({"peername": peername})
         self.network, self.process, self.part = network, process, part
         self.context = process.context() if process else copy_context()
-        air = network.air
-        self.way = Way(air.bytes_per_ms, air.room)
+        air = network.link_conditions
+        self.link = Link(air.bytes_per_ms, air.buffer_bytes)
         self.peer: VirtualTransport = self
         self.inbox: deque[memoryview] = deque()
         self.road: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
@@ -203,14 +211,14 @@
     def write(self, data: Any) -> None:
         if self._closing or self._lost:
             return
-        self.way.offer(bytes(data))
+        self.link.write(bytes(data))
         self.pump()
-        if self.way.waiting and not self._paused:
+        if self.link.waiting_bytes and not self._paused:
             self._paused = True
             self._protocol.pause_writing()
 
     def get_write_buffer_size(self) -> int:
-        return self.way.waiting
+        return self.link.waiting_bytes
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         pass  # whatever waits at all is too much, as the gateway asks for
@@ -237,7 +245,7 @@
     def abort(self) -> None:
         if not self._lost:
             self._closing = True
-            self.way.drop()
+            self.link.drop()
             self._tell(self.peer.reset)
             self._lose(None)
 
@@ -246,11 +254,11 @@
     def pump(self) -> None:
         """Give the network what it takes; what closes ends once all has left."""
         while not self._lost:
-            taken = self.way.next(self.network.now(), self.network.delay(self.part))
+            taken = self.link.next_piece(self.network.now_ms(), self.network.delay(self.part))
             if taken is None:
                 break
             self._carry(taken[0], self.peer.landed, taken[1])
-        if self._lost or self.way.waiting:
+        if self._lost or self.link.waiting_bytes:
             return
         if self._closing:
             self._tell(self.peer.ended)
@@ -274,7 +282,7 @@
     def reset(self) -> None:
         if not self._lost:
             self._closing = True
-            self.way.drop()
+            self.link.drop()
             self._lose(ConnectionResetError(104, "connection reset by peer"))
 
     def vanish(self) -> None:
@@ -284,7 +292,7 @@
         self.network.transports.pop(self, None)
 
     def _tell(self, act: Callable[[], None]) -> None:
-        self._carry(self.way.arrival(self.network.now(), self.network.delay(self.part)), act)
+        self._carry(self.link.arrival(self.network.now_ms(), self.network.delay(self.part)), act)
 
     def _carry(self, at_ms: float, act: Callable[..., None], *args: Any) -> None:
         self.road.append((act, args))
@@ -293,14 +301,14 @@
 
     def _come(self) -> None:
         self._due -= 1
-        if self.pair not in self.network.cuts:  # else it stays on the road until that is mended
+        if self.pair not in self.network.partitions:  # else it stays on the road until that is mended
             act, args = self.road.popleft()
             act(*args)
 
     def move_on(self) -> None:
         for _ in range(len(self.road) - self._due):
             self._due += 1
-            at = self.way.arrival(self.network.now(), self.network.delay(self.part))
+            at = self.link.arrival(self.network.now_ms(), self.network.delay(self.part))
             self.network.loop.call_at(at / 1000.0, self._come, context=self.peer.context)
 
     def _lose(self, why: Exception | None) -> None:
@@ -313,13 +321,13 @@
     def _deliver(self) -> None:
         if self._busy or self._protocol is None:
             return
-        self._busy, draw = True, self.network.chance.part(self.part + "read")
+        self._busy, draw = True, self.network.random_streams.part(self.part + "read")
         try:
             while self.inbox and self._reading and not (self._closing or self._lost):
                 piece = self.inbox[0]
                 buffer = memoryview(self._protocol.get_buffer(-1))
                 size = min(len(buffer), len(piece))
-                if size > 1 and draw.random() < self.network.air.split:
+                if size > 1 and draw.random() < self.network.link_conditions.partial_read_probability:
                     size = int(draw.integers(1, size))
                 buffer[:size] = piece[:size]
                 if size == len(piece):
@@ -327,9 +335,9 @@
                 else:
                     self.inbox[0] = piece[size:]
                 peer = self.peer
-                peer.way.read(size)
-                if peer.way.waiting and not peer._lost:
-                    at = self.network.now() + self.network.air.delay_ms
+                peer.link.read(size)
+                if peer.link.waiting_bytes and not peer._lost:
+                    at = self.network.now_ms() + self.network.link_conditions.delay_ms
                     self.network.loop.call_at(at / 1000.0, peer.pump, context=peer.context)
                 self._protocol.buffer_updated(size)
         finally:
--- a/tests/extents/test_extents.py
+++ b/tests/extents/test_extents.py
@@ -549,14 +549,14 @@
 
 
 def joining(host: FakeHost, start: int, **more):
-    rpc = host.rpc(more.pop("workload", FAKE_READ), key="e1", units=1.0, **more)
+    rpc = host.make_request(more.pop("workload", FAKE_READ), key="e1", units=1.0, **more)
     rpc.offset, rpc.length, rpc.coalescable = start, 4096, True
     return rpc
 
 
 def test_what_shares_a_send_holds_one_slot_and_is_outlived_by_no_table():
-    host = FakeHost(permits=JOINS)
-    host.take(*(joining(host, at * 4096) for at in range(6)))
+    host = FakeHost(policy=JOINS)
+    host.submit(*(joining(host, at * 4096) for at in range(6)))
     lane = host.dispatcher.node_queues[host.nodes[0]]
     assert len(host.sent) == 6 and lane.busy == 1 and host.sent[0].coalesced == host.sent[1:]
     assert host.sent[0].coalesced_units == 6.0 and all(
@@ -573,24 +573,24 @@
 
 
 def test_company_that_would_make_a_pressed_rpc_late_stays_behind():
-    host = FakeHost(permits=JOINS)
+    host = FakeHost(policy=JOINS)
     lane = host.dispatcher.node_queues[host.nodes[0]]
     lane.latency.unit_ms, lane.limit.window = 45.0, 1.0
-    host.take(*(joining(host, at * 4096) for at in range(10)))
+    host.submit(*(joining(host, at * 4096) for at in range(10)))
     assert host.sent[0].coalesced and all(send.coalesced_units * 45.0 <= 200.0 for send in host.sent)
 
 
 def test_a_node_in_trouble_gets_its_trial_alone():
-    host = FakeHost(permits=JOINS)
+    host = FakeHost(policy=JOINS)
     lane = host.dispatcher.node_queues[host.nodes[0]]
     lane.health.consecutive_failures = 1
-    host.take(*(joining(host, at * 4096) for at in range(6)))
+    host.submit(*(joining(host, at * 4096) for at in range(6)))
     assert len(host.sent) == 1
 
 
 def test_sharing_changes_nothing_where_it_is_off():
-    host = FakeHost(permits=replace(PERMITS, max_coalesced_bytes=0))
-    host.take(*(joining(host, at * 4096) for at in range(6)))
+    host = FakeHost(policy=replace(PERMITS, max_coalesced_bytes=0))
+    host.submit(*(joining(host, at * 4096) for at in range(6)))
     assert not any(send.coalesced or send.carried_by for send in host.sent)
 
 
--- a/tests/fleet/membership/test_many_members.py
+++ b/tests/fleet/membership/test_many_members.py
@@ -4,9 +4,9 @@
 """
 
 from cherrygrade.lab.virtual.many import Many, death
-from cherrygrade.virtual.datagrams import Rain
+from cherrygrade.virtual.datagrams import DatagramConditions
 
-ROUGH = Rain(lost=0.05, jitter_ms=2.0)
+ROUGH = DatagramConditions(loss_probability=0.05, jitter_ms=2.0)
 
 
 def test_detection_time_and_traffic_without_changes_do_not_grow_from_fifty_members_to_a_thousand():
--- a/tests/fleet/membership/test_virtual_fleet.py
+++ b/tests/fleet/membership/test_virtual_fleet.py
@@ -14,11 +14,11 @@
 from cherrygrade.fleet.membership.partition import PartitionState
 from cherrygrade.fleet.membership.table import MemberState
 from cherrygrade.lab.virtual.virtual_fleet import VirtualFleet, play
-from cherrygrade.virtual.datagrams import Rain
+from cherrygrade.virtual.datagrams import DatagramConditions
 
 MAX_DETECTION_MS = 5000.0  # all members know of a failure within this time
 MAX_RECOVERY_MS = 5000.0  # all members agree again within this time after a partition heals
-ROUGH = Rain(lost=0.05, doubled=0.05, delay_ms=0.2, jitter_ms=5.0)
+ROUGH = DatagramConditions(loss_probability=0.05, duplicate_probability=0.05, delay_ms=0.2, jitter_ms=5.0)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -52,10 +52,10 @@
         for repetition in range(3):
             stalled = [virtual_fleet.agents[number][0] for number in range(repetition, 20, 10)]
             for process in stalled:
-                process.stop()
+                process.pause()
             await asyncio.sleep(2.0)
             for process in stalled:
-                process.go_on()
+                process.resume()
             await asyncio.sleep(4.0)
         assert (
             sum(membership.failure_detector.accusations for membership in virtual_fleet.cores().values()) > 0
--- a/tests/golden/test_settings.py
+++ b/tests/golden/test_settings.py
@@ -13,7 +13,7 @@
 
 from cherrygrade.cli import origin_of
 from cherrygrade.platform.config import read_config
-from cherrygrade.records.load import plain, read_site, read_vertex
+from cherrygrade.records.load import checked_value, read_site, read_vertex
 from cherrygrade.scheduling.start_settings import StartSettings
 
 ROOT = Path(__file__).parent.parent.parent
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("name", FILES)
 def test_record_gives_the_recorded_values(name):
-    assert plain(read_vertex(FILES[name], "site.rec")) == RECORDED["records"][name]
+    assert checked_value(read_vertex(FILES[name], "site.rec")) == RECORDED["records"][name]
 
 
 @pytest.mark.parametrize("name", FILES)
--- a/tests/lab/test_virtual.py
+++ b/tests/lab/test_virtual.py
@@ -13,14 +13,14 @@
 import pytest
 
 from cherrygrade.virtual.guard import RealWorldError, guarded
-from cherrygrade.virtual.loop import NothingLeftError, Process, VirtualLoop
-from cherrygrade.virtual.network import Air, Network
-from cherrygrade.virtual.way import Way
+from cherrygrade.virtual.link import Link
+from cherrygrade.virtual.loop import NoPendingEventsError, Process, VirtualLoop
+from cherrygrade.virtual.network import LinkConditions, Network
 
 ROOT = Path(__file__).parents[2]
 
 
-def play(story, air: Air | None = None, seed: int = 1):
+def play(story, air: LinkConditions | None = None, seed: int = 1):
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     try:
@@ -98,12 +98,17 @@
     async def story(network):
         await asyncio.get_running_loop().create_future()
 
-    with pytest.raises(NothingLeftError):
+    with pytest.raises(NoPendingEventsError):
         play(story)
 
 
 @pytest.mark.parametrize(
-    "air", [Air(split=0.0), Air(split=0.9, jitter_ms=5.0), Air(lost=0.3, bytes_per_ms=1000.0)]
+    "air",
+    [
+        LinkConditions(partial_read_probability=0.0),
+        LinkConditions(partial_read_probability=0.9, jitter_ms=5.0),
+        LinkConditions(loss_probability=0.3, bytes_per_ms=1000.0),
+    ],
 )
 def test_bytes_come_whole_and_in_order_however_they_are_cut_and_delayed(air):
     async def story(network):
@@ -114,7 +119,9 @@
             await asyncio.sleep(0.0003)
         await asyncio.sleep(60.0)
         assert far.heard == sent
-        assert (max(map(len, far.pieces)) <= 700) and (len({*map(len, far.pieces)}) > 3 or not air.split)
+        assert (max(map(len, far.pieces)) <= 700) and (
+            len({*map(len, far.pieces)}) > 3 or not air.partial_read_probability
+        )
 
     play(story, air)
 
@@ -125,7 +132,10 @@
         far.transport.pause_reading()
         near.transport.write(bytes(1 << 20))
         await asyncio.sleep(1.0)
-        assert "full" in near.said and near.transport.get_write_buffer_size() == (1 << 20) - network.air.room
+        assert (
+            "full" in near.said
+            and near.transport.get_write_buffer_size() == (1 << 20) - network.link_conditions.buffer_bytes
+        )
         far.transport.resume_reading()
         await asyncio.sleep(1.0)
         assert near.said[-1] == "free" and len(far.heard) == 1 << 20
@@ -166,12 +176,12 @@
     async def story(network):
         one, other = Process("one"), Process("other")
         near, far = await pair(network, one, other)
-        other.stop()
+        other.pause()
         for word in (b"a", b"b", b"c"):
             near.transport.write(word)
             await asyncio.sleep(0.1)
         assert far.heard == b""
-        other.go_on()
+        other.resume()
         await asyncio.sleep(0.1)
         assert far.heard == b"abc"
 
@@ -188,9 +198,9 @@
             loop.call_later(0.1, late.cancel)
 
         still.context().run(begin)
-        still.stop()
+        still.pause()
         await asyncio.sleep(1.0)
-        still.go_on()
+        still.resume()
         await asyncio.sleep(1.0)
         assert ran == []
 
@@ -202,11 +212,11 @@
         one, other = Process("one"), Process("other")
         near, far = await pair(network, one, other)
         near.transport.write(b"before")
-        network.cut("one", "other")
+        network.partition("one", "other")
         near.transport.write(b" and during")
         await asyncio.sleep(30.0)
         assert far.heard == b""
-        network.mend("one", "other")
+        network.heal("one", "other")
         await asyncio.sleep(0.1)
         assert far.heard == b"before and during"
 
@@ -231,16 +241,16 @@
 
 
 def test_a_way_keeps_its_count():
-    way = Way(bytes_per_ms=10.0, room=100)
-    way.offer(b"x" * 250)
-    first = way.next(0.0, 1.0)
+    way = Link(bytes_per_ms=10.0, capacity_bytes=100)
+    way.write(b"x" * 250)
+    first = way.next_piece(0.0, 1.0)
     assert first is not None and (first[0], len(first[1])) == (11.0, 100)
-    assert way.next(0.0, 1.0) is None and (way.waiting, way.out) == (150, 100)
+    assert way.next_piece(0.0, 1.0) is None and (way.waiting_bytes, way.unread_bytes) == (150, 100)
     way.read(60)
-    second = way.next(20.0, 0.0)
+    second = way.next_piece(20.0, 0.0)
     assert second is not None and (second[0], len(second[1])) == (26.0, 60)
     way.drop()
-    assert way.waiting == 0 and way.next(30.0, 0.0) is None
+    assert way.waiting_bytes == 0 and way.next_piece(30.0, 0.0) is None
 
 
 DAY = """
--- a/tests/platform/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -120,10 +120,10 @@
 
 def test_client_that_connects_and_closes_between_rounds_delays_no_other():
     host = FakeHost()
-    cancelled, following = host.rpc(ORDERED, key="k"), host.rpc(ORDERED, key="k")
+    cancelled, following = host.make_request(ORDERED, key="k"), host.make_request(ORDERED, key="k")
     cancelled.finished = True
     host.round(arrivals=[cancelled], cancellations=[cancelled])
-    host.take(following)
+    host.submit(following)
     assert [send.request for send in host.sent] == [following] and list(host.dispatcher.requests) == [
         following
     ]
--- a/tests/records/test_records.py
+++ b/tests/records/test_records.py
@@ -10,7 +10,7 @@
 
 from cherrygrade.records.grammar import RecordSyntaxError, parse
 from cherrygrade.records.lattice import unify
-from cherrygrade.records.load import RecordError, plain, read_site, read_vertex
+from cherrygrade.records.load import RecordError, checked_value, read_site, read_vertex
 from cherrygrade.scheduling.model import Idempotency
 
 
@@ -126,9 +126,9 @@
     # A scenario for seven dispatchers, asked for twelve, ended with a conflict of records.
     scenario = Path("scenarios/fleet-small.rec")
     more = "dispatchers: 12\nsite: bounds: answer_ms: 90\nsite: cold: warm_ms: 9000"
-    told = plain(read_vertex(scenario, "scenario.rec", more))
+    told = checked_value(read_vertex(scenario, "scenario.rec", more))
     assert told["dispatchers"] == 12 and told["seed"] == 1
     assert told["site"]["bounds"]["answer_ms"] == 90 and told["site"]["cold"]["warm_ms"] == 9000
     assert told["site"]["cold"]["units"] == 60  # what stands beside it stays
     with pytest.raises(RecordError):
-        plain(read_vertex(scenario, "scenario.rec", 'dispatchers: "many"'))
+        checked_value(read_vertex(scenario, "scenario.rec", 'dispatchers: "many"'))
--- a/tests/scheduling/test_failures.py
+++ b/tests/scheduling/test_failures.py
@@ -26,10 +26,10 @@
 def test_lost_attempt_releases_its_slot_before_the_deadline():
     """A message is lost on its way; without this the slot would stay occupied until the deadline."""
     host = FakeHost()
-    host.take(host.rpc(), host.rpc())
+    host.submit(host.make_request(), host.make_request())
     assert len(host.sent) == 2
     host.pass_time(400.0)
-    host.take(host.rpc())
+    host.submit(host.make_request())
     assert len(host.sent) == 3
 
 
@@ -37,7 +37,7 @@
     """A node stops answering; without ejection requests would keep waiting at it until they fail."""
     host = FakeHost(nodes=2)
     for _ in range(200):
-        host.take(host.rpc(), host.rpc(shard=-1))
+        host.submit(host.make_request(), host.make_request(shard=-1))
         for attempt in [
             attempt for attempt in host.sent if attempt.outcome is None and attempt.node is host.nodes[1]
         ]:
@@ -53,15 +53,15 @@
     slow_start = SlowStartSettings(
         base_units=4.0, cold_capacity=0.25, overload_multiple=2.0, window_ms=1000.0, warm_up_ms=10000.0
     )
-    host = FakeHost(dispatchers=4, cold=slow_start)
+    host = FakeHost(dispatchers=4, slow_start=slow_start)
     for _ in range(40):
-        host.take(host.rpc(EXPORT))
+        host.submit(host.make_request(EXPORT))
         for attempt in [attempt for attempt in host.sent if attempt.outcome is None]:
             host.answer(attempt, Outcome.CONNECT_FAILED)
         host.pass_time(100.0)
     before = len(host.sent)
     for _ in range(500):
-        host.take(host.rpc())
+        host.submit(host.make_request())
         answer_all(host)
         host.pass_time(10.0)
     assert 1 <= len(host.sent) - before <= 30
@@ -75,10 +75,10 @@
     )
     sent_ms = []
     for number in range(dispatchers):
-        host = FakeHost(dispatchers=dispatchers, number=number, cold=slow_start)
+        host = FakeHost(dispatchers=dispatchers, number=number, slow_start=slow_start)
         host.nodes[0].started_ms = host.now - 1.0
         for _ in range(20):
-            host.take(host.rpc())
+            host.submit(host.make_request())
             answer_all(host)
             host.now += 100.0
         sent_ms += [attempt.sent_ms for attempt in host.sent]
@@ -92,12 +92,12 @@
     slow_start = SlowStartSettings(
         base_units=12.0, cold_capacity=0.25, overload_multiple=3.0, window_ms=3000.0, warm_up_ms=13000.0
     )
-    host = FakeHost(cold=slow_start)
+    host = FakeHost(slow_start=slow_start)
     host.pass_time(500.0)
     newer_node = Node("10.0.0.8:1", zone="z", shard=8, started_ms=host.now - 100.0)
     older_node = Node("10.0.0.9:1", zone="z", shard=9, started_ms=host.now - 600.0)
     host.round(endpoint_changes=[newer_node, older_node])
-    host.take(host.rpc(shard=8), host.rpc(shard=9))
+    host.submit(host.make_request(shard=8), host.make_request(shard=9))
     assert [attempt.node for attempt in host.sent] == [newer_node]
 
 
@@ -106,10 +106,10 @@
     host = FakeHost()
     queue = host.dispatcher.node_queues[host.nodes[0]]
     queue.limit.window = 1.0
-    host.take(host.rpc(gives_up=5000.0))
+    host.submit(host.make_request(deadline_after_ms=5000.0))
     host.pass_time(290.0)
-    export = host.rpc(EXPORT, shard=-1, gives_up=400.0)
-    host.take(export)
+    export = host.make_request(EXPORT, shard=-1, deadline_after_ms=400.0)
+    host.submit(export)
     queue.latency.waiting_ms = 500.0
     host.answer(host.sent[0])
     assert export in [queued.request for queued in queue.batch]
@@ -120,17 +120,17 @@
 def test_pressed_request_that_misses_its_objective_is_rejected_early():
     """Late pressed requests earn little, and would take slots from those that can still be in time."""
     host = FakeHost()
-    host.take(*[host.rpc() for _ in range(10)])
+    host.submit(*[host.make_request() for _ in range(10)])
     host.pass_time(READ.latency_objective_ms + 30.0)
     assert len(host.rejected) == 8
 
 
 def test_use_through_other_dispatchers_is_charged_to_the_volume():
     """A volume could otherwise use its full quota through each of the dispatchers."""
-    host = FakeHost(earnings=UtilityModel(within_quota=0.5, beyond_quota=0.1, reports_use_elsewhere=True))
-    host.take(host.rpc(volume="a"), host.rpc(volume="b"))
+    host = FakeHost(utility=UtilityModel(within_quota=0.5, beyond_quota=0.1, reports_use_elsewhere=True))
+    host.submit(host.make_request(volume="a"), host.make_request(volume="b"))
     host.answer(host.sent[0], units_elsewhere=500.0)
-    host.take(*[host.rpc(volume=name) for name in "aaaba"])
+    host.submit(*[host.make_request(volume=name) for name in "aaaba"])
     assert host.sent[2].request.volume == "b"
 
 
@@ -138,9 +138,9 @@
     """One busy volume could otherwise delay the requests of all others."""
     host = FakeHost()
     plan = ServicePlan("plan", usual_rate=4.0)
-    host.take(*[host.rpc(plan=plan, volume="loud") for _ in range(20)])
-    quiet = host.rpc(plan=plan, volume="quiet")
-    host.take(quiet)
+    host.submit(*[host.make_request(plan=plan, volume="loud") for _ in range(20)])
+    quiet = host.make_request(plan=plan, volume="quiet")
+    host.submit(quiet)
     host.answer(host.sent[0])
     host.answer(host.sent[1])
     assert quiet in [attempt.request for attempt in host.sent]
@@ -151,7 +151,7 @@
     host = FakeHost()
     queue = host.dispatcher.node_queues[host.nodes[0]]
     for latency_ms in [10.0] * 40 + [190.0] * 40:
-        host.take(host.rpc())
+        host.submit(host.make_request())
         host.pass_time(latency_ms)
         answer_all(host)
         host.pass_time(40.0)
@@ -164,7 +164,7 @@
     host = FakeHost()
     queue = host.dispatcher.node_queues[host.nodes[0]]
     for _ in range(60):
-        host.take(*[host.rpc() for _ in range(4)], host.rpc(EXPORT))
+        host.submit(*[host.make_request() for _ in range(4)], host.make_request(EXPORT))
         host.pass_time(50.0)
         answer_all(host)
     assert queue.controller.share > 0.9 or queue.controller.reserved_slots == 1
@@ -175,11 +175,11 @@
     host = FakeHost()
     queue = host.dispatcher.node_queues[host.nodes[0]]
     for latency_ms in [10.0] * 10 + [180.0] * 30:
-        host.take(host.rpc())
+        host.submit(host.make_request())
         host.pass_time(latency_ms)
         answer_all(host)
-    export = host.rpc(EXPORT)
-    host.take(export)
+    export = host.make_request(EXPORT)
+    host.submit(export)
     assert queue.limit.window == 1.0 and not export.attempts
     host.pass_time(1500.0)
     assert export.attempts
@@ -188,8 +188,8 @@
 def test_one_more_request_on_the_newest_key_starts_beyond_the_window():
     """A node needs little work for it, but only one may exceed the window, or a hot key would evade it."""
     host = FakeHost()
-    same_key = [host.rpc(key="k") for _ in range(4)]
-    host.take(host.rpc(key="other"), *same_key)
+    same_key = [host.make_request(key="k") for _ in range(4)]
+    host.submit(host.make_request(key="other"), *same_key)
     assert [attempt.request for attempt in host.sent[1:]] == same_key[:2]
 
 
@@ -198,9 +198,9 @@
     slow_start = SlowStartSettings(
         base_units=4.0, cold_capacity=0.2, overload_multiple=2.0, window_ms=1000.0, warm_up_ms=17000.0
     )
-    host = FakeHost(dispatchers=8, cold=slow_start)
+    host = FakeHost(dispatchers=8, slow_start=slow_start)
     for i in range(100):
-        host.take(host.rpc())
+        host.submit(host.make_request())
         host.pass_time(10.0)
         for attempt in [attempt for attempt in host.sent if attempt.outcome is None]:
             host.answer(attempt, Outcome.RESET if i % 10 < 2 else Outcome.OK)
@@ -210,12 +210,12 @@
 def test_late_client_retry_waits_behind_requests_that_are_in_time():
     """A retry that cannot be in time any more would otherwise delay requests that can."""
     host = FakeHost()
-    host.take(host.rpc(key="k", shard=9))
+    host.submit(host.make_request(key="k", shard=9))
     host.pass_time(500.0)
     assert len(host.rejected) == 1
-    host.take(host.rpc(), host.rpc())
-    late, fresh = host.rpc(key="k", gives_up=1500.0), host.rpc()
-    host.take(late, fresh)
+    host.submit(host.make_request(), host.make_request())
+    late, fresh = host.make_request(key="k", deadline_after_ms=1500.0), host.make_request()
+    host.submit(late, fresh)
     host.answer(host.sent[0])
     assert host.sent[-1].request is fresh and not late.attempts
 
@@ -225,10 +225,10 @@
     # is idle. One grid interval before the deadline is enough to be in time.
     host = FakeHost()
     host.dispatcher.node_queues[host.nodes[0]].latency.unit_ms = 2.0
-    host.take(host.rpc(key="a"))
+    host.submit(host.make_request(key="a"))
     host.answer(host.sent[0])
-    short = host.rpc(key="b", gives_up=17.0)
-    host.take(short)
+    short = host.make_request(key="b", deadline_after_ms=17.0)
+    host.submit(short)
     assert short.attempts and host.dispatcher.requests[short].pressed and not host.rejected
 
 
@@ -236,14 +236,14 @@
     # If the retry were recognized by its key alone, it would count as late by the difference between its
     # timeout and the usual one.
     host = FakeHost()
-    host.take(host.rpc(key="a"))
+    host.submit(host.make_request(key="a"))
     host.answer(host.sent[0])
     host.pass_time(100.0)
-    host.take(host.rpc(key="k", shard=9, gives_up=60.0))
+    host.submit(host.make_request(key="k", shard=9, deadline_after_ms=60.0))
     host.pass_time(60.0)
     assert len(host.rejected) == 1
-    retry = host.rpc(key="k", gives_up=60.0)
-    host.take(retry)
+    retry = host.make_request(key="k", deadline_after_ms=60.0)
+    host.submit(retry)
     assert retry.attempts and host.dispatcher.requests[retry].pressed
 
 
@@ -251,7 +251,7 @@
     """The tables of rejected requests would otherwise grow without bound."""
     host = FakeHost()
     for n in range(50):
-        host.take(host.rpc(key=f"k{n}", shard=9))
+        host.submit(host.make_request(key=f"k{n}", shard=9))
         host.pass_time(300.0)
     retries = host.dispatcher.client_retries
     assert len(retries.recently_rejected) + len(retries.earlier_rejected) < 20
@@ -262,9 +262,9 @@
     host = FakeHost()
     queue = host.dispatcher.node_queues[host.nodes[0]]
     queue.limit.window, queue.controller.reserved_slots = 3.0, 2
-    host.take(*[host.rpc(EXPORT) for _ in range(4)])
+    host.submit(*[host.make_request(EXPORT) for _ in range(4)])
     assert len(host.sent) == 3
-    host.take(host.rpc())
+    host.submit(host.make_request())
     host.answer(host.sent[0])
     host.answer(host.sent[1])
     assert [attempt.request.workload for attempt in host.sent[3:]] == [READ]
@@ -275,8 +275,8 @@
     host = FakeHost()
     host.nodes[0].state = NodeState.GONE
     host.round(endpoint_changes=host.nodes)
-    request = host.rpc()
-    host.take(request)
+    request = host.make_request()
+    host.submit(request)
     host.nodes[0].state = NodeState.LIVE
     host.round(endpoint_changes=host.nodes)
     host.answer(host.sent[0])
@@ -286,14 +286,14 @@
 def test_unanswered_attempt_raises_the_estimated_wait():
     """A node that slows down does not answer for a while, and would still be treated as a fast one."""
     host = FakeHost()
-    host.take(host.rpc(units=1.0))
+    host.submit(host.make_request(units=1.0))
     host.now += 20.0
     host.answer(host.sent[0])
     host.pass_time(900.0)
-    host.take(host.rpc())
+    host.submit(host.make_request())
     host.pass_time(210.0)
-    late = host.rpc()
-    host.take(late)
+    late = host.make_request()
+    host.submit(late)
     assert not host.dispatcher.requests[late].pressed
 
 
@@ -301,14 +301,14 @@
     """An answer that is slow because of waiting would make the node look too slow for larger requests."""
     host = FakeHost(nodes=2)
     for _ in range(5):
-        host.take(host.rpc(shard=1))
+        host.submit(host.make_request(shard=1))
         host.now += 20.0
         host.answer(host.sent[-1])
-    host.take(host.rpc())
+    host.submit(host.make_request())
     host.now += 180.0
     host.answer(host.sent[-1])
     host.pass_time(1000.0)
-    host.take(host.rpc(units=2.0))
+    host.submit(host.make_request(units=2.0))
     assert host.sent[-1].request.units == 2.0
 
 
@@ -318,11 +318,11 @@
     slow_start = SlowStartSettings(
         base_units=4.0, cold_capacity=0.2, overload_multiple=2.0, window_ms=1000.0, warm_up_ms=17000.0
     )
-    host = FakeHost(dispatchers=8, number=3, cold=slow_start)
+    host = FakeHost(dispatchers=8, number=3, slow_start=slow_start)
     queue = host.dispatcher.node_queues[host.nodes[0]]
     for _ in range(3):
         host.pass_time(900.0)
-        host.take(host.rpc(EXPORT))
+        host.submit(host.make_request(EXPORT))
     host.pass_time(900.0)
     assert queue.health.consecutive_failures > 1
     host.answer(host.sent[0] if answers_earlier else host.sent[-1])
@@ -333,12 +333,12 @@
     """After a pause of the process all attempts look overdue, although the nodes have answered in time."""
     host = FakeHost(nodes=2)
     host.pass_time(10.0)
-    host.take(host.rpc(), host.rpc(shard=1))
+    host.submit(host.make_request(), host.make_request(shard=1))
     first, other = host.sent
     host.now += 1300.0
     for attempt in (first, other):
         attempt.outcome, attempt.latency_ms, attempt.request.finished = Outcome.OK, 30.0, True
-    late, fresh = host.rpc(gives_up=700.0), [host.rpc() for _ in range(9)]
+    late, fresh = host.make_request(deadline_after_ms=700.0), [host.make_request() for _ in range(9)]
     host.round(outcomes=[first, other], arrivals=[late, *fresh])
     queues = [host.dispatcher.node_queues[node] for node in host.nodes]
     assert all(
@@ -357,10 +357,10 @@
     slow_start = SlowStartSettings(
         base_units=12.0, cold_capacity=0.25, overload_multiple=2.0, window_ms=1000.0, warm_up_ms=10000.0
     )
-    host = FakeHost(dispatchers=dispatchers, number=dispatchers - 1, cold=slow_start)
+    host = FakeHost(dispatchers=dispatchers, number=dispatchers - 1, slow_start=slow_start)
     host.nodes[0].started_ms = started_ms
-    requests = [host.rpc(), host.rpc(EXPORT, shard=-1), host.rpc(shard=9)]
-    host.take(*requests)
+    requests = [host.make_request(), host.make_request(EXPORT, shard=-1), host.make_request(shard=9)]
+    host.submit(*requests)
     host.now += 1900.0
     host.round()
     answer_all(host)
@@ -372,7 +372,7 @@
     """Requests would otherwise be rejected early for long because the node looks slow."""
     host = FakeHost()
     for latency_ms in [150.0, 20.0, 20.0, 20.0, 20.0, 20.0]:
-        host.take(host.rpc())
+        host.submit(host.make_request())
         host.now += latency_ms
         host.answer(host.sent[-1])
     assert host.dispatcher.node_queues[host.nodes[0]].latency.unit_ms < 45.0
@@ -383,13 +383,13 @@
     polls_ms = []
     for seed in range(20):
         host = FakeHost(
-            dispatchers=200, seed=seed, permits=SitePolicy(polls_endpoints=True, max_poll_interval_ms=10000.0)
+            dispatchers=200, seed=seed, policy=SitePolicy(polls_endpoints=True, max_poll_interval_ms=10000.0)
         )
         host.pass_time(6000.0)
-        polls_ms += host.asked
+        polls_ms += host.polls_ms
         host.round(endpoint_list_received=False)
         host.pass_time(10000.0)
-        assert len(host.asked) == 2
+        assert len(host.polls_ms) == 2
     max_together = max(sum(1 for at in polls_ms if 0.0 <= at - first < 500.0) for first in polls_ms)
     assert len(polls_ms) == 20 and max_together < 8
 
--- a/tests/support/fake_host.py
+++ b/tests/support/fake_host.py
@@ -49,22 +49,22 @@
         self.sent: list[Attempt] = []
         self.rejected: list[Request] = []
         self.errored: list[Request] = []
-        self.asked: list[float] = []
-        self.wakes: list[float] = []
+        self.polls_ms: list[float] = []
+        self.wakeups_ms: list[float] = []
         self.nodes = [Node(f"10.0.0.{i}:1", zone="z", shard=i) for i in range(nodes)]
         self.dispatcher = Scheduler(
             seed=more.get("seed", 7),
             number=more.get("number", 0),
             dispatchers=more.get("dispatchers", 1),
             workloads=[READ, EXPORT, ORDERED, ONCE, MARKED],
-            utility=more.get("earnings", UtilityModel(within_quota=0.5, beyond_quota=0.1, largest_units=4.0)),
-            slow_start=more.get("cold", SlowStartSettings()),
+            utility=more.get("utility", UtilityModel(within_quota=0.5, beyond_quota=0.1, largest_units=4.0)),
+            slow_start=more.get("slow_start", SlowStartSettings()),
             retry_budget=budget,
             policy=more.get(
-                "permits", SitePolicy(max_attempts=4, allows_cancel=True, max_retry_after_ms=500.0)
+                "policy", SitePolicy(max_attempts=4, allows_cancel=True, max_retry_after_ms=500.0)
             ),
             key_rest_ms=100.0,
-            peers=more.get("company"),
+            peers=more.get("peers"),
         )
         self.round(endpoint_changes=self.nodes)
 
@@ -77,12 +77,14 @@
             self.now = min(until, self.now + 10.0)
             self.round()
 
-    def rpc(self, workload: Workload = READ, shard: int = 0, plan: ServicePlan = PLAN, **more) -> Request:
+    def make_request(
+        self, workload: Workload = READ, shard: int = 0, plan: ServicePlan = PLAN, **more
+    ) -> Request:
         fields = {"volume": "v", "dispatchers": 1, "key": "", "units": 1.0} | more
-        give_up_ms = self.now + fields.pop("gives_up", workload.deadline_ms)
+        give_up_ms = self.now + fields.pop("deadline_after_ms", workload.deadline_ms)
         return Request(workload=workload, plan=plan, shard=shard, deadline_ms=give_up_ms, **fields)
 
-    def take(self, *rpcs: Request) -> None:
+    def submit(self, *rpcs: Request) -> None:
         self.round(arrivals=rpcs)
 
     def answer(self, send: Attempt, outcome: Outcome = Outcome.OK, **more) -> None:
@@ -115,7 +117,7 @@
         self.errored.append(rpc)
 
     def wake(self, after_ms: float) -> None:
-        self.wakes.append(self.now + after_ms)
+        self.wakeups_ms.append(self.now + after_ms)
 
     def subscribe(self) -> None:
-        self.asked.append(self.now)
+        self.polls_ms.append(self.now)
