--- a/cherrygrade/lab/audits/fleetaudit.py
+++ b/cherrygrade/lab/audits/fleetaudit.py
@@ -232,7 +232,7 @@
     verdict = Verdict(18)
     verdict.judged = len(carried_out(record))
     for wrong in one_holder(record):
-        verdict.convict(wrong)
+        verdict.add_breach(wrong)
     return verdict
 
 
@@ -247,7 +247,7 @@
             late.add(task)
     verdict.judged = len(tasks)
     for task in sorted(tasks - late):
-        verdict.convict(f"{task} was not done in the last {QUIET_MS / 1000.0:.0f} s")
+        verdict.add_breach(f"{task} was not done in the last {QUIET_MS / 1000.0:.0f} s")
     return verdict
 
 
@@ -264,7 +264,7 @@
             verdict.judged += 1
             for one in story.living(by):
                 if not _shows(story, truth, one, life.ended, by + SHOWN_MS):
-                    verdict.convict(
+                    verdict.add_breach(
                         f"d{number} died at {life.ended:.0f}: d{one} does not know it by {by:.0f}"
                     )
 
@@ -300,7 +300,7 @@
                 verdict.excused += 1
             elif name not in convicted:
                 convicted.add(name)
-                verdict.convict(f"{name} lives and is called dead by d{page.source} at {page.at:.0f}")
+                verdict.add_breach(f"{name} lives and is called dead by d{page.source} at {page.at:.0f}")
 
 
 def _equal(story: Story, truth: Truth, verdict: Verdict) -> None:
@@ -314,7 +314,7 @@
         for number in story.living(after - 1.0):
             verdict.judged += 1
             if not _shows(story, truth, number, after - 2000.0, after):
-                verdict.convict(f"d{number} holds another roll than the true one at {after:.0f}")
+                verdict.add_breach(f"d{number} holds another roll than the true one at {after:.0f}")
 
 
 def _old(story: Story, truth: Truth, verdict: Verdict) -> None:
@@ -331,7 +331,7 @@
                 continue
             own = max(t for told, t in truth.turns[(name, birth)] if told <= lives[at].ended + 1000.0)
             if turn > own:
-                verdict.convict(
+                verdict.add_breach(
                     f"{name} died at {lives[at].ended:.0f} and lives on in turn {turn} at {page.at:.0f}"
                 )
 
@@ -349,7 +349,7 @@
             verdict.judged += 1
             at = probed.get((page.source, int(name[1:])), -1e18)
             if page.at - at > PROBED_MS:
-                verdict.convict(
+                verdict.add_breach(
                     f"{by} accuses {name} at {page.at:.0f}, not probed in {PROBED_MS / 1000.0:.0f} s"
                 )
 
@@ -366,7 +366,7 @@
         late[page.to] += gone and not cut
     for number, count in late.items():
         if count:
-            verdict.convict(f"{count} words to d{number} after it was to be known dead")
+            verdict.add_breach(f"{count} words to d{number} after it was to be known dead")
 
 
 def _rest(story: Story, truth: Truth, verdict: Verdict) -> None:
@@ -383,7 +383,7 @@
         verdict.judged += 1
         rate = sent[number] / (QUIET_MS / 1000.0)
         if rate > RESTING_BYTES:
-            verdict.convict(f"d{number} sends {rate:.0f} bytes a second at rest")
+            verdict.add_breach(f"d{number} sends {rate:.0f} bytes a second at rest")
 
 
 def figures(folder: Path) -> dict[str, float]:
--- a/cherrygrade/lab/rig/report.py
+++ b/cherrygrade/lab/rig/report.py
@@ -55,7 +55,7 @@
             one.rejected += kind == "rejected"
             one.errored += kind == "errored"
         one.got += got
-        second = one.seconds.setdefault(int((evidence.first_at[op] - evidence.start) / SECOND), [0.0, 0.0])
+        second = one.seconds.setdefault(int((evidence.started_ms[op] - evidence.start) / SECOND), [0.0, 0.0])
         second[0] += worth
         second[1] += got
     for name, one in found.items():
