--- a/cherrygrade/lab/audits/audit.py
+++ b/cherrygrade/lab/audits/audit.py
@@ -268,7 +268,7 @@
         )
 
     def readable_at(self, dispatcher: str, at: float) -> float:
-        """Returns when a dispatcher could read a message sent at `at` (ms): after a stop, when it continued."""
+        """Returns when a dispatcher could read a message sent at `at` (ms): if stopped, when it continued."""
         for begin, end in self.pauses[host_of(dispatcher)]:
             if begin - CLOCK_SLACK_MS <= at <= end:
                 return end
@@ -317,7 +317,7 @@
             for begin, end in ev.blocked[request.host]
         )
         if len(request.answers) > 1:
-            verdict.add_breach(f"{who}: expected one final answer, got {len(request.answers)}")
+            verdict.add_breach(f"{who}: {len(request.answers)} final answers, expected one")
         elif not request.answers or request.answers[0][0] > request.deadline_ms:
             if excused:
                 verdict.excused += 1
@@ -339,7 +339,7 @@
                 )
     for name, incarnation, reason, code in ev.exit_codes:
         if reason != "kill" and code:
-            verdict.add_breach(f"{name} (incarnation {incarnation}) ended with exit code {code}, expected 0")
+            verdict.add_breach(f"{name} (incarnation {incarnation}) expected exit code 0, got {code}")
 
 
 def _twice(ev: Evidence, verdict: Verdict) -> None:
@@ -403,7 +403,7 @@
         verdict.judged += 1
         if count > 1 and ev.workload(ev.ops[op][1]).idempotency is not Idempotency.IDEMPOTENT:
             verdict.add_breach(
-                f"operation {op} ({ev.ops[op][1]}) is stored {count} times in {ev.ops[op][4]}, expected once"
+                f"operation {op} ({ev.ops[op][1]}) is stored {count} times, expected once, in {ev.ops[op][4]}"
             )
 
 
@@ -476,7 +476,7 @@
             ):
                 verdict.add_breach(
                     f"key {key} at {dispatcher}: {later.origin} sent {later.at_ms - earlier.ended_ms:.0f} ms "
-                    f"after {earlier.origin} ended as {earlier.outcome}; expected {key_rest_ms:.0f} or more"
+                    f"after {earlier.origin} ended as {earlier.outcome}; minimum pause in ms: {key_rest_ms:.0f}"
                 )
         firsts: dict[str, int] = {}
         for attempt in sends:
@@ -484,7 +484,7 @@
             if attempt.number == 0:
                 if int(id_) < firsts.get(client, 0):
                     verdict.add_breach(
-                        f"key {key} at {dispatcher}: {attempt.origin} sent after a later request of the client"
+                        f"key {key} at {dispatcher}: {attempt.origin} sent after a later one of the same client"
                     )
                 firsts[client] = max(firsts.get(client, 0), int(id_))
 
