--- a/cherrygrade/lab/audits/audit.py
+++ b/cherrygrade/lab/audits/audit.py
@@ -476,7 +476,7 @@
             ):
                 verdict.add_breach(
                     f"key {key} at {dispatcher}: {later.origin} sent {later.at_ms - earlier.ended_ms:.0f} ms "
-                    f"after {earlier.origin} ended as {earlier.outcome}; minimum pause in ms: {key_rest_ms:.0f}"
+                    f"after {earlier.origin} ended as {earlier.outcome}; minimum pause: {key_rest_ms:.0f}"
                 )
         firsts: dict[str, int] = {}
         for attempt in sends:
@@ -484,7 +484,7 @@
             if attempt.number == 0:
                 if int(id_) < firsts.get(client, 0):
                     verdict.add_breach(
-                        f"key {key} at {dispatcher}: {attempt.origin} sent after a later one of the same client"
+                        f"key {key} at {dispatcher}: {attempt.origin} sent after a later one of its client"
                     )
                 firsts[client] = max(firsts.get(client, 0), int(id_))
 
