--- a/cherrygrade/lab/audits/fleetaudit.py
+++ b/cherrygrade/lab/audits/fleetaudit.py
@@ -22,31 +22,31 @@
 from cherrygrade.standin.receiver import judge as one_holder
 from cherrygrade.standin.ways import ENTRY, FLEET
 
-KNOWN_MS = 5000.0  # from a death to all that live knowing it
-MANY, MANY_KNOWN_MS = 5, 10000.0  # where so many and more than a tenth die at once
-BACK_MS = 5000.0  # from a heal, or a start, to all rolls being whole again
-SHOWN_MS = 500.0  # and to saying so: the digest of its next page tells it
+MAX_DETECTION_MS = 5000.0  # from a death to all that live knowing it
+MANY, MAX_MASS_FAILURE_DETECTION_MS = 5, 10000.0  # where so many and more than a tenth die at once
+MAX_RECONVERGENCE_MS = 5000.0  # from a heal, or a start, to all rolls being whole again
+MAX_REPORT_DELAY_MS = 500.0  # and to saying so: the digest of its next page tells it
 STALL_MS = 2000.0  # who stands still or is cut off for no longer is not called dead
 QUIET_MS = 5000.0
 PROBED_MS = 6000.0  # an accusation comes this soon behind a probe of the accuser's
 RESTING_BYTES = 2048.0  # a member's bytes a second at rest
 BEARABLE = {"lossy": 0.05, "slow_way": 50.0}  # on ways where nobody living may be called dead
-GRAIN_MS = 20.0
+DIGEST_INTERVAL_MS = 20.0
 PROMISES = (11, 12, 13, 14, 15, 16, 17)
 
 
 @dataclass(slots=True)
-class Life:
+class ProcessRun:
     """One process under a name: from when to when, by the laboratory's process table."""
 
     number: int
-    begun: float
-    ended: float = 1e18
+    started_ms: float
+    ended_ms: float = 1e18
     left: bool = False
 
 
 @dataclass(slots=True)
-class Page:
+class Datagram:
     at: float
     source: int
     to: int
@@ -59,12 +59,12 @@
 
 
 @dataclass(slots=True)
-class Story:
+class FleetHistory:
     """A day as the ways and the process table have it."""
 
-    lives: dict[int, list[Life]] = field(default_factory=lambda: defaultdict(list))
-    pages: list[Page] = field(default_factory=list)
-    by_source: dict[int, list[Page]] = field(default_factory=lambda: defaultdict(list))
+    process_runs: dict[int, list[ProcessRun]] = field(default_factory=lambda: defaultdict(list))
+    pages: list[Datagram] = field(default_factory=list)
+    by_sender: dict[int, list[Datagram]] = field(default_factory=lambda: defaultdict(list))
     facts: dict[tuple[str, int], list[tuple[int, MemberInfo]]] = field(
         default_factory=lambda: defaultdict(list)
     )
@@ -78,38 +78,43 @@
     end: float = 0.0
 
     def living(self, at: float) -> list[int]:
-        return [n for n, lives in self.lives.items() if any(one.begun <= at < one.ended for one in lives)]
+        return [
+            n
+            for n, lives in self.process_runs.items()
+            if any(one.started_ms <= at < one.ended_ms for one in lives)
+        ]
 
-    def known_ms(self, at: float) -> float:
+    def max_detection_ms(self, at: float) -> float:
         """In what time a death at this time is to be known to all."""
-        ended = [one.ended for lives in self.lives.values() for one in lives]
+        ended = [one.ended_ms for lives in self.process_runs.values() for one in lives]
         together = sum(abs(one - at) <= 500.0 for one in ended)
         many = together >= MANY and together * 10 > len(self.living(at - 501.0))
-        return MANY_KNOWN_MS if many else KNOWN_MS
+        return MAX_MASS_FAILURE_DETECTION_MS if many else MAX_DETECTION_MS
 
     def lied_about(self, number: int, at: float) -> bool:
-        return any(number in about and told <= at <= told + KNOWN_MS for told, about in self.lies)
+        return any(number in about and told <= at <= told + MAX_DETECTION_MS for told, about in self.lies)
 
     def troubled(self, number: int, first: float, last: float) -> bool:
         """Whether it stood still or was cut off, for longer than a stall, at some time in this span."""
         spans = [*self.stops[number], *self.rough]
         spans += [(begin, end) for begin, end, on in self.cuts if on]
         return any(
-            end - begin > STALL_MS and begin <= last and first <= end + BACK_MS for begin, end in spans
+            end - begin > STALL_MS and begin <= last and first <= end + MAX_RECONVERGENCE_MS
+            for begin, end in spans
         )
 
 
-def read(folder: Path) -> Story:
-    story, halted, cut = Story(), dict[int, float](), dict[str, tuple[float, set[int]]]()
+def read(folder: Path) -> FleetHistory:
+    story, halted, cut = FleetHistory(), dict[int, float](), dict[str, tuple[float, set[int]]]()
     for at, event, *facts in lines(folder / "day.jsonl"):
         if event == "day":
             story.start = facts[0]
         elif event == "life":
-            story.lives[facts[0]].append(Life(facts[0], at))
+            story.process_runs[facts[0]].append(ProcessRun(facts[0], at))
             story.changes.append(at)
         elif event in ("killed", "told to leave"):
-            life = story.lives[facts[0]][-1]
-            life.ended, life.left = at, event != "killed"
+            life = story.process_runs[facts[0]][-1]
+            life.ended_ms, life.left = at, event != "killed"
             story.changes.append(at)
         elif event == "stopped":
             halted[facts[0]] = at
@@ -134,7 +139,7 @@
     book = MessageCodec(FLEET)
     for at, source, to, lost, data in datagrams(folder / "ways.log"):
         said = book.read(data)
-        page = Page(at, source, to, type(said).__name__, len(data), lost, getattr(said, "digest", 0))
+        page = Datagram(at, source, to, type(said).__name__, len(data), lost, getattr(said, "digest", 0))
         if said is not None and said.name == f"d{source}" and said.incarnation not in story.births[said.name]:
             story.births[said.name].append(said.incarnation)  # by its own word, from its own place
         if isinstance(said, IndirectProbeRequest):
@@ -143,7 +148,7 @@
             page.told.append((claim.name, claim.incarnation, claim.refutations, claim.state, claim.accuser))
             _facts(story, claim)
         story.pages.append(page)
-        story.by_source[source].append(page)
+        story.by_sender[source].append(page)
     return story
 
 
@@ -155,7 +160,7 @@
         yield when, source, to, lost, data[at - length : at]
 
 
-def _facts(story: Story, claim: MemberRecord) -> None:
+def _facts(story: FleetHistory, claim: MemberRecord) -> None:
     """What a member told of itself, whoever passes it on; a name that no process had is a lie of the
     day's."""
     if claim.info is None or claim.state == MemberState.LEFT or not claim.name[1:].isdigit():
@@ -165,10 +170,10 @@
         told.append((claim.refutations, claim.info))
 
 
-class Truth:
+class ExpectedDigest:
     """Which digest the roll of all that live has: marks by member, under the turn that it told last."""
 
-    def __init__(self, story: Story) -> None:
+    def __init__(self, story: FleetHistory) -> None:
         self.story = story
         self._digests: dict[int, int] = {}  # by grain of time
         self._marks: dict[tuple[str, int, int], int] = {}
@@ -181,9 +186,9 @@
 
     def digest(self, at: float) -> int:
         """At the beginning of this grain of time; -1 where somebody's first word is not out yet."""
-        grain = int(at // GRAIN_MS)
+        grain = int(at // DIGEST_INTERVAL_MS)
         if grain not in self._digests:
-            self._digests[grain] = self._digest(grain * GRAIN_MS)
+            self._digests[grain] = self._digest(grain * DIGEST_INTERVAL_MS)
         return self._digests[grain]
 
     def _digest(self, at: float) -> int:
@@ -191,7 +196,7 @@
         for number in self.story.living(at):
             name = f"d{number}"
             births = sorted(self.story.births.get(name, []))
-            lives = [one for one in self.story.lives[number] if one.begun <= at]
+            lives = [one for one in self.story.process_runs[number] if one.started_ms <= at]
             if len(births) < len(lives):
                 return -1
             birth = births[len(lives) - 1]
@@ -211,12 +216,12 @@
 
 def judge(folder: Path) -> list[Verdict]:
     story = read(folder)
-    verdicts = judge_by(story, Truth(story), PROMISES)
+    verdicts = judge_by(story, ExpectedDigest(story), PROMISES)
     record = folder / "receiver.jsonl"
     return [*verdicts, _alone(record), _done(story, record)] if record.exists() else verdicts
 
 
-def judge_by(story: Story, truth: Truth, numbers: Iterable[int]) -> list[Verdict]:
+def judge_by(story: FleetHistory, truth: ExpectedDigest, numbers: Iterable[int]) -> list[Verdict]:
     """By the rules with these numbers alone."""
     rules = dict(zip(PROMISES, [_known, _nobody, _equal, _old, _unprobed, _words, _rest], strict=True))
     verdicts = []
@@ -236,7 +241,7 @@
     return verdict
 
 
-def _done(story: Story, record: Path) -> Verdict:
+def _done(story: FleetHistory, record: Path) -> Verdict:
     """In the last seconds of a day that nothing changed any more in, each task that was ever done is."""
     verdict, tasks, late = Verdict(19), set[str](), set[str]()
     if any(at > story.end - 2.0 * QUIET_MS for at in story.changes):
@@ -251,27 +256,29 @@
     return verdict
 
 
-def _known(story: Story, truth: Truth, verdict: Verdict) -> None:
+def _known(story: FleetHistory, truth: ExpectedDigest, verdict: Verdict) -> None:
     """After a death, with nothing else changing, each that lives shows the digest without the dead one in
     time."""
-    for number, lives in story.lives.items():
+    for number, lives in story.process_runs.items():
         for life in lives:
-            by = life.ended + story.known_ms(life.ended)
-            others = [at for at in story.changes if life.ended + 1000.0 < at < by]
-            cut = any(begin < by and end > life.ended - BACK_MS for begin, end, _ in story.cuts)
-            if life.ended > story.end or by > story.end or others or cut or life.left:
+            by = life.ended_ms + story.max_detection_ms(life.ended_ms)
+            others = [at for at in story.changes if life.ended_ms + 1000.0 < at < by]
+            cut = any(
+                begin < by and end > life.ended_ms - MAX_RECONVERGENCE_MS for begin, end, _ in story.cuts
+            )
+            if life.ended_ms > story.end or by > story.end or others or cut or life.left:
                 continue
             verdict.judged += 1
             for one in story.living(by):
-                if not _shows(story, truth, one, life.ended, by + SHOWN_MS):
+                if not _shows(story, truth, one, life.ended_ms, by + MAX_REPORT_DELAY_MS):
                     verdict.add_breach(
-                        f"d{number} died at {life.ended:.0f}: d{one} does not know it by {by:.0f}"
+                        f"d{number} died at {life.ended_ms:.0f}: d{one} does not know it by {by:.0f}"
                     )
 
 
-def _shows(story: Story, truth: Truth, number: int, first: float, last: float) -> bool:
+def _shows(story: FleetHistory, truth: ExpectedDigest, number: int, first: float, last: float) -> bool:
     """Whether it told the true digest at some time in this span."""
-    pages = story.by_source[number]
+    pages = story.by_sender[number]
     for page in pages[bisect_left(pages, first, key=lambda page: page.at) :]:
         if page.at > last:
             break
@@ -280,7 +287,7 @@
     return False
 
 
-def _nobody(story: Story, truth: Truth, verdict: Verdict) -> None:
+def _nobody(story: FleetHistory, truth: ExpectedDigest, verdict: Verdict) -> None:
     convicted: set[str] = set()
     for page in story.pages:
         for name, birth, _, standing, _ in page.told:
@@ -288,14 +295,14 @@
                 continue
             number = int(name[1:])
             births = sorted(story.births.get(name, []))
-            lives = story.lives[number]
+            lives = story.process_runs[number]
             life = (
                 lives[births.index(birth)] if birth in births and births.index(birth) < len(lives) else None
             )
             verdict.judged += 1
-            if life is None or page.at >= life.ended:
+            if life is None or page.at >= life.ended_ms:
                 continue
-            troubled = story.troubled(number, page.at - KNOWN_MS, page.at)
+            troubled = story.troubled(number, page.at - MAX_DETECTION_MS, page.at)
             if troubled or story.lied_about(number, page.at):
                 verdict.excused += 1
             elif name not in convicted:
@@ -303,13 +310,13 @@
                 verdict.add_breach(f"{name} lives and is called dead by d{page.source} at {page.at:.0f}")
 
 
-def _equal(story: Story, truth: Truth, verdict: Verdict) -> None:
+def _equal(story: FleetHistory, truth: ExpectedDigest, verdict: Verdict) -> None:
     """Wherever nothing changed for a while, all that live show the true digest at its end."""
     marks = sorted([*story.changes, story.end])
     for before, after in pairwise(marks):
         cut = any(begin < after and end > before for begin, end, _ in story.cuts)
         halted = any(b < after and e > before for spans in story.stops.values() for b, e in spans)
-        if after - before < KNOWN_MS + QUIET_MS or cut or halted:
+        if after - before < MAX_DETECTION_MS + QUIET_MS or cut or halted:
             continue
         for number in story.living(after - 1.0):
             verdict.judged += 1
@@ -317,7 +324,7 @@
                 verdict.add_breach(f"d{number} holds another roll than the true one at {after:.0f}")
 
 
-def _old(story: Story, truth: Truth, verdict: Verdict) -> None:
+def _old(story: FleetHistory, truth: ExpectedDigest, verdict: Verdict) -> None:
     """A turn is raised by the member alone: nobody who is dead goes on to another."""
     for page in story.pages:
         for name, birth, turn, standing, _ in page.told:
@@ -325,18 +332,18 @@
             if standing != MemberState.ALIVE or birth not in births:
                 continue
             verdict.judged += 1
-            lives = story.lives[int(name[1:])]
+            lives = story.process_runs[int(name[1:])]
             at = births.index(birth)
-            if at >= len(lives) or page.at < lives[at].ended + 1000.0:
+            if at >= len(lives) or page.at < lives[at].ended_ms + 1000.0:
                 continue
-            own = max(t for told, t in truth.turns[(name, birth)] if told <= lives[at].ended + 1000.0)
+            own = max(t for told, t in truth.turns[(name, birth)] if told <= lives[at].ended_ms + 1000.0)
             if turn > own:
                 verdict.add_breach(
-                    f"{name} died at {lives[at].ended:.0f} and lives on in turn {turn} at {page.at:.0f}"
+                    f"{name} died at {lives[at].ended_ms:.0f} and lives on in turn {turn} at {page.at:.0f}"
                 )
 
 
-def _unprobed(story: Story, truth: Truth, verdict: Verdict) -> None:
+def _unprobed(story: FleetHistory, truth: ExpectedDigest, verdict: Verdict) -> None:
     probed: dict[tuple[int, int], float] = {}
     seen: set[tuple[str, str, int, int]] = set()
     for page in story.pages:
@@ -354,22 +361,22 @@
                 )
 
 
-def _words(story: Story, truth: Truth, verdict: Verdict) -> None:
+def _words(story: FleetHistory, truth: ExpectedDigest, verdict: Verdict) -> None:
     late: dict[int, int] = defaultdict(int)
     for page in story.pages:
         if page.kind != "SchedulerMessage":
             continue
         verdict.judged += 1
-        lives = [one for one in story.lives[page.to] if one.begun <= page.at]
-        gone = bool(lives) and page.at > lives[-1].ended + story.known_ms(lives[-1].ended)
-        cut = any(begin < page.at and end > page.at - KNOWN_MS for begin, end, _ in story.cuts)
+        lives = [one for one in story.process_runs[page.to] if one.started_ms <= page.at]
+        gone = bool(lives) and page.at > lives[-1].ended_ms + story.max_detection_ms(lives[-1].ended_ms)
+        cut = any(begin < page.at and end > page.at - MAX_DETECTION_MS for begin, end, _ in story.cuts)
         late[page.to] += gone and not cut
     for number, count in late.items():
         if count:
             verdict.add_breach(f"{count} words to d{number} after it was to be known dead")
 
 
-def _rest(story: Story, truth: Truth, verdict: Verdict) -> None:
+def _rest(story: FleetHistory, truth: ExpectedDigest, verdict: Verdict) -> None:
     """In the last seconds of a day that nothing changed any more in. Words of the modules are not counted."""
     first = story.end - QUIET_MS
     disturbed = any(at > first - QUIET_MS for at in story.changes)
@@ -390,20 +397,25 @@
     """What the benchmark and the report show of a day: times from deaths and heals, bytes at rest and at
     most."""
     story = read(folder)
-    truth = Truth(story)
+    truth = ExpectedDigest(story)
     found: dict[str, float] = {}
     known: list[float] = []
-    for lives in story.lives.values():
+    for lives in story.process_runs.values():
         for life in lives:
-            if life.ended < story.end - KNOWN_MS and not life.left:
+            if life.ended_ms < story.end - MAX_DETECTION_MS and not life.left:
                 known += [
-                    first_true(story, truth, one, life.ended) for one in story.living(life.ended + KNOWN_MS)
+                    ms_to_expected_digest(story, truth, one, life.ended_ms)
+                    for one in story.living(life.ended_ms + MAX_DETECTION_MS)
                 ]
     if known:
         found |= {"death_first_ms": min(known), "death_last_ms": max(known)}
     heals = [end for _, end, _ in story.cuts]
     if heals:
-        back = [first_true(story, truth, one, at) for at in heals for one in story.living(at + BACK_MS)]
+        back = [
+            ms_to_expected_digest(story, truth, one, at)
+            for at in heals
+            for one in story.living(at + MAX_RECONVERGENCE_MS)
+        ]
         found["heal_last_ms"] = max(back)
     count = max(1, len(story.living(story.end - 1.0)))
     by_second: dict[int, int] = defaultdict(int)
@@ -427,9 +439,9 @@
     return found
 
 
-def first_true(story: Story, truth: Truth, number: int, after: float) -> float:
+def ms_to_expected_digest(story: FleetHistory, truth: ExpectedDigest, number: int, after: float) -> float:
     """Ms from then until its digest was the true one; 1e9 where it never was."""
-    pages = story.by_source[number]
+    pages = story.by_sender[number]
     for page in pages[bisect_left(pages, after, key=lambda page: page.at) :]:
         if page.digest and page.digest == truth.digest(page.at):
             return page.at - after
--- a/cherrygrade/lab/scale/judge.py
+++ b/cherrygrade/lab/scale/judge.py
@@ -14,7 +14,14 @@
 from cherrygrade.fleet.membership.partition import PartitionState
 from cherrygrade.lab.audits import fleetaudit
 from cherrygrade.lab.audits.audit import lines
-from cherrygrade.lab.audits.fleetaudit import BACK_MS, GRAIN_MS, MANY_KNOWN_MS, SHOWN_MS, Story, Truth
+from cherrygrade.lab.audits.fleetaudit import (
+    DIGEST_INTERVAL_MS,
+    MAX_MASS_FAILURE_DETECTION_MS,
+    MAX_RECONVERGENCE_MS,
+    MAX_REPORT_DELAY_MS,
+    ExpectedDigest,
+    FleetHistory,
+)
 from cherrygrade.lab.scale import changes
 from cherrygrade.lab.scale.plan import Scale, Seat, Step, seats
 from cherrygrade.lab.scale.sums import NEVER, TASKS, Phase, Promise
@@ -38,17 +45,17 @@
 def judge(folder: Path, scale: Scale, steps: Iterable[Step], phases: dict[str, Phase]) -> list[Promise]:
     """Of the parts that were played."""
     story = fleetaudit.read(folder)
-    truth, found = Truth(story), list[Promise]()
+    truth, found = ExpectedDigest(story), list[Promise]()
     for step in steps:
         phase = phases.get(step.when)
         if phase is None:
             continue
-        begun, what, bound = phase.begun, "all rolls equal", BACK_MS
+        begun, what, bound = phase.begun, "all rolls equal", MAX_RECONVERGENCE_MS
         if step.kind == "kill":
-            what, bound = "known to all that live", story.known_ms(begun) + SHOWN_MS
+            what, bound = "known to all that live", story.max_detection_ms(begun) + MAX_REPORT_DELAY_MS
         elif step.kind in ("back", "restart"):
             what += " after the last start"
-            lives = [one.begun for number in step.on for one in story.lives[number]]
+            lives = [one.started_ms for number in step.on for one in story.process_runs[number]]
             begun = max((at for at in lives if at <= phase.ended), default=begun)
         elif step.kind != "heal":
             continue
@@ -62,27 +69,28 @@
         found += leases(record, scale.drills, phases)
     notes = [facts for _, event, *facts in lines(folder / "day.jsonl") if event == "sides"]
     for when in CUTS & phases.keys():
-        if phases[when].ended - phases[when].begun < MANY_KNOWN_MS:  # nobody has to know of it by its end
+        # A part shorter than that may end before members have detected the failures.
+        if phases[when].ended - phases[when].begun < MAX_MASS_FAILURE_DETECTION_MS:
             notes = [facts for facts in notes if facts[0] != when]
     return found + sides(scale, notes)
 
 
-def last_true(story: Story, truth: Truth, after: float, ends: float, real: int) -> float:
+def last_true(story: FleetHistory, truth: ExpectedDigest, after: float, ends: float, real: int) -> float:
     """Ms until the last of who lives at the part's end showed the true roll; NEVER where one did not."""
-    latest, after = 0.0, after + GRAIN_MS
+    latest, after = 0.0, after + DIGEST_INTERVAL_MS
     for number in story.living(ends - 1.0):
-        took = fleetaudit.first_true(story, truth, number, after)
+        took = fleetaudit.ms_to_expected_digest(story, truth, number, after)
         if after + took > ends:
             return NEVER
         if number < real:
             took = _last_wrong(story, number, after, after + took)
-        latest = max(latest, took + GRAIN_MS)
+        latest = max(latest, took + DIGEST_INTERVAL_MS)
     return latest
 
 
-def _last_wrong(story: Story, number: int, after: float, until: float) -> float:
+def _last_wrong(story: FleetHistory, number: int, after: float, until: float) -> float:
     """Of a real member only words to hollow ones are seen: until when it was seen without the true roll."""
-    seen = [page.at for page in story.by_source[number] if page.digest and after <= page.at < until]
+    seen = [page.at for page in story.by_sender[number] if page.digest and after <= page.at < until]
     return max(seen, default=after) - after
 
 
