--- a/cherrygrade/lab/audits/broken.py
+++ b/cherrygrade/lab/audits/broken.py
@@ -1,7 +1,8 @@
-"""Dispatchers deliberately broken, one way for each rule, so that the audit can be seen to convict.
+"""Dispatchers with one planted fault each, to show that the audit finds breaches of every rule.
 
-`python -m cherrygrade.lab.audits.broken WAY FILE` serves like `cherrygrade serve FILE`, but for the one
-breach.
+`python -m cherrygrade.lab.audits.broken RULE FILE` serves like `cherrygrade serve FILE`, except that it
+breaks the rule with that number (`audit.RULES`). Faults are planted by a change of the settings or by
+replacing a method.
 """
 
 from __future__ import annotations
@@ -29,53 +30,53 @@
 
 
 def _loses(site: SiteSettings) -> SiteSettings:
-    """One answer in twenty is never given."""
-    usual: Callable[..., None] = Gateway.send_final_answer
-    count = [0]
+    """Rule 1: one final answer in twenty is never sent."""
+    original: Callable[..., None] = Gateway.send_final_answer
+    answers = [0]
 
     def send_final_answer(self: Gateway, held: Any, message: Any, body: Any = None) -> None:
-        count[0] += 1
-        if count[0] % 20:
-            usual(self, held, message, body)
+        answers[0] += 1
+        if answers[0] % 20:
+            original(self, held, message, body)
 
     Gateway.send_final_answer = send_final_answer  # type: ignore[method-assign]
     return site
 
 
-def _works(site: SiteSettings, **changes: Any) -> SiteSettings:
+def _with_workload_settings(site: SiteSettings, **changes: Any) -> SiteSettings:
     workloads = {name: replace(work, **changes) for name, work in site.trade.workloads.items()}
     return replace(site, trade=TrafficSettings(workloads, site.trade.volumes, site.trade.measure))
 
 
 def _twice(site: SiteSettings) -> SiteSettings:
-    """Every workload is taken for idempotent."""
-    return _works(site, idempotency=Idempotency.IDEMPOTENT)
+    """Rule 2: every workload is treated as idempotent, so any request is retried."""
+    return _with_workload_settings(site, idempotency=Idempotency.IDEMPOTENT)
 
 
 def _drains(site: SiteSettings) -> SiteSettings:
-    """The register's word of draining and gone nodes is passed over."""
+    """Rule 3: nodes that the registry lists as draining or gone are treated as live."""
     registered_nodes.NODE_STATES.update(draining=NodeState.LIVE, gone=NodeState.LIVE)
     return site
 
 
 def _cold(site: SiteSettings) -> SiteSettings:
-    """A node that has just come up is taken for warm."""
+    """Rule 4: there is no slow start: a node that has just started gets full load."""
     SlowStartLimit.units_left = lambda self, queue, now: UNLIMITED_UNITS  # type: ignore[method-assign]
     return site
 
 
 def _order(site: SiteSettings) -> SiteSettings:
-    """No workload keeps an order."""
-    return _works(site, ordered=False)
+    """Rule 5: requests of ordered workloads are sent as if unordered."""
+    return _with_workload_settings(site, ordered=False)
 
 
 def _budget(site: SiteSettings) -> SiteSettings:
-    """There is no budget of further sends."""
+    """Rule 6: there is no retry budget."""
     return replace(site, bearings=replace(site.bearings, budget=None))
 
 
 def _limits(site: SiteSettings) -> SiteSettings:
-    """No plan has a limit."""
+    """Rule 7: no service plan has a rate limit."""
     volumes = {
         name: VolumeSettings(replace(volume.plan, limit_rate=0.0), volume.hosts)
         for name, volume in site.trade.volumes.items()
@@ -92,40 +93,41 @@
     6: _budget,
     7: _limits,
 }
+"""Fault by the number of the rule that it breaks, for a single dispatcher."""
 
 
-# Of a fleet.
+# Faults of dispatchers in a fleet.
 
 
 def _older(site: SiteSettings) -> SiteSettings:
-    """Any list of the register's is taken for newer than what is known."""
-    usual = registered_nodes.RegisteredNodes.apply
+    """Rule 3: every endpoint list of the registry is applied, even one older than the list in force."""
+    original = registered_nodes.RegisteredNodes.apply
 
     def apply(self: registered_nodes.RegisteredNodes, roster: Any, now: float) -> Any:
         self.version = -1
-        return usual(self, roster, now)
+        return original(self, roster, now)
 
     registered_nodes.RegisteredNodes.apply = apply  # type: ignore[method-assign]
     return site
 
 
 def _grows(site: SiteSettings) -> SiteSettings:
-    """Whoever is not on the roll any more leaves its part of a limit to those who are."""
-    usual = scheduler.Scheduler.decide
+    """Rule 7: quotas are divided by the running members alone, so members in a partition exceed the limit."""
+    original = scheduler.Scheduler.decide
 
-    def decide(self: scheduler.Scheduler, now: float, writer: Any, **came: Any) -> None:
+    def decide(self: scheduler.Scheduler, now: float, writer: Any, **arguments: Any) -> None:
         membership = getattr(self.peers, "membership", None)
         if membership is not None:
             for volume in self.volumes.values():
                 volume.dispatchers = max(1, len(membership.table.living()))
-        usual(self, now, writer, **came)
+        original(self, now, writer, **arguments)
 
     scheduler.Scheduler.decide = decide  # type: ignore[assignment, method-assign]
     return site
 
 
 def _buries_nobody(site: SiteSettings) -> SiteSettings:
-    """Who is suspect stays so."""
+    """Rule 11: a suspected member is never declared failed."""
 
     def clear(self: failure_detector.FailureDetector, now: float, effects: object) -> None:
         self.suspicion_end_ms.clear()
@@ -135,13 +137,13 @@
 
 
 def _raises(site: SiteSettings) -> SiteSettings:
-    """Word of a death is answered with a new turn of the dead."""
-    usual = record_merger.RecordMerger.merge
+    """Rule 14: a received failure is refuted on behalf of the failed member."""
+    original = record_merger.RecordMerger.merge
 
-    def join(
+    def merge(
         self: record_merger.RecordMerger, records: list[table.MemberRecord], by: str, now: float
     ) -> list[str]:
-        raised = [
+        refuted = [
             table.MemberRecord(
                 one.name, one.incarnation, one.refutations + 1, table.MemberState.ALIVE, one.info
             )
@@ -149,37 +151,37 @@
             else one
             for one in records
         ]
-        return usual(self, raised, by, now)
+        return original(self, refuted, by, now)
 
-    record_merger.RecordMerger.merge = join  # type: ignore[method-assign]
+    record_merger.RecordMerger.merge = merge  # type: ignore[method-assign]
     return site
 
 
 def _accuses(site: SiteSettings) -> SiteSettings:
-    """Now and then somebody is called suspect who was not probed."""
-    usual = failure_detector.FailureDetector.tick
+    """Rule 15: now and then a member that was not probed is suspected."""
+    original = failure_detector.FailureDetector.tick
 
     def tick(self: failure_detector.FailureDetector, now: float) -> failure_detector.ProbeEffects:
-        does = usual(self, now)
+        effects = original(self, now)
         others = [
             one for one in self.table.others() if one.name not in {out.name for out in self.outstanding}
         ]
         if others and self._counter % 5 == 0:
             one = min(others, key=lambda one: one.last_received_ms)
-            claim = table.MemberRecord(
+            record = table.MemberRecord(
                 one.name, one.incarnation, one.refutations, table.MemberState.SUSPECT, accuser=self.table.me
             )
-            self.table.merge(claim, now, self.table.me)
-            self.record_merged(claim, now)
-            does.changed.append(one.name)
-        return does
+            self.table.merge(record, now, self.table.me)
+            self.record_merged(record, now)
+            effects.changed.append(one.name)
+        return effects
 
     failure_detector.FailureDetector.tick = tick  # type: ignore[method-assign]
     return site
 
 
 def _stuck(site: SiteSettings) -> SiteSettings:
-    """Nodes keep the keepers that they had when all were there."""
+    """Rule 16: nodes keep their load aggregators after those have failed."""
 
     def update_seats(self: load_aggregators.LoadAggregators, seats: Any, now: float) -> bool:
         seats = [*seats]
@@ -198,13 +200,13 @@
 
 
 def _holds_on(site: SiteSettings) -> SiteSettings:
-    """A holder's time is never over, whatever its clock says."""
+    """Rule 18: a lease never expires for its holder."""
 
-    def may(self: lease_holder.LeaseHolder, task: str, now: float) -> int:
-        held = self.held.get(task)
-        return held.number if held is not None else 0
+    def fencing_number(self: lease_holder.LeaseHolder, task: str, now: float) -> int:
+        lease = self.held.get(task)
+        return lease.number if lease is not None else 0
 
-    lease_holder.LeaseHolder.fencing_number = may  # type: ignore[method-assign]
+    lease_holder.LeaseHolder.fencing_number = fencing_number  # type: ignore[method-assign]
     lease_holder.LeaseHolder.tick = lambda self, now: (False, [])  # type: ignore[method-assign]
     return site
 
@@ -218,9 +220,15 @@
     16: _stuck,
     18: _holds_on,
 }
+"""Fault by the number of the rule that it breaks, for dispatchers of a fleet."""
 
 
 def main() -> int:
+    """Plants the fault of the rule in the first argument and serves with the settings in the second.
+
+    Returns:
+        The exit code of the dispatcher.
+    """
     site = read_site(Path(sys.argv[2]))
     site = (WAYS if site.fleet is None else FLEET_WAYS)[int(sys.argv[1])](site)
 
--- a/cherrygrade/lab/audits/fleetaudit.py
+++ b/cherrygrade/lab/audits/fleetaudit.py
@@ -1,8 +1,8 @@
-"""Judges the fleet's promises from the ways between dispatchers and from the day's own notes of its
-processes.
+"""Checks the fleet's promises, from recorded datagrams and from the laboratory's record of its processes.
 
-What a dispatcher knows is told by the digest of its roll on the pages that it sends: the audit works out
-which digest the truth has, from who lives and what each said of itself. No dispatcher's log is read.
+Each probe carries the digest of its sender's membership table. The audit computes the digest that a correct
+table has, from the processes that run and from the properties that each announced of itself, and compares.
+No log of a dispatcher is read. Times are in ms of the machine's monotonic clock.
 """
 
 from __future__ import annotations
@@ -19,25 +19,36 @@
 from cherrygrade.fleet.membership.table import Member, MemberInfo, MemberRecord, MemberState
 from cherrygrade.lab.audits.audit import Verdict, lines
 from cherrygrade.standin.receiver import carried_out
-from cherrygrade.standin.receiver import judge as one_holder
+from cherrygrade.standin.receiver import judge as holder_conflicts
 from cherrygrade.standin.ways import ENTRY, FLEET
 
-MAX_DETECTION_MS = 5000.0  # from a death to all that live knowing it
-MANY, MAX_MASS_FAILURE_DETECTION_MS = 5, 10000.0  # where so many and more than a tenth die at once
-MAX_RECONVERGENCE_MS = 5000.0  # from a heal, or a start, to all rolls being whole again
-MAX_REPORT_DELAY_MS = 500.0  # and to saying so: the digest of its next page tells it
-STALL_MS = 2000.0  # who stands still or is cut off for no longer is not called dead
-QUIET_MS = 5000.0
-PROBED_MS = 6000.0  # an accusation comes this soon behind a probe of the accuser's
-RESTING_BYTES = 2048.0  # a member's bytes a second at rest
-BEARABLE = {"lossy": 0.05, "slow_way": 50.0}  # on ways where nobody living may be called dead
-DIGEST_INTERVAL_MS = 20.0
+MAX_DETECTION_MS = 5000.0  # from the end of a process until all running members have recorded its failure
+MASS_FAILURE_MEMBERS, MAX_MASS_FAILURE_DETECTION_MS = 5, 10000.0
+"""The longer bound holds where so many members, and more than a tenth of them, end within 500 ms."""
+
+MAX_RECONVERGENCE_MS = 5000.0  # from a heal or a start until all membership tables are equal again
+MAX_REPORT_DELAY_MS = 500.0  # from a change of the table until the next datagram carries its digest
+TOLERATED_STALL_MS = 2000.0  # a member stopped or cut off for no longer must not be declared failed
+QUIET_MS = 5000.0  # length of the span without changes in which promises for a settled fleet are checked
+MAX_ACCUSATION_DELAY_MS = 6000.0  # from the accuser's last probe of a member to its suspicion
+MAX_RESTING_BYTES_PER_SECOND = 2048.0  # sent by one member of a settled fleet
+TOLERATED_FAULT_SIZE = {"lossy": 0.05, "slow_way": 50.0}
+"""Loss (part of the datagrams) and delay (ms) up to which no running member may be declared failed."""
+
+DIGEST_INTERVAL_MS = 20.0  # resolution in time of the expected digest
 PROMISES = (11, 12, 13, 14, 15, 16, 17)
 
 
 @dataclass(slots=True)
 class ProcessRun:
-    """One process under a name: from when to when, by the laboratory's process table."""
+    """One process of a dispatcher, by the laboratory's process table.
+
+    Attributes:
+        number: Number of the dispatcher.
+        started_ms: Start of the process, ms.
+        ended_ms: End of the process, ms; 1e18 while it runs.
+        left: Whether it was asked to leave, instead of being killed.
+    """
 
     number: int
     started_ms: float
@@ -47,6 +58,20 @@
 
 @dataclass(slots=True)
 class Datagram:
+    """One recorded datagram between dispatchers.
+
+    Attributes:
+        at: Time of sending, ms.
+        source: Number of the sender.
+        to: Number of the receiver.
+        kind: Class name of the message.
+        length: Length in bytes.
+        lost: Whether the fault injection dropped it.
+        digest: Digest of the sender's membership table; 0 where the message carries none.
+        records: Name, incarnation, refutation counter, state and accuser of each member record in it.
+        target: Member to be probed, in a request for an indirect probe.
+    """
+
     at: float
     source: int
     to: int
@@ -54,105 +79,138 @@
     length: int
     lost: bool
     digest: int
-    told: list[tuple[str, int, int, int, str]] = field(default_factory=list)
+    records: list[tuple[str, int, int, int, str]] = field(default_factory=list)
     target: str = ""
 
 
 @dataclass(slots=True)
 class FleetHistory:
-    """A day as the ways and the process table have it."""
+    """A scenario run, as recorded by the fault-injecting network and by the laboratory.
+
+    Spans of time are pairs (from, to) in ms.
+
+    Attributes:
+        process_runs: Processes of each dispatcher number, in the order of their start.
+        datagrams: All datagrams.
+        by_sender: The same datagrams by the sender's number.
+        infos: Refutation counter and announced properties, by name and incarnation.
+        incarnations: Incarnations of each name, as the member itself sent them.
+        stops: Spans in which a dispatcher was stopped by a signal, by number.
+        cuts: Spans of network partitions, with the numbers cut off.
+        degraded: Spans in which loss or delay exceeded `TOLERATED_FAULT_SIZE`.
+        forged: Times at which forged records were injected, with the member numbers in these.
+        changes: Times of starts, ends, faults and heals.
+        start: Start of the run, ms.
+        end: End of the run, ms.
+    """
 
     process_runs: dict[int, list[ProcessRun]] = field(default_factory=lambda: defaultdict(list))
-    pages: list[Datagram] = field(default_factory=list)
+    datagrams: list[Datagram] = field(default_factory=list)
     by_sender: dict[int, list[Datagram]] = field(default_factory=lambda: defaultdict(list))
-    facts: dict[tuple[str, int], list[tuple[int, MemberInfo]]] = field(
+    infos: dict[tuple[str, int], list[tuple[int, MemberInfo]]] = field(
         default_factory=lambda: defaultdict(list)
     )
-    births: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))
+    incarnations: dict[str, list[int]] = field(default_factory=lambda: defaultdict(list))
     stops: dict[int, list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
     cuts: list[tuple[float, float, set[int]]] = field(default_factory=list)
-    rough: list[tuple[float, float]] = field(default_factory=list)
-    lies: list[tuple[float, set[int]]] = field(default_factory=list)
+    degraded: list[tuple[float, float]] = field(default_factory=list)
+    forged: list[tuple[float, set[int]]] = field(default_factory=list)
     changes: list[float] = field(default_factory=list)
     start: float = 0.0
     end: float = 0.0
 
     def living(self, at: float) -> list[int]:
+        """Returns the numbers of the dispatchers whose process runs at `at` (ms)."""
         return [
             n
-            for n, lives in self.process_runs.items()
-            if any(one.started_ms <= at < one.ended_ms for one in lives)
+            for n, runs in self.process_runs.items()
+            if any(one.started_ms <= at < one.ended_ms for one in runs)
         ]
 
     def max_detection_ms(self, at: float) -> float:
-        """In what time a death at this time is to be known to all."""
-        ended = [one.ended_ms for lives in self.process_runs.values() for one in lives]
+        """Returns the time (ms) within which all members must record a failure at `at` (ms)."""
+        ended = [one.ended_ms for runs in self.process_runs.values() for one in runs]
         together = sum(abs(one - at) <= 500.0 for one in ended)
-        many = together >= MANY and together * 10 > len(self.living(at - 501.0))
-        return MAX_MASS_FAILURE_DETECTION_MS if many else MAX_DETECTION_MS
+        mass_failure = together >= MASS_FAILURE_MEMBERS and together * 10 > len(self.living(at - 501.0))
+        return MAX_MASS_FAILURE_DETECTION_MS if mass_failure else MAX_DETECTION_MS
 
-    def lied_about(self, number: int, at: float) -> bool:
-        return any(number in about and told <= at <= told + MAX_DETECTION_MS for told, about in self.lies)
+    def has_forged_records(self, number: int, at: float) -> bool:
+        """Whether forged records about the member may still be around at `at` (ms)."""
+        return any(
+            number in numbers and sent_ms <= at <= sent_ms + MAX_DETECTION_MS
+            for sent_ms, numbers in self.forged
+        )
 
-    def troubled(self, number: int, first: float, last: float) -> bool:
-        """Whether it stood still or was cut off, for longer than a stall, at some time in this span."""
-        spans = [*self.stops[number], *self.rough]
+    def was_disturbed(self, number: int, first: float, last: float) -> bool:
+        """Whether the member was stopped or cut off from `first` to `last` (ms), beyond a tolerated stall."""
+        spans = [*self.stops[number], *self.degraded]
         spans += [(begin, end) for begin, end, on in self.cuts if on]
         return any(
-            end - begin > STALL_MS and begin <= last and first <= end + MAX_RECONVERGENCE_MS
+            end - begin > TOLERATED_STALL_MS and begin <= last and first <= end + MAX_RECONVERGENCE_MS
             for begin, end in spans
         )
 
 
 def read(folder: Path) -> FleetHistory:
-    story, halted, cut = FleetHistory(), dict[int, float](), dict[str, tuple[float, set[int]]]()
+    """Reads the history of a run from the records in its folder."""
+    history, stopped_at, open_cuts = FleetHistory(), dict[int, float](), dict[str, tuple[float, set[int]]]()
     for at, event, *facts in lines(folder / "day.jsonl"):
         if event == "day":
-            story.start = facts[0]
+            history.start = facts[0]
         elif event == "life":
-            story.process_runs[facts[0]].append(ProcessRun(facts[0], at))
-            story.changes.append(at)
+            history.process_runs[facts[0]].append(ProcessRun(facts[0], at))
+            history.changes.append(at)
         elif event in ("killed", "told to leave"):
-            life = story.process_runs[facts[0]][-1]
-            life.ended_ms, life.left = at, event != "killed"
-            story.changes.append(at)
+            run = history.process_runs[facts[0]][-1]
+            run.ended_ms, run.left = at, event != "killed"
+            history.changes.append(at)
         elif event == "stopped":
-            halted[facts[0]] = at
+            stopped_at[facts[0]] = at
         elif event == "continued":
-            story.stops[facts[0]].append((halted.pop(facts[0]), at))
-            story.changes.append(at)
+            history.stops[facts[0]].append((stopped_at.pop(facts[0]), at))
+            history.changes.append(at)
         elif event == "cut":
-            cut[json.dumps(facts[0])] = (at, set(facts[0]))
+            open_cuts[json.dumps(facts[0])] = (at, set(facts[0]))
         elif event == "healed":
-            begun, on = cut.pop(json.dumps(facts[0]))
-            story.cuts.append((begun, at, on))
-            story.changes.append(at)
+            started, numbers = open_cuts.pop(json.dumps(facts[0]))
+            history.cuts.append((started, at, numbers))
+            history.changes.append(at)
         elif event == "lied":
-            story.lies.append((at, {*facts[0]}))
-            story.changes.append(at)
+            history.forged.append((at, {*facts[0]}))
+            history.changes.append(at)
         elif event == "rough":
-            story.changes += [at, at + facts[0]]
-            if facts[2] > BEARABLE.get(facts[1], 1e9):
-                story.rough.append((at, at + facts[0]))
+            history.changes += [at, at + facts[0]]
+            if facts[2] > TOLERATED_FAULT_SIZE.get(facts[1], 1e9):
+                history.degraded.append((at, at + facts[0]))
         elif event == "ended":
-            story.end = at
-    book = MessageCodec(FLEET)
+            history.end = at
+    codec = MessageCodec(FLEET)
     for at, source, to, lost, data in datagrams(folder / "ways.log"):
-        said = book.read(data)
-        page = Datagram(at, source, to, type(said).__name__, len(data), lost, getattr(said, "digest", 0))
-        if said is not None and said.name == f"d{source}" and said.incarnation not in story.births[said.name]:
-            story.births[said.name].append(said.incarnation)  # by its own word, from its own place
-        if isinstance(said, IndirectProbeRequest):
-            page.target = said.target.name
-        for claim in getattr(said, "records", []):
-            page.told.append((claim.name, claim.incarnation, claim.refutations, claim.state, claim.accuser))
-            _facts(story, claim)
-        story.pages.append(page)
-        story.by_sender[source].append(page)
-    return story
+        message = codec.read(data)
+        datagram = Datagram(
+            at, source, to, type(message).__name__, len(data), lost, getattr(message, "digest", 0)
+        )
+        if (
+            message is not None
+            and message.name == f"d{source}"
+            and message.incarnation not in history.incarnations[message.name]
+        ):
+            # The member itself sent the message, from its own address.
+            history.incarnations[message.name].append(message.incarnation)
+        if isinstance(message, IndirectProbeRequest):
+            datagram.target = message.target.name
+        for record in getattr(message, "records", []):
+            datagram.records.append(
+                (record.name, record.incarnation, record.refutations, record.state, record.accuser)
+            )
+            _store_info(history, record)
+        history.datagrams.append(datagram)
+        history.by_sender[source].append(datagram)
+    return history
 
 
 def datagrams(file: Path) -> Iterator[tuple[float, int, int, bool, bytes]]:
+    """Yields the time (ms), sender, receiver, whether it was lost, and the bytes of each logged datagram."""
     data, at = file.read_bytes() if file.exists() else b"", 0
     while at + ENTRY.size <= len(data):
         when, source, to, lost, length = ENTRY.unpack_from(data, at)
@@ -160,269 +218,329 @@
         yield when, source, to, lost, data[at - length : at]
 
 
-def _facts(story: FleetHistory, claim: MemberRecord) -> None:
-    """What a member told of itself, whoever passes it on; a name that no process had is a lie of the
-    day's."""
-    if claim.info is None or claim.state == MemberState.LEFT or not claim.name[1:].isdigit():
+def _store_info(history: FleetHistory, record: MemberRecord) -> None:
+    """Stores properties that a member announced, whichever member forwards them.
+
+    Names that no process has come from forged records and are ignored.
+    """
+    if record.info is None or record.state == MemberState.LEFT or not record.name[1:].isdigit():
         return
-    told = story.facts[(claim.name, claim.incarnation)]
-    if (claim.refutations, claim.info) not in told:
-        told.append((claim.refutations, claim.info))
+    announced = history.infos[(record.name, record.incarnation)]
+    if (record.refutations, record.info) not in announced:
+        announced.append((record.refutations, record.info))
 
 
 class ExpectedDigest:
-    """Which digest the roll of all that live has: marks by member, under the turn that it told last."""
-
-    def __init__(self, story: FleetHistory) -> None:
-        self.story = story
-        self._digests: dict[int, int] = {}  # by grain of time
-        self._marks: dict[tuple[str, int, int], int] = {}
-        self.turns: dict[tuple[str, int], list[tuple[float, int]]] = defaultdict(lambda: [(0.0, 0)])
-        for page in story.pages:
-            for name, birth, turn, standing, _ in page.told:
-                known = self.turns[(name, birth)]
-                if standing == MemberState.ALIVE and turn > known[-1][1]:
-                    known.append((page.at, turn))
+    """Digest of the membership table that lists exactly the running members, over time.
+
+    The digest of a table is the exclusive or of its members' digests. Each member counts with the highest
+    refutation counter that it has sent by then.
+    """
+
+    def __init__(self, history: FleetHistory) -> None:
+        self.history = history
+        self._digests: dict[int, int] = {}  # by time / DIGEST_INTERVAL_MS
+        self._digest_by_record: dict[tuple[str, int, int], int] = {}
+        self.refutation_history: dict[tuple[str, int], list[tuple[float, int]]] = defaultdict(
+            lambda: [(0.0, 0)]
+        )
+        for datagram in history.datagrams:
+            for name, incarnation, refutations, state, _ in datagram.records:
+                known = self.refutation_history[(name, incarnation)]
+                if state == MemberState.ALIVE and refutations > known[-1][1]:
+                    known.append((datagram.at, refutations))
 
     def digest(self, at: float) -> int:
-        """At the beginning of this grain of time; -1 where somebody's first word is not out yet."""
-        grain = int(at // DIGEST_INTERVAL_MS)
-        if grain not in self._digests:
-            self._digests[grain] = self._digest(grain * DIGEST_INTERVAL_MS)
-        return self._digests[grain]
+        """Returns the digest at `at` (ms), rounded down to a multiple of `DIGEST_INTERVAL_MS`.
+
+        Returns -1 while a running member has not announced itself yet.
+        """
+        interval = int(at // DIGEST_INTERVAL_MS)
+        if interval not in self._digests:
+            self._digests[interval] = self._digest(interval * DIGEST_INTERVAL_MS)
+        return self._digests[interval]
 
     def _digest(self, at: float) -> int:
         found = 0
-        for number in self.story.living(at):
+        for number in self.history.living(at):
             name = f"d{number}"
-            births = sorted(self.story.births.get(name, []))
-            lives = [one for one in self.story.process_runs[number] if one.started_ms <= at]
-            if len(births) < len(lives):
+            incarnations = sorted(self.history.incarnations.get(name, []))
+            runs = [one for one in self.history.process_runs[number] if one.started_ms <= at]
+            if len(incarnations) < len(runs):
                 return -1
-            birth = births[len(lives) - 1]
-            turn = max(turn for told, turn in self.turns[(name, birth)] if told <= at)
-            key = (name, birth, turn)
-            if key not in self._marks:
-                facts = [one for one in self.story.facts[(name, birth)] if one[0] <= turn]
+            incarnation = incarnations[len(runs) - 1]
+            refutations = max(
+                refutations
+                for sent_ms, refutations in self.refutation_history[(name, incarnation)]
+                if sent_ms <= at
+            )
+            key = (name, incarnation, refutations)
+            if key not in self._digest_by_record:
+                facts = [one for one in self.history.infos[(name, incarnation)] if one[0] <= refutations]
                 if not facts:
                     return -1
-                claim = MemberRecord(
-                    name, birth, turn, MemberState.ALIVE, max(facts, key=lambda one: one[0])[1]
+                record = MemberRecord(
+                    name, incarnation, refutations, MemberState.ALIVE, max(facts, key=lambda one: one[0])[1]
                 )
-                self._marks[key] = Member(claim, 0.0, "").digest()
-            found ^= self._marks[key]
+                self._digest_by_record[key] = Member(record, 0.0, "").digest()
+            found ^= self._digest_by_record[key]
         return found
 
 
 def judge(folder: Path) -> list[Verdict]:
-    story = read(folder)
-    verdicts = judge_by(story, ExpectedDigest(story), PROMISES)
+    """Checks promises 11 to 17, and 18 and 19 where a receiver has recorded orders."""
+    history = read(folder)
+    verdicts = judge_by(history, ExpectedDigest(history), PROMISES)
     record = folder / "receiver.jsonl"
-    return [*verdicts, _alone(record), _done(story, record)] if record.exists() else verdicts
-
-
-def judge_by(story: FleetHistory, truth: ExpectedDigest, numbers: Iterable[int]) -> list[Verdict]:
-    """By the rules with these numbers alone."""
-    rules = dict(zip(PROMISES, [_known, _nobody, _equal, _old, _unprobed, _words, _rest], strict=True))
+    return [*verdicts, _single_holders(record), _tasks_done(history, record)] if record.exists() else verdicts
+
+
+def judge_by(history: FleetHistory, expected: ExpectedDigest, numbers: Iterable[int]) -> list[Verdict]:
+    """Checks the promises with these numbers alone."""
+    rules = dict(
+        zip(
+            PROMISES,
+            [
+                _failures_recorded,
+                _running_not_failed,
+                _tables_equal,
+                _counters_final,
+                _probed_first,
+                _no_late_messages,
+                _little_traffic,
+            ],
+            strict=True,
+        )
+    )
     verdicts = []
     for number in numbers:
         verdict = Verdict(number)
-        rules[number](story, truth, verdict)
+        rules[number](history, expected, verdict)
         verdicts.append(verdict)
     return verdicts
 
 
-def _alone(record: Path) -> Verdict:
-    """By the receiver's record alone."""
+def _single_holders(record: Path) -> Verdict:
+    """No two holders act for one task at a time, by the receiver's record alone."""
     verdict = Verdict(18)
     verdict.judged = len(carried_out(record))
-    for wrong in one_holder(record):
+    for wrong in holder_conflicts(record):
         verdict.add_breach(wrong)
     return verdict
 
 
-def _done(story: FleetHistory, record: Path) -> Verdict:
-    """In the last seconds of a day that nothing changed any more in, each task that was ever done is."""
+def _tasks_done(history: FleetHistory, record: Path) -> Verdict:
+    """Each task seen in a run is also carried out in the last `QUIET_MS` of the run.
+
+    Runs with a change in the last two `QUIET_MS` are not judged.
+    """
     verdict, tasks, late = Verdict(19), set[str](), set[str]()
-    if any(at > story.end - 2.0 * QUIET_MS for at in story.changes):
+    if any(at > history.end - 2.0 * QUIET_MS for at in history.changes):
         return verdict
     for at, task, *_ in carried_out(record):
         tasks.add(task)
-        if at > story.end - QUIET_MS:
+        if at > history.end - QUIET_MS:
             late.add(task)
     verdict.judged = len(tasks)
     for task in sorted(tasks - late):
-        verdict.add_breach(f"{task} was not done in the last {QUIET_MS / 1000.0:.0f} s")
+        verdict.add_breach(f"{task} was not carried out in the last {QUIET_MS / 1000.0:.0f} s")
     return verdict
 
 
-def _known(story: FleetHistory, truth: ExpectedDigest, verdict: Verdict) -> None:
-    """After a death, with nothing else changing, each that lives shows the digest without the dead one in
-    time."""
-    for number, lives in story.process_runs.items():
-        for life in lives:
-            by = life.ended_ms + story.max_detection_ms(life.ended_ms)
-            others = [at for at in story.changes if life.ended_ms + 1000.0 < at < by]
-            cut = any(
-                begin < by and end > life.ended_ms - MAX_RECONVERGENCE_MS for begin, end, _ in story.cuts
+def _failures_recorded(history: FleetHistory, expected: ExpectedDigest, verdict: Verdict) -> None:
+    """After a failure without other changes, each running member sends a digest without the failed one."""
+    for number, runs in history.process_runs.items():
+        for run in runs:
+            by = run.ended_ms + history.max_detection_ms(run.ended_ms)
+            others = [at for at in history.changes if run.ended_ms + 1000.0 < at < by]
+            partitioned = any(
+                begin < by and end > run.ended_ms - MAX_RECONVERGENCE_MS for begin, end, _ in history.cuts
             )
-            if life.ended_ms > story.end or by > story.end or others or cut or life.left:
+            if run.ended_ms > history.end or by > history.end or others or partitioned or run.left:
                 continue
             verdict.judged += 1
-            for one in story.living(by):
-                if not _shows(story, truth, one, life.ended_ms, by + MAX_REPORT_DELAY_MS):
+            for one in history.living(by):
+                if not _sends_expected(history, expected, one, run.ended_ms, by + MAX_REPORT_DELAY_MS):
                     verdict.add_breach(
-                        f"d{number} died at {life.ended_ms:.0f}: d{one} does not know it by {by:.0f}"
+                        f"d{number} ended at {run.ended_ms:.0f}: d{one} has not recorded it by {by:.0f}"
                     )
 
 
-def _shows(story: FleetHistory, truth: ExpectedDigest, number: int, first: float, last: float) -> bool:
-    """Whether it told the true digest at some time in this span."""
-    pages = story.by_sender[number]
-    for page in pages[bisect_left(pages, first, key=lambda page: page.at) :]:
-        if page.at > last:
+def _sends_expected(
+    history: FleetHistory, expected: ExpectedDigest, number: int, first: float, last: float
+) -> bool:
+    """Whether the member sent the expected digest at some time from `first` to `last` (ms)."""
+    datagrams = history.by_sender[number]
+    for datagram in datagrams[bisect_left(datagrams, first, key=lambda datagram: datagram.at) :]:
+        if datagram.at > last:
             break
-        if page.digest and page.digest == truth.digest(page.at):
+        if datagram.digest and datagram.digest == expected.digest(datagram.at):
             return True
     return False
 
 
-def _nobody(story: FleetHistory, truth: ExpectedDigest, verdict: Verdict) -> None:
-    convicted: set[str] = set()
-    for page in story.pages:
-        for name, birth, _, standing, _ in page.told:
-            if standing != MemberState.FAILED:
+def _running_not_failed(history: FleetHistory, expected: ExpectedDigest, verdict: Verdict) -> None:
+    """No running member is declared failed, unless it was stopped, cut off or named by forged records."""
+    reported: set[str] = set()
+    for datagram in history.datagrams:
+        for name, incarnation, _, state, _ in datagram.records:
+            if state != MemberState.FAILED:
                 continue
             number = int(name[1:])
-            births = sorted(story.births.get(name, []))
-            lives = story.process_runs[number]
-            life = (
-                lives[births.index(birth)] if birth in births and births.index(birth) < len(lives) else None
+            incarnations = sorted(history.incarnations.get(name, []))
+            runs = history.process_runs[number]
+            run = (
+                runs[incarnations.index(incarnation)]
+                if incarnation in incarnations and incarnations.index(incarnation) < len(runs)
+                else None
             )
             verdict.judged += 1
-            if life is None or page.at >= life.ended_ms:
+            if run is None or datagram.at >= run.ended_ms:
                 continue
-            troubled = story.troubled(number, page.at - MAX_DETECTION_MS, page.at)
-            if troubled or story.lied_about(number, page.at):
+            was_disturbed = history.was_disturbed(number, datagram.at - MAX_DETECTION_MS, datagram.at)
+            if was_disturbed or history.has_forged_records(number, datagram.at):
                 verdict.excused += 1
-            elif name not in convicted:
-                convicted.add(name)
-                verdict.add_breach(f"{name} lives and is called dead by d{page.source} at {page.at:.0f}")
-
-
-def _equal(story: FleetHistory, truth: ExpectedDigest, verdict: Verdict) -> None:
-    """Wherever nothing changed for a while, all that live show the true digest at its end."""
-    marks = sorted([*story.changes, story.end])
-    for before, after in pairwise(marks):
-        cut = any(begin < after and end > before for begin, end, _ in story.cuts)
-        halted = any(b < after and e > before for spans in story.stops.values() for b, e in spans)
-        if after - before < MAX_DETECTION_MS + QUIET_MS or cut or halted:
+            elif name not in reported:
+                reported.add(name)
+                verdict.add_breach(
+                    f"{name} runs but is declared failed by d{datagram.source} at {datagram.at:.0f}"
+                )
+
+
+def _tables_equal(history: FleetHistory, expected: ExpectedDigest, verdict: Verdict) -> None:
+    """After a span without changes, all running members send the expected digest."""
+    change_times = sorted([*history.changes, history.end])
+    for before, after in pairwise(change_times):
+        partitioned = any(begin < after and end > before for begin, end, _ in history.cuts)
+        stopped = any(b < after and e > before for spans in history.stops.values() for b, e in spans)
+        if after - before < MAX_DETECTION_MS + QUIET_MS or partitioned or stopped:
             continue
-        for number in story.living(after - 1.0):
+        for number in history.living(after - 1.0):
             verdict.judged += 1
-            if not _shows(story, truth, number, after - 2000.0, after):
-                verdict.add_breach(f"d{number} holds another roll than the true one at {after:.0f}")
+            if not _sends_expected(history, expected, number, after - 2000.0, after):
+                verdict.add_breach(f"d{number} has a wrong membership table at {after:.0f}")
 
 
-def _old(story: FleetHistory, truth: ExpectedDigest, verdict: Verdict) -> None:
-    """A turn is raised by the member alone: nobody who is dead goes on to another."""
-    for page in story.pages:
-        for name, birth, turn, standing, _ in page.told:
-            births = sorted(story.births.get(name, []))
-            if standing != MemberState.ALIVE or birth not in births:
+def _counters_final(history: FleetHistory, expected: ExpectedDigest, verdict: Verdict) -> None:
+    """Only a member raises its own refutation counter, so the counter of an ended process does not grow."""
+    for datagram in history.datagrams:
+        for name, incarnation, refutations, state, _ in datagram.records:
+            incarnations = sorted(history.incarnations.get(name, []))
+            if state != MemberState.ALIVE or incarnation not in incarnations:
                 continue
             verdict.judged += 1
-            lives = story.process_runs[int(name[1:])]
-            at = births.index(birth)
-            if at >= len(lives) or page.at < lives[at].ended_ms + 1000.0:
+            runs = history.process_runs[int(name[1:])]
+            at = incarnations.index(incarnation)
+            if at >= len(runs) or datagram.at < runs[at].ended_ms + 1000.0:
                 continue
-            own = max(t for told, t in truth.turns[(name, birth)] if told <= lives[at].ended_ms + 1000.0)
-            if turn > own:
+            own = max(
+                sent
+                for sent_ms, sent in expected.refutation_history[(name, incarnation)]
+                if sent_ms <= runs[at].ended_ms + 1000.0
+            )
+            if refutations > own:
                 verdict.add_breach(
-                    f"{name} died at {lives[at].ended_ms:.0f} and lives on in turn {turn} at {page.at:.0f}"
+                    f"{name} ended at {runs[at].ended_ms:.0f} but is alive with "
+                    f"refutation {refutations} at {datagram.at:.0f}"
                 )
 
 
-def _unprobed(story: FleetHistory, truth: ExpectedDigest, verdict: Verdict) -> None:
+def _probed_first(history: FleetHistory, expected: ExpectedDigest, verdict: Verdict) -> None:
+    """A member suspects another only soon after a probe of its own."""
     probed: dict[tuple[int, int], float] = {}
     seen: set[tuple[str, str, int, int]] = set()
-    for page in story.pages:
-        if page.kind == "Probe":
-            probed[(page.source, page.to)] = page.at
-        for name, birth, turn, standing, by in page.told:
-            if standing != MemberState.SUSPECT or by != f"d{page.source}" or (by, name, birth, turn) in seen:
+    for datagram in history.datagrams:
+        if datagram.kind == "Probe":
+            probed[(datagram.source, datagram.to)] = datagram.at
+        for name, incarnation, refutations, state, by in datagram.records:
+            if (
+                state != MemberState.SUSPECT
+                or by != f"d{datagram.source}"
+                or (by, name, incarnation, refutations) in seen
+            ):
                 continue
-            seen.add((by, name, birth, turn))
+            seen.add((by, name, incarnation, refutations))
             verdict.judged += 1
-            at = probed.get((page.source, int(name[1:])), -1e18)
-            if page.at - at > PROBED_MS:
+            at = probed.get((datagram.source, int(name[1:])), -1e18)
+            if datagram.at - at > MAX_ACCUSATION_DELAY_MS:
                 verdict.add_breach(
-                    f"{by} accuses {name} at {page.at:.0f}, not probed in {PROBED_MS / 1000.0:.0f} s"
+                    f"{by} suspects {name} at {datagram.at:.0f}, last probe more than "
+                    f"{MAX_ACCUSATION_DELAY_MS / 1000.0:.0f} s ago"
                 )
 
 
-def _words(story: FleetHistory, truth: ExpectedDigest, verdict: Verdict) -> None:
-    late: dict[int, int] = defaultdict(int)
-    for page in story.pages:
-        if page.kind != "SchedulerMessage":
+def _no_late_messages(history: FleetHistory, expected: ExpectedDigest, verdict: Verdict) -> None:
+    """No scheduler messages go to a member whose failure must be known."""
+    late_messages: dict[int, int] = defaultdict(int)
+    for datagram in history.datagrams:
+        if datagram.kind != "SchedulerMessage":
             continue
         verdict.judged += 1
-        lives = [one for one in story.process_runs[page.to] if one.started_ms <= page.at]
-        gone = bool(lives) and page.at > lives[-1].ended_ms + story.max_detection_ms(lives[-1].ended_ms)
-        cut = any(begin < page.at and end > page.at - MAX_DETECTION_MS for begin, end, _ in story.cuts)
-        late[page.to] += gone and not cut
-    for number, count in late.items():
+        runs = [one for one in history.process_runs[datagram.to] if one.started_ms <= datagram.at]
+        failed = bool(runs) and datagram.at > runs[-1].ended_ms + history.max_detection_ms(runs[-1].ended_ms)
+        partitioned = any(
+            begin < datagram.at and end > datagram.at - MAX_DETECTION_MS for begin, end, _ in history.cuts
+        )
+        late_messages[datagram.to] += failed and not partitioned
+    for number, count in late_messages.items():
         if count:
-            verdict.add_breach(f"{count} words to d{number} after it was to be known dead")
+            verdict.add_breach(f"{count} scheduler messages to d{number} after its failure had to be known")
+
 
+def _little_traffic(history: FleetHistory, expected: ExpectedDigest, verdict: Verdict) -> None:
+    """In a settled fleet each member sends little; scheduler messages are not counted.
 
-def _rest(story: FleetHistory, truth: ExpectedDigest, verdict: Verdict) -> None:
-    """In the last seconds of a day that nothing changed any more in. Words of the modules are not counted."""
-    first = story.end - QUIET_MS
-    disturbed = any(at > first - QUIET_MS for at in story.changes)
-    if disturbed or not story.pages:
+    The last `QUIET_MS` of a run are checked. Runs with a change in the last two `QUIET_MS` are not judged.
+    """
+    first = history.end - QUIET_MS
+    disturbed = any(at > first - QUIET_MS for at in history.changes)
+    if disturbed or not history.datagrams:
         return
     sent: dict[int, int] = defaultdict(int)
-    for page in story.pages:
-        if first <= page.at <= story.end and page.kind != "SchedulerMessage":
-            sent[page.source] += page.length
-    for number in story.living(story.end - 1.0):
+    for datagram in history.datagrams:
+        if first <= datagram.at <= history.end and datagram.kind != "SchedulerMessage":
+            sent[datagram.source] += datagram.length
+    for number in history.living(history.end - 1.0):
         verdict.judged += 1
         rate = sent[number] / (QUIET_MS / 1000.0)
-        if rate > RESTING_BYTES:
-            verdict.add_breach(f"d{number} sends {rate:.0f} bytes a second at rest")
+        if rate > MAX_RESTING_BYTES_PER_SECOND:
+            verdict.add_breach(f"d{number} sends {rate:.0f} bytes/s in a settled fleet")
 
 
 def figures(folder: Path) -> dict[str, float]:
-    """What the benchmark and the report show of a day: times from deaths and heals, bytes at rest and at
-    most."""
-    story = read(folder)
-    truth = ExpectedDigest(story)
+    """Returns the figures of a run that reports and benchmarks show.
+
+    These are the times (ms) from failures and heals until members have recorded them, bytes per second and
+    member in the last 5 s and in the busiest second, memory (KiB) and processor time (thousandths of a
+    core). A figure is missing where the run has no case of it.
+    """
+    history = read(folder)
+    expected = ExpectedDigest(history)
     found: dict[str, float] = {}
     known: list[float] = []
-    for lives in story.process_runs.values():
-        for life in lives:
-            if life.ended_ms < story.end - MAX_DETECTION_MS and not life.left:
+    for runs in history.process_runs.values():
+        for run in runs:
+            if run.ended_ms < history.end - MAX_DETECTION_MS and not run.left:
                 known += [
-                    ms_to_expected_digest(story, truth, one, life.ended_ms)
-                    for one in story.living(life.ended_ms + MAX_DETECTION_MS)
+                    ms_to_expected_digest(history, expected, one, run.ended_ms)
+                    for one in history.living(run.ended_ms + MAX_DETECTION_MS)
                 ]
     if known:
         found |= {"death_first_ms": min(known), "death_last_ms": max(known)}
-    heals = [end for _, end, _ in story.cuts]
+    heals = [end for _, end, _ in history.cuts]
     if heals:
-        back = [
-            ms_to_expected_digest(story, truth, one, at)
+        heal_ms = [
+            ms_to_expected_digest(history, expected, one, at)
             for at in heals
-            for one in story.living(at + MAX_RECONVERGENCE_MS)
+            for one in history.living(at + MAX_RECONVERGENCE_MS)
         ]
-        found["heal_last_ms"] = max(back)
-    count = max(1, len(story.living(story.end - 1.0)))
+        found["heal_last_ms"] = max(heal_ms)
+    count = max(1, len(history.living(history.end - 1.0)))
     by_second: dict[int, int] = defaultdict(int)
-    for page in story.pages:
-        if page.kind != "SchedulerMessage":
-            by_second[int((page.at - story.start) // 1000.0)] += page.length
-    ends = int((story.end - story.start) // 1000.0)
+    for datagram in history.datagrams:
+        if datagram.kind != "SchedulerMessage":
+            by_second[int((datagram.at - history.start) // 1000.0)] += datagram.length
+    ends = int((history.end - history.start) // 1000.0)
     rest = [by_second[second] for second in range(ends - 5, ends)]
     found["rest_bytes_s"] = sum(rest) / 5.0 / count
     uses: dict[tuple[int, int], list[tuple[float, float]]] = defaultdict(list)
@@ -430,19 +548,21 @@
         if event == "use":
             uses[(facts[0], facts[1])].append((at, facts[2]))
             found["memory_kib"] = max(found.get("memory_kib", 0.0), facts[3])
-    parts = [
-        1000.0 * (two[1] - one[1]) / (two[0] - one[0])
-        for one, two in (u for u in uses.values() if len(u) == 2)
+    core_fractions = [
+        1000.0 * (after[1] - before[1]) / (after[0] - before[0])
+        for before, after in (samples for samples in uses.values() if len(samples) == 2)
     ]
-    found["core_permille"] = 1000.0 * sum(parts) / len(parts) if parts else 0.0
+    found["core_permille"] = 1000.0 * sum(core_fractions) / len(core_fractions) if core_fractions else 0.0
     found["most_bytes_s"] = max(by_second.values(), default=0) / count
     return found
 
 
-def ms_to_expected_digest(story: FleetHistory, truth: ExpectedDigest, number: int, after: float) -> float:
-    """Ms from then until its digest was the true one; 1e9 where it never was."""
-    pages = story.by_sender[number]
-    for page in pages[bisect_left(pages, after, key=lambda page: page.at) :]:
-        if page.digest and page.digest == truth.digest(page.at):
-            return page.at - after
+def ms_to_expected_digest(
+    history: FleetHistory, expected: ExpectedDigest, number: int, after: float
+) -> float:
+    """Returns the time (ms) from `after` until the member sent the expected digest; 1e9 if it never did."""
+    datagrams = history.by_sender[number]
+    for datagram in datagrams[bisect_left(datagrams, after, key=lambda datagram: datagram.at) :]:
+        if datagram.digest and datagram.digest == expected.digest(datagram.at):
+            return datagram.at - after
     return 1e9
