--- a/cherrygrade/lab/rig/run.py
+++ b/cherrygrade/lab/rig/run.py
@@ -1,6 +1,8 @@
-"""Plays a scenario with real processes on loopback: register, nodes, dispatchers, load, and its troubles.
+"""Runs a scenario with real processes on loopback: registry, nodes, dispatchers and load.
 
-The laboratory ends only processes that it started itself.
+The faults of the scenario are injected while the load runs.
+
+Only processes that the laboratory started itself are signalled.
 """
 
 from __future__ import annotations
@@ -50,13 +52,20 @@
     "lies": "lies",
     "reset_ways": "reset",
 }
-USE_MS = (6000.0, 1000.0)  # before a day's end dispatchers' use is looked at
-START_WAVE = 16  # processes that start at once
-DRAIN_MS = 800.0  # from being listed as draining to dying, where the trouble does not say
+USAGE_SAMPLES_MS = (6000.0, 1000.0)  # before the end of the run, when dispatchers' resource usage is sampled
+MAX_CONCURRENT_STARTS = 16  # dispatchers started at once
+DRAIN_MS = 800.0  # from a node's listing as draining to its end
 
 
 class Child:
-    """One process, its ports as it told them, its log in the day's folder."""
+    """One process of a scenario run; its standard error goes to a log file in the run's folder.
+
+    Attributes:
+        name: Name of the process and of its log.
+        folder: Folder of the run.
+        ports: Ports that the process printed at its start.
+        process: The process, once started.
+    """
 
     def __init__(self, name: str, folder: Path) -> None:
         self.name, self.folder = name, folder
@@ -64,6 +73,11 @@
         self.process: asyncio.subprocess.Process | None = None
 
     async def start(self, *parts: str, wait: str = "listening") -> Child:
+        """Starts `python -m PARTS` and waits for the line that begins with `wait`.
+
+        Raises:
+            RuntimeError: The process ended before that line.
+        """
         with (self.folder / f"{self.name}.log").open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -77,23 +91,33 @@
         return self
 
     async def said(self, word: str) -> None:
+        """Waits for a line of output that begins with `word`, and takes the ports from it.
+
+        Raises:
+            RuntimeError: The process ended before that line.
+        """
         assert self.process is not None and self.process.stdout is not None
         while True:
             line = (await self.process.stdout.readline()).decode()
             if not line:
                 raise RuntimeError(
-                    f"{self.name} ended at its start; see {self.folder / (self.name + '.log')}"
+                    f"{self.name} ended during its start; see {self.folder / (self.name + '.log')}"
                 )
             if line.startswith(word):
                 self.ports = [int(part) for part in line.split()[1:] if part.isdigit()]
                 return
 
     def send_signal(self, number: int) -> None:
+        """Sends a signal to the process, if it runs."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
     async def end(self, number: int = signal.SIGTERM, patience_s: float = 15.0) -> int:
-        """Signal it and wait; a process that does not end is killed. Gives its exit code."""
+        """Signals the process and waits for its end; after `patience_s` seconds it is killed.
+
+        Returns:
+            The exit code; 0 if the process was never started.
+        """
         if self.process is None:
             return 0
         self.send_signal(number)
@@ -106,15 +130,44 @@
 
 
 def free_places(count: int, on: str = "127.0.0.1") -> list[str]:
-    """Ports that nobody has, bound together so that they differ."""
-    holds = [socket.create_server((on, 0)) for _ in range(count)]
-    places = [f"127.0.0.1:{hold.getsockname()[1]}" for hold in holds]
-    for hold in holds:
-        hold.close()
+    """Returns `count` addresses 127.0.0.1:PORT with different ports that are free on the address `on`."""
+    sockets = [socket.create_server((on, 0)) for _ in range(count)]
+    places = [f"127.0.0.1:{sock.getsockname()[1]}" for sock in sockets]
+    for sock in sockets:
+        sock.close()
     return places
 
 
 class Day:
+    """One run of a scenario.
+
+    Attributes:
+        scenario: Scenario that is run.
+        file: Scenario file, which load processes read again.
+        given: Text of a record with further values of the scenario.
+        folder: Folder for records, settings files and logs.
+        program: Module and arguments that start a dispatcher; the settings file is appended.
+        told: Called with the phase of the run and the completed part of it, 0 to 1.
+        note: Record of the run's events.
+        nodes: Process and control connection of each node.
+        dispatchers: Process of each dispatcher.
+        lives: Number of the current process of each dispatcher, from 1.
+        addresses: Current address of each node.
+        starts: Number of starts of each node.
+        codes: Name, process number, cause and exit code of each dispatcher process that ended.
+        register: Process of the registry stand-in.
+        listed: Control connection of the registry stand-in.
+        places: Addresses at which dispatchers receive load reports; none if they do not exchange any.
+        ways: Process of the network between dispatchers.
+        network_control: Control connection of that network.
+        fleet_ports: Port at which dispatchers are announced, and port to which they are bound.
+        forwarding_port: Port at which the network forwards connections to others than dispatchers; empty if
+            it forwards none.
+        listed_addresses: Address of each node as listed, where the network stands before it.
+        moves: Number of address changes of each node, by index.
+        receiver: Process that receives the orders of lease holders.
+    """
+
     def __init__(
         self,
         scenario: Scenario,
@@ -130,32 +183,40 @@
         self.nodes: list[tuple[Child, Controller]] = []
         self.dispatchers: list[Child] = []
         self.lives: list[int] = [1] * scenario.dispatchers
-        self.addresses: list[str] = []  # of nodes, as they are now
+        self.addresses: list[str] = []
         self.starts: list[int] = []
         self.codes: list[list[object]] = []
         self.register = Child("register", folder)
         self.listed = Controller("")
         self.places = free_places(scenario.dispatchers) if scenario.words else []
         self.ways = Child("ways", folder)
-        self.wayed = Controller("")
+        self.network_control = Controller("")
         self.fleet_ports = (0, 0)
-        self.far_port = ""
-        self.told_places: list[str] = []  # of nodes, where ways stand before them
+        self.forwarding_port = ""
+        self.listed_addresses: list[str] = []
         self.moves: dict[int, int] = {}
         self.receiver = Child("receiver", folder)
 
     def now(self) -> float:
+        """Returns the event loop's time, ms."""
         return asyncio.get_running_loop().time() * 1000.0
 
     async def play(self) -> None:
+        """Starts all processes, runs the scenario and ends all processes.
+
+        Raises:
+            RuntimeError: A process ended during its start, or a load process failed.
+        """
         loads: list[Child] = []
         try:
             await self._start()
             for index in range(self.scenario.loaders):
                 loads.append(Child(f"load-{index}", self.folder))
             addresses = [f"127.0.0.1:{child.ports[0]}" for child in self.dispatchers]
-            if self.far_port:
-                addresses = [f"{host(CLIENT, number)}:{self.far_port}" for number in range(len(addresses))]
+            if self.forwarding_port:
+                addresses = [
+                    f"{host(CLIENT, number)}:{self.forwarding_port}" for number in range(len(addresses))
+                ]
             await asyncio.gather(
                 *(
                     child.start(
@@ -180,15 +241,20 @@
                 assert child.process is not None and child.process.stdin is not None
                 child.process.stdin.write(f"go {start}\n".encode())
             troubles = asyncio.gather(*(self._trouble(trouble, start) for trouble in self.scenario.troubles))
-            uses = asyncio.gather(*(self._use(start + self.scenario.length_ms - left) for left in USE_MS))
-            ends = asyncio.gather(*(child.process.wait() for child in loads if child.process))
-            while not ends.done():
-                await asyncio.wait([ends], timeout=0.25)
+            usage_samples = asyncio.gather(
+                *(
+                    self._record_usage(start + self.scenario.length_ms - before_end_ms)
+                    for before_end_ms in USAGE_SAMPLES_MS
+                )
+            )
+            load_ends = asyncio.gather(*(child.process.wait() for child in loads if child.process))
+            while not load_ends.done():
+                await asyncio.wait([load_ends], timeout=0.25)
                 self.told("day", min(1.0, (self.now() - start) / self.scenario.length_ms))
             await troubles
-            await uses
-            if any(ends.result()):
-                raise RuntimeError(f"a load process failed; see {self.folder}")
+            await usage_samples
+            if any(load_ends.result()):
+                raise RuntimeError(f"a load process failed; see its log in {self.folder}")
         finally:
             await self._end(loads)
 
@@ -227,40 +293,40 @@
         self.nodes = [*await asyncio.gather(*(node(index) for index in range(len(scenario.nodes))))]
         self.addresses = [f"127.0.0.1:{child.ports[0]}" for child, _ in self.nodes]
         if scenario.fleet:
-            await self._start_ways()
+            await self._start_network()
         await self._list_all()
         if scenario.council is not None:
             await self._start_council()
         self.dispatchers = [Child(f"dispatcher-{number}", folder) for number in range(scenario.dispatchers)]
-        for first in range(0, scenario.dispatchers, START_WAVE):
-            wave = range(first, min(scenario.dispatchers, first + START_WAVE))
-            await asyncio.gather(*(self._launch(number) for number in wave))
+        for first in range(0, scenario.dispatchers, MAX_CONCURRENT_STARTS):
+            batch = range(first, min(scenario.dispatchers, first + MAX_CONCURRENT_STARTS))
+            await asyncio.gather(*(self._launch(number) for number in batch))
 
     async def _start_council(self) -> None:
-        sitting = self.scenario.council
-        assert sitting is not None
-        numbered = "--numbered" if sitting.numbered else "--no-numbered"
+        council_settings = self.scenario.council
+        assert council_settings is not None
+        numbered = "--numbered" if council_settings.numbered else "--no-numbered"
         record = str(self.folder / "receiver.jsonl")
         await self.receiver.start("cherrygrade", "standin", "receiver", record, numbered, wait="receiver")
-        voters = [f"d{number}" for number in range(sitting.voters)]
+        voters = [f"d{number}" for number in range(council_settings.voters)]
         for name in voters:
             create_founding_store(self.folder / f"council-{name}", FLEET, name, voters)
 
     def _council(self, number: int) -> dict[str, object]:
-        sitting = self.scenario.council
-        if sitting is None:
+        council_settings = self.scenario.council
+        if council_settings is None:
             return {}
         council = {
-            "voters": [f"d{voter}" for voter in range(sitting.voters)],
+            "voters": [f"d{voter}" for voter in range(council_settings.voters)],
             "folder": str(self.folder / f"council-d{number}"),
-            "lease_ms": sitting.lease_ms,
-            "drills": [f"drill/{task}" for task in range(sitting.tasks)],
+            "lease_ms": council_settings.lease_ms,
+            "drills": [f"drill/{task}" for task in range(council_settings.tasks)],
             "receiver": f"127.0.0.1:{self.receiver.ports[0]}",
         }
         return {"council": council}
 
-    async def _start_ways(self) -> None:
-        """Two ports that nobody has on any address of loopback: one told, one bound."""
+    async def _start_network(self) -> None:
+        """Starts the network between dispatchers, on two ports that are free on all addresses."""
         told, bound = (int(place.rpartition(":")[2]) for place in free_places(2, "0.0.0.0"))
         self.fleet_ports = (told, bound)
         await self.ways.start(
@@ -268,32 +334,38 @@
             "--count", str(self.scenario.dispatchers), "--port", str(told), "--bound", str(bound),
             "--fleet", FLEET, "--seed", str(self.scenario.seed), "--record", str(self.folder / "ways.log"),
         )  # fmt: skip
-        self.wayed = Controller(f"127.0.0.1:{self.ways.ports[0]}")
-        await self.wayed.connect()
+        self.network_control = Controller(f"127.0.0.1:{self.ways.ports[0]}")
+        await self.network_control.connect()
         if self.scenario.ways:
-            self.far_port = await self.wayed.say("port")
-            await self._place(REGISTER, THE_REGISTER, f"127.0.0.1:{self.register.ports[0]}")
-            self.told_places = ["" for _ in self.nodes]
+            self.forwarding_port = await self.network_control.say("port")
+            await self._forward(REGISTER, THE_REGISTER, f"127.0.0.1:{self.register.ports[0]}")
+            self.listed_addresses = ["" for _ in self.nodes]
             for index in range(len(self.nodes)):
-                await self._place_node(index)
+                await self._forward_to_node(index)
 
-    async def _place(self, at: str, number: int, to: str) -> None:
-        """A told host of the ways' for somebody who is no dispatcher."""
-        await self.wayed.say("place", host=at, number=float(number), to=to)
+    async def _forward(self, at: str, number: int, to: str) -> None:
+        """Has the network forward connections from the address `at` to `to`.
 
-    async def _place_node(self, index: int) -> None:
-        """At another told host for each address that it had."""
+        Args:
+            at: Address that the other processes connect to.
+            number: Number of the target in the network, `NODES + index`, `THE_REGISTER` or a dispatcher's.
+            to: host:port at which the target listens.
+        """
+        await self.network_control.say("place", host=at, number=float(number), to=to)
+
+    async def _forward_to_node(self, index: int) -> None:
+        """Has the network forward to the node from a new address for each address that the node gets."""
         self.moves[index] = self.moves.get(index, -1) + 1
         at = f"{NODE}.{self.moves[index]}.{index + 1}"
-        await self._place(at, NODES + index, self.addresses[index])
-        self.told_places[index] = f"{at}:{self.far_port}"
-        self.note.note("placed", index, self.addresses[index], self.told_places[index])
+        await self._forward(at, NODES + index, self.addresses[index])
+        self.listed_addresses[index] = f"{at}:{self.forwarding_port}"
+        self.note.note("placed", index, self.addresses[index], self.listed_addresses[index])
 
-    def _told(self, index: int) -> str:
-        return self.told_places[index] if self.far_port else self.addresses[index]
+    def _listed_address(self, index: int) -> str:
+        return self.listed_addresses[index] if self.forwarding_port else self.addresses[index]
 
     def _fleet(self, number: int) -> dict[str, object] | None:
-        """What the dispatcher is told of its fleet: a few contacts, its own two places."""
+        """Returns the fleet settings of a dispatcher: contacts, and the announced and the bound address."""
         if not self.scenario.fleet:
             return None
         told, bound = self.fleet_ports
@@ -308,11 +380,11 @@
         }
 
     async def _list_all(self) -> None:
-        """What the register and the nodes have to know before the day."""
+        """Gives the registry and the nodes their state before the run."""
         scenario = self.scenario
         self.starts = [1] * len(self.nodes)
         for index in range(len(self.nodes)):
-            await self._list(index, "live", age_ms=1e7)
+            await self._set_node_state(index, "live", age_ms=1e7)
         await self.listed.say("lag", value=scenario.lag_ms)
         for name, volume in scenario.ranges.items():
             await self.listed.say(
@@ -340,35 +412,37 @@
             number,
             self.lives[number],
             listen,
-            f"{REGISTER}:{self.far_port}" if self.far_port else f"127.0.0.1:{self.register.ports[0]}",
+            f"{REGISTER}:{self.forwarding_port}"
+            if self.forwarding_port
+            else f"127.0.0.1:{self.register.ports[0]}",
             self.places,
             self._fleet(number),
-            host(BOUND, number) if self.far_port else "",
+            host(BOUND, number) if self.forwarding_port else "",
         )
         await child.start(*self.program, str(file))
-        if self.far_port:
-            await self._place(host(CLIENT, number), number, f"127.0.0.1:{child.ports[0]}")
+        if self.forwarding_port:
+            await self._forward(host(CLIENT, number), number, f"127.0.0.1:{child.ports[0]}")
         self.note.note("life", number, self.lives[number])
 
-    async def _list(self, index: int, standing: str, age_ms: float = 0.0, address: str = "") -> None:
+    async def _set_node_state(self, index: int, state: str, age_ms: float = 0.0, address: str = "") -> None:
         await self.listed.say(
             "set",
-            address=address or self._told(index),
+            address=address or self._listed_address(index),
             zone=self.scenario.nodes[index].zone,
             shard=float(index),
-            standing=standing,
+            standing=state,
             start=float(self.starts[index]),
             age_ms=age_ms,
         )
 
-    async def _use(self, at: float) -> None:
-        """What dispatchers used by then, as the system counts it: seconds of a core, KiB in memory."""
+    async def _record_usage(self, at: float) -> None:
+        """Records processor time (s) and memory (KiB) of the dispatchers at `at` (ms), as psutil has them."""
         await asyncio.sleep(max(0.0, (at - self.now()) / 1000.0))
         for number, child in enumerate(self.dispatchers):
             if child.process is not None and child.process.returncode is None:
                 try:
-                    seen = psutil.Process(child.process.pid)
-                    times, memory = seen.cpu_times(), seen.memory_info()
+                    process = psutil.Process(child.process.pid)
+                    times, memory = process.cpu_times(), process.memory_info()
                 except psutil.Error:
                     continue
                 seconds = times.user + times.system
@@ -389,7 +463,7 @@
                 command, value=trouble.size, for_ms=trouble.for_ms, usual=self.scenario.lag_ms
             )
         elif trouble.kind in ON_WAYS:
-            await self._way_trouble(trouble)
+            await self._network_trouble(trouble)
         elif trouble.kind in ON_DISPATCHERS:
             await asyncio.gather(
                 *(
@@ -399,28 +473,36 @@
                 )
             )
 
-    async def _way_trouble(self, trouble: Trouble) -> None:
-        """On ways between these dispatchers and the others, or on all ways."""
+    async def _network_trouble(self, trouble: Trouble) -> None:
+        """Injects a network fault between the dispatchers `on` and the others or `far`.
+
+        An empty `on` means all network paths.
+        """
         on, command = " ".join(str(number) for number in trouble.on), ON_WAYS[trouble.kind]
         numbers = [number for name in trouble.far for number in far_number(name, len(self.nodes))]
-        if trouble.far and not self.far_port:
+        if trouble.far and not self.forwarding_port:
             return
-        far, shuts, here = " ".join(map(str, numbers)), command in ("cut", "deafen"), not trouble.far
-        if command == "reset" and self.far_port:  # clients' streams too: what was under way there is lost
+        far, is_cut, among_dispatchers = (
+            " ".join(map(str, numbers)),
+            command in ("cut", "deafen"),
+            not trouble.far,
+        )
+        # A reset breaks connections of clients, too, and what is in flight on them is lost.
+        if command == "reset" and self.forwarding_port:
             self.note.note("shut", trouble.on or [*range(self.scenario.dispatchers)], 0.0)
-        if shuts and here:
+        if is_cut and among_dispatchers:
             self.note.note("cut", trouble.on)
-        elif shuts and CLIENTS in numbers:
+        elif is_cut and CLIENTS in numbers:
             self.note.note("shut", trouble.on, trouble.for_ms)
-        elif trouble.for_ms and here:
+        elif trouble.for_ms and among_dispatchers:
             self.note.note("rough", trouble.for_ms, trouble.kind, trouble.size)
-        told = await self.wayed.say(command, on=on, far=far, size=trouble.size)
+        reply = await self.network_control.say(command, on=on, far=far, size=trouble.size)
         if command == "lies":
-            self.note.note("lied", [int(part) for part in told.split()])
+            self.note.note("lied", [int(part) for part in reply.split()])
         if trouble.for_ms:
             await asyncio.sleep(trouble.for_ms / 1000.0)
-            await self.wayed.say("heal" if shuts else command, on=on, far=far, size=0.0)
-            if shuts and here:
+            await self.network_control.say("heal" if is_cut else command, on=on, far=far, size=0.0)
+            if is_cut and among_dispatchers:
                 self.note.note("healed", trouble.on)
 
     async def _node_trouble(self, trouble: Trouble, index: int) -> None:
@@ -428,21 +510,21 @@
         kind, for_ms = trouble.kind, trouble.for_ms
         if kind in ("crash", "drain", "move"):
             if kind != "crash":
-                await self._list(index, "draining")
+                await self._set_node_state(index, "draining")
                 await asyncio.sleep(DRAIN_MS / 1000.0)
-            old = self._told(index)
+            old = self._listed_address(index)
             await control.say("move" if kind == "move" else "crash")
             await asyncio.sleep(self.scenario.notice_ms / 1000.0)
-            await self._list(index, "gone", address=old)
+            await self._set_node_state(index, "gone", address=old)
             if kind != "move":
                 await asyncio.sleep(max(0.0, for_ms - self.scenario.notice_ms) / 1000.0)
                 await control.say("start")
             await asyncio.sleep(0.05)
             self.addresses[index], start = (await control.say("address")).split()
             self.starts[index] = int(start)
-            if self.far_port and kind == "move":
-                await self._place_node(index)
-            await self._list(index, "live", age_ms=50.0)
+            if self.forwarding_port and kind == "move":
+                await self._forward_to_node(index)
+            await self._set_node_state(index, "live", age_ms=50.0)
             return
         command = {"slow": "speed"}.get(kind, kind)
         value = 1.0 / trouble.size if kind == "slow" else trouble.size
@@ -464,7 +546,7 @@
         else:
             self.note.note("told to leave", number, self.lives[number])
             code = await child.end(signal.SIGTERM)
-        if trouble.kind == "end":  # it stays dead
+        if trouble.kind == "end":  # the process is not started again
             return
         self.codes.append([child.name, self.lives[number], trouble.kind, code])
         await asyncio.sleep(trouble.for_ms / 1000.0)
@@ -479,7 +561,7 @@
         codes = await asyncio.gather(*(child.end() for child in self.dispatchers))
         for number, code in enumerate(codes):
             if code == -signal.SIGKILL:
-                continue  # ended for good by the day
+                continue  # killed by the scenario and not started again
             self.codes.append([f"dispatcher-{number}", self.lives[number], "end", code])
         others = [self.register, self.receiver]
         await asyncio.gather(*(child.end() for child in [*(child for child, _ in self.nodes), *others]))
@@ -488,7 +570,7 @@
 
 
 def empty(folder: Path) -> None:
-    """Make it, and take out what a day before left there."""
+    """Creates the folder if needed, and deletes the files of an earlier run from it."""
     folder.mkdir(parents=True, exist_ok=True)
     for old in folder.iterdir():
         if old.is_file():
@@ -504,7 +586,22 @@
     program: Sequence[str] = ("cherrygrade", "serve"),
     told: Callable[[str, float], None] = lambda what, part: None,
 ) -> Scenario:
-    """Play the day into `folder`. RecordError: a wrong scenario; RuntimeError: it broke off."""
+    """Runs a scenario and leaves its records in `folder`.
+
+    Args:
+        file: Scenario file.
+        folder: Folder for records, settings files and logs; emptied first.
+        given: Text of a record with further values of the scenario.
+        program: Module and arguments that start a dispatcher.
+        told: Called with the phase of the run and the completed part of it, 0 to 1.
+
+    Returns:
+        The scenario as read.
+
+    Raises:
+        RecordError: The scenario is invalid.
+        RuntimeError: A process ended during its start, or a load process failed.
+    """
     scenario = read_scenario(file, given)
     empty(folder)
     asyncio.run(Day(scenario, file, given, folder, program, told).play())
