--- a/cherrygrade/lab/audits/__init__.py
+++ b/cherrygrade/lab/audits/__init__.py
@@ -1,1 +1,1 @@
-"""What passed, judged from outside; breakages that an audit has to find."""
+"""Audits of scenario runs from recorded events, and planted faults that the audits must find."""
--- a/cherrygrade/lab/audits/audit.py
+++ b/cherrygrade/lab/audits/audit.py
@@ -84,8 +84,8 @@
         host: Number of the dispatcher that the client sent it to.
         answers: Time (ms), kind and detail of each final answer; the detail is the shard, the retry delay
             in ms or the reason, by kind.
-        lost_at_ms: Time at which the connection was lost without an answer, ms.
-        late: Whether the client recorded an answer after the deadline.
+        lost_at_ms: Time at which the connection was lost before an answer, ms; None if it was not.
+        late: Whether the client stopped waiting at the deadline.
     """
 
     origin: str
@@ -162,6 +162,7 @@
     """
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
+        """Reads the record files of a run of `scenario` from `folder`."""
         self.scenario, self.folder = scenario, folder
         self.site: SiteSettings = site_of(folder)
         self.requests: dict[str, ClientRequest] = {}
--- a/cherrygrade/lab/audits/fleetaudit.py
+++ b/cherrygrade/lab/audits/fleetaudit.py
@@ -238,6 +238,7 @@
     """
 
     def __init__(self, history: FleetHistory) -> None:
+        """Prepares the digests of a run; each is computed when it is first needed."""
         self.history = history
         self._digests: dict[int, int] = {}  # by time / DIGEST_INTERVAL_MS
         self._digest_by_record: dict[tuple[str, int, int], int] = {}
--- a/cherrygrade/lab/rig/__init__.py
+++ b/cherrygrade/lab/rig/__init__.py
@@ -1,1 +1,1 @@
-"""Days with real processes: scenarios, load, what goes wrong when, the report."""
+"""Scenario runs with real processes: scenarios, load, fault injection and report."""
--- a/cherrygrade/lab/rig/fromday.py
+++ b/cherrygrade/lab/rig/fromday.py
@@ -1,8 +1,8 @@
-"""Turns a bench day into a scenario for the real dispatcher, scaled to one machine.
+"""Converts a day file of the bench into a scenario for real dispatchers, scaled to one machine.
 
-A bench day names its troubles, its workloads and plans, and how full its nodes are; the kind, order, share
-and relative size of them move over. What cannot is named, never dropped silently.
-Day files use the bench's own words; they are known here only.
+A day file describes faults, workloads, service plans and the load of the nodes. Kind, order, share and
+relative size of these are kept. Whatever can't be converted is listed in the result. Only this module knows
+the keys of day files.
 """
 
 from __future__ import annotations
@@ -12,36 +12,49 @@
 from collections.abc import Callable
 from typing import Any
 
-MOST_NODES, MOST_DISPATCHERS, MOST_MS = 6, 3, 24_000.0
-UNIT_MS, CORES, UNIT_BYTES = 5.0, 2, 4096
-MOST_REPEATS = 12  # of a trouble that comes again and again
-LEAST_MS, MOST_UNITS = 40.0, 16.0
+MAX_NODES, MAX_DISPATCHERS, MAX_LENGTH_MS = 6, 3, 24_000.0  # size of a scenario that one machine can run
+UNIT_MS, CORES, UNIT_BYTES = 5.0, 2, 4096  # of a node: time per unit of work, cores, bytes per unit of work
+MAX_REPEATS = 12  # of a repeated fault
+MIN_DURATION_MS, MAX_UNITS = 40.0, 16.0  # shortest fault; largest request
 EFFECTS = {"safe": "idempotent", "keyed": "tokened", "unsafe": "non-idempotent"}
 
 Change = dict[str, Any]
 
 
 class _Day:
-    """The day file with its sizes scaled: `part` of its time, of its nodes, of its dispatchers."""
+    """A day file, with the sizes of the scenario that it becomes.
+
+    Attributes:
+        day: The file's content.
+        servers: Number of nodes in the file.
+        hosts: Number of dispatchers in the file.
+        nodes: Number of nodes in the scenario.
+        dispatchers: Number of dispatchers in the scenario.
+        pace: Duration of the scenario as a part of the day's, at most 1.
+        length_ms: Duration of the scenario, ms.
+        classes: Workloads in the file.
+        tenants: Tenants in the file.
+        lacking: Descriptions of what can't be converted.
+    """
 
     def __init__(self, day: dict[str, Any]) -> None:
         self.day = day
         self.servers, self.hosts = len(day["servers"]), len(day["balancers"])
-        self.nodes = max(2, min(MOST_NODES, self.servers))
-        self.dispatchers = max(1, min(MOST_DISPATCHERS, self.hosts))
+        self.nodes = max(2, min(MAX_NODES, self.servers))
+        self.dispatchers = max(1, min(MAX_DISPATCHERS, self.hosts))
         length = float(day["length"]) / 1000.0
-        self.pace = min(1.0, MOST_MS / length)
+        self.pace = min(1.0, MAX_LENGTH_MS / length)
         self.length_ms = length * self.pace
         self.classes: list[dict[str, Any]] = day["classes"]
         self.tenants: list[dict[str, Any]] = day["tenants"]
         self.lacking: list[str] = []
 
     def ms(self, micros: float) -> float:
-        """A time of the day, at the scenario's pace."""
+        """Returns a time of the day file (microseconds) as a time of the scenario (ms)."""
         return round(micros / 1000.0 * self.pace, 1)
 
-    def some_of(self, on: list[int], there: int, here: int) -> list[int]:
-        """As large a part of ours as these were of theirs, at least one where there was one."""
+    def select_scaled(self, on: list[int], there: int, here: int) -> list[int]:
+        """Selects the same fraction of `here` items as `on` is of `there`, at least one if `on` has any."""
         if not on:
             return []
         count = max(1, min(here, round(len(on) / there * here)))
@@ -49,91 +62,111 @@
         return sorted((first + step) % here for step in range(count))
 
 
-def _plain(
+def _node_fault(
     kind: str, sized: Callable[[Change], float] = lambda trouble: 1.0
 ) -> Callable[[_Day, Change], list[Change]]:
-    def carry(day: _Day, trouble: Change) -> list[Change]:
-        on = day.some_of(trouble["on"], day.servers, day.nodes)
-        lasts = max(LEAST_MS, day.ms(trouble["len"]))
+    """Returns a converter for a single fault of nodes; `sized` gives its size in the scenario."""
+
+    def convert(day: _Day, trouble: Change) -> list[Change]:
+        on = day.select_scaled(trouble["on"], day.servers, day.nodes)
+        duration_ms = max(MIN_DURATION_MS, day.ms(trouble["len"]))
         return [
-            {"at_ms": day.ms(trouble["at"]), "for_ms": lasts, "kind": kind, "on": on, "size": sized(trouble)}
+            {
+                "at_ms": day.ms(trouble["at"]),
+                "for_ms": duration_ms,
+                "kind": kind,
+                "on": on,
+                "size": sized(trouble),
+            }
         ]
 
-    return carry
+    return convert
 
 
-def _again(kind: str, dispatchers: bool) -> Callable[[_Day, Change], list[Change]]:
-    """Comes each `extra` seconds or so, `size` ms long: those times are real ones and keep their length."""
+def _repeated_fault(kind: str, dispatchers: bool) -> Callable[[_Day, Change], list[Change]]:
+    """Returns a converter for a fault that repeats every `extra` s and lasts `size` ms, both unscaled."""
 
-    def carry(day: _Day, trouble: Change) -> list[Change]:
+    def convert(day: _Day, trouble: Change) -> list[Change]:
         there, here = (day.hosts, day.dispatchers) if dispatchers else (day.servers, day.nodes)
-        on = day.some_of(trouble["on"], there, here)
+        on = day.select_scaled(trouble["on"], there, here)
         begin, length = day.ms(trouble["at"]), day.ms(trouble["len"])
         gap = max(trouble["extra"] * 1000.0, trouble["size"] + 200.0)
-        count = max(1, min(MOST_REPEATS, int(length / gap)))
+        count = max(1, min(MAX_REPEATS, int(length / gap)))
         return [
-            {"at_ms": round(begin + gap * turn, 1), "for_ms": trouble["size"], "kind": kind, "on": on}
-            for turn in range(count)
+            {"at_ms": round(begin + gap * repeat, 1), "for_ms": trouble["size"], "kind": kind, "on": on}
+            for repeat in range(count)
         ]
 
-    return carry
+    return convert
 
 
-def _streams(kind: str, chosen: str) -> Callable[[_Day, Change], list[Change]]:
-    """A trouble of traffic: of all streams, of one workload's, or of one plan's."""
+def _load_change(kind: str, scope: str) -> Callable[[_Day, Change], list[Change]]:
+    """Returns a converter for a change of load: of all streams, or of those of one workload or plan."""
 
-    def carry(day: _Day, trouble: Change) -> list[Change]:
+    def convert(day: _Day, trouble: Change) -> list[Change]:
         width, which = len(day.tenants), trouble["which"]
         on: list[int] = []
-        if chosen == "plan":
+        if scope == "plan":
             on = [index * width + which % width for index in range(len(day.classes))]
-        elif chosen == "workload":
+        elif scope == "workload":
             first = which % len(day.classes) * width
             on = list(range(first, first + width))
-        size = min(trouble["size"], MOST_UNITS) if kind == "heavy" else trouble["size"]
+        size = min(trouble["size"], MAX_UNITS) if kind == "heavy" else trouble["size"]
         return [
             {
                 "at_ms": day.ms(trouble["at"]),
-                "for_ms": max(LEAST_MS, day.ms(trouble["len"])),
+                "for_ms": max(MIN_DURATION_MS, day.ms(trouble["len"])),
                 "kind": kind,
                 "on": on,
                 "size": size,
             }
         ]
 
-    return carry
+    return convert
 
 
-def _steps(day: _Day, trouble: Change) -> list[Change]:
-    """Nodes that are told to go, one after another, each with another in its place."""
+def _replacements(day: _Day, trouble: Change) -> list[Change]:
+    """Converts a sequence of nodes that are drained and replaced, one step after another."""
     return [
-        {"at_ms": day.ms(step["at"]), "kind": "move", "on": day.some_of(step["stop"], day.servers, day.nodes)}
+        {
+            "at_ms": day.ms(step["at"]),
+            "kind": "move",
+            "on": day.select_scaled(step["stop"], day.servers, day.nodes),
+        }
         for step in trouble["steps"]
         if step["stop"]
     ]
 
 
 CARRIED: dict[str, Callable[[_Day, Change], list[Change]]] = {
-    "crash": _plain("crash"),
-    "mass_restart": _plain("crash"),
-    "vanish": _plain("silent"),
-    "fast_errors": _plain("errors", lambda trouble: trouble["size"]),
-    "report_late": _plain("untold"),
-    "slow": _plain("slow", lambda trouble: max(1.0, trouble["size"])),
-    "neighbour": _plain("slow", lambda trouble: 1.0 / max(0.1, 1.0 - trouble["size"])),
-    "discovery_stale": _plain("lag", lambda trouble: 1000.0 * trouble["size"]),
-    "pauses": _again("still", dispatchers=False),
-    "balancer_stall": _again("stop", dispatchers=True),
-    "burst": _streams("surge", "all"),
-    "tenant_burst": _streams("surge", "plan"),
-    "heavy_tail": _streams("heavy", "workload"),
-    "hot_key": _streams("hot", "all"),
-    "preempt": _steps,
+    "crash": _node_fault("crash"),
+    "mass_restart": _node_fault("crash"),
+    "vanish": _node_fault("silent"),
+    "fast_errors": _node_fault("errors", lambda trouble: trouble["size"]),
+    "report_late": _node_fault("untold"),
+    "slow": _node_fault("slow", lambda trouble: max(1.0, trouble["size"])),
+    "neighbour": _node_fault("slow", lambda trouble: 1.0 / max(0.1, 1.0 - trouble["size"])),
+    "discovery_stale": _node_fault("lag", lambda trouble: 1000.0 * trouble["size"]),
+    "pauses": _repeated_fault("still", dispatchers=False),
+    "balancer_stall": _repeated_fault("stop", dispatchers=True),
+    "burst": _load_change("surge", "all"),
+    "tenant_burst": _load_change("surge", "plan"),
+    "heavy_tail": _load_change("heavy", "workload"),
+    "hot_key": _load_change("hot", "all"),
+    "preempt": _replacements,
 }
+"""Converter by the kind of fault in a day file; each returns the faults of the scenario."""
 
 
 def convert_day(day: dict[str, Any]) -> tuple[dict[str, Any], list[str]]:
-    """A scenario's record, and what of the day could not be carried over. ValueError: no day file."""
+    """Converts the content of a day file.
+
+    Returns:
+        The scenario's record, and a description of everything that could not be converted.
+
+    Raises:
+        ValueError: The content is not that of a day file.
+    """
     try:
         return _convert(_Day(day))
     except (KeyError, TypeError, IndexError) as trouble:
@@ -144,22 +177,22 @@
     source = day.day
     troubles: list[Change] = []
     for trouble in source["troubles"]:
-        carry = CARRIED.get(trouble["kind"])
-        if carry is None:
-            day.lacking.append(f"trouble '{trouble['kind']}': the stand-ins have nothing like it")
+        convert = CARRIED.get(trouble["kind"])
+        if convert is None:
+            day.lacking.append(f"trouble '{trouble['kind']}': the stand-ins can't cause it")
             continue
-        made = [one for one in carry(day, trouble) if one["at_ms"] < day.length_ms]
-        if not made:
-            day.lacking.append(f"trouble '{trouble['kind']}': nothing of it falls within the scaled day")
-        troubles += made
+        converted = [one for one in convert(day, trouble) if one["at_ms"] < day.length_ms]
+        if not converted:
+            day.lacking.append(f"trouble '{trouble['kind']}': it is outside the scaled duration")
+        troubles += converted
     troubles.sort(key=lambda one: float(one["at_ms"]))
-    least = min(one["work"] for one in day.classes)
-    units = {one["name"]: min(MOST_UNITS, max(1.0, round(one["work"] / least))) for one in day.classes}
+    min_work = min(one["work"] for one in day.classes)
+    units = {one["name"]: min(MAX_UNITS, max(1.0, round(one["work"] / min_work))) for one in day.classes}
     share = sum(one["share"] for one in day.classes) or 1.0
-    mean = sum(one["share"] * units[one["name"]] for one in day.classes) / share
-    rate = source["traffic"]["load"] * 0.9 * day.nodes * CORES / UNIT_MS * 1000.0 / mean
+    mean_units = sum(one["share"] * units[one["name"]] for one in day.classes) / share
+    rate = source["traffic"]["load"] * 0.9 * day.nodes * CORES / UNIT_MS * 1000.0 / mean_units
     plans = source["fam"]["plans"]
-    dues = sum(one.get("traffic", one["share"]) for one in day.tenants) or 1.0
+    total_traffic = sum(one.get("traffic", one["share"]) for one in day.tenants) or 1.0
     traffic, workloads, volumes = [], {}, {}
     for one in day.classes:
         workloads[one["name"]] = {
@@ -173,7 +206,7 @@
             "token_ms": one["window"] / 1000.0 if one["effect"] == "keyed" else 0,
         }
         for tenant in day.tenants:
-            part = one["share"] / share * tenant.get("traffic", tenant["share"]) / dues
+            part = one["share"] / share * tenant.get("traffic", tenant["share"]) / total_traffic
             verb = "read" if not one["write"] else ("new" if one["effect"] == "safe" else "append")
             traffic.append(
                 {
@@ -187,7 +220,7 @@
                     "retries": math.ceil(source["clients"]["retries"]),
                 }
             )
-    per_unit = rate * mean / max(1e-9, sum(plan["rate"] for plan in plans))
+    per_unit = rate * mean_units / max(1e-9, sum(plan["rate"] for plan in plans))
     for tenant, plan in zip(day.tenants, plans, strict=False):
         scaled = {
             name: round(plan[old] * per_unit, 3)
@@ -204,13 +237,13 @@
             "hosts": day.dispatchers,
         }
     if day.pace < 1.0:
-        day.lacking.append(f"the day's length: at {day.pace:.2f} of its pace; pauses and stalls keep theirs")
+        day.lacking.append(f"the day's length: scaled to {day.pace:.2f}; pauses and stalls keep their length")
     if (day.servers, day.hosts) != (day.nodes, day.dispatchers):
         day.lacking.append(
-            f"its size: {day.nodes} of {day.servers} nodes, {day.dispatchers} of {day.hosts} "
-            f"dispatchers, by the same parts"
+            f"the day's size: {day.nodes} of {day.servers} nodes, {day.dispatchers} of {day.hosts} "
+            f"dispatchers, faults in the same proportion"
         )
-    day.lacking.append("the network's delays, and the spread of work within a workload but for heavy RPCs")
+    day.lacking.append("the network's delays, and the spread of work within a workload except heavy requests")
     cold = {"units": 30, "share": 0.3, "multiple": 3, "span_ms": 1000, "warm_ms": 4000}
     build = {
         "cores": CORES,
@@ -248,6 +281,6 @@
 
 
 def text_of(record: dict[str, Any], lacking: list[str]) -> str:
-    """The record's text; JSON is within what records can say."""
+    """Returns the text of the record file, which is JSON, after comments on what could not be converted."""
     notes = "".join(f"// Not carried over: {one}\n" for one in lacking)
     return f"{notes}{json.dumps(record, indent=1)[1:-1].strip()}\n"
--- a/cherrygrade/lab/rig/load.py
+++ b/cherrygrade/lab/rig/load.py
@@ -55,6 +55,7 @@
     def __init__(
         self, scenario: Scenario, trade: TrafficSettings, index: int, addresses: list[str], record: Record
     ) -> None:
+        """Creates the clients; `addresses` has host:port of each dispatcher, by number."""
         self.scenario, self.trade, self.index, self.record = scenario, trade, index, record
         self.rng = random.Random(f"{scenario.seed}:{index}")
         self.clients = [
--- a/cherrygrade/lab/rig/run.py
+++ b/cherrygrade/lab/rig/run.py
@@ -1,8 +1,7 @@
 """Runs a scenario with real processes on loopback: registry, nodes, dispatchers and load.
 
-The faults of the scenario are injected while the load runs.
-
-Only processes that the laboratory started itself are signalled.
+The faults of the scenario are injected while the load runs. Only processes that the laboratory started itself
+are signalled.
 """
 
 from __future__ import annotations
@@ -36,6 +35,7 @@
     host,
 )
 
+# Kinds of faults by what they hit. Other kinds change the load and are applied by load processes.
 ON_NODES = frozenset(
     {"crash", "silent", "refuse", "resets", "slow", "still", "errors", "untold", "trickle", "drain", "move"}
 )
@@ -52,6 +52,7 @@
     "lies": "lies",
     "reset_ways": "reset",
 }
+"""Command for the network between dispatchers, by the kind of fault."""
 USAGE_SAMPLES_MS = (6000.0, 1000.0)  # before the end of the run, when dispatchers' resource usage is sampled
 MAX_CONCURRENT_STARTS = 16  # dispatchers started at once
 DRAIN_MS = 800.0  # from a node's listing as draining to its end
@@ -68,6 +69,7 @@
     """
 
     def __init__(self, name: str, folder: Path) -> None:
+        """Describes a process that `start` will start."""
         self.name, self.folder = name, folder
         self.ports: list[int] = []
         self.process: asyncio.subprocess.Process | None = None
@@ -177,6 +179,7 @@
         program: Sequence[str],
         told: Callable[[str, float], None],
     ) -> None:
+        """Prepares the run; `play` starts it."""
         self.scenario, self.file, self.given, self.folder = scenario, file, given, folder
         self.program, self.told = [*program], told
         self.note = Record(folder / "day.jsonl")
@@ -354,7 +357,7 @@
         await self.network_control.say("place", host=at, number=float(number), to=to)
 
     async def _forward_to_node(self, index: int) -> None:
-        """Has the network forward to the node from a new address for each address that the node gets."""
+        """Gives the node, after each change of its address, a new address from which the network forwards."""
         self.moves[index] = self.moves.get(index, -1) + 1
         at = f"{NODE}.{self.moves[index]}.{index + 1}"
         await self._forward(at, NODES + index, self.addresses[index])
@@ -404,6 +407,7 @@
                 )
 
     async def _launch(self, number: int) -> None:
+        """Starts the next process of a dispatcher, at its former port if it had one."""
         child = self.dispatchers[number]
         listen = f"127.0.0.1:{child.ports[0] if child.ports else 0}"
         file = write_site(
@@ -425,6 +429,7 @@
         self.note.note("life", number, self.lives[number])
 
     async def _set_node_state(self, index: int, state: str, age_ms: float = 0.0, address: str = "") -> None:
+        """Has the registry list a node with this state, and as started `age_ms` ago."""
         await self.listed.say(
             "set",
             address=address or self._listed_address(index),
@@ -449,6 +454,7 @@
                 self.note.note("use", number, self.lives[number], seconds, memory.rss // 1024)
 
     async def _trouble(self, trouble: Trouble, start: float) -> None:
+        """Injects a fault when it is scheduled; the run starts at `start` (ms)."""
         loop = asyncio.get_running_loop()
         await asyncio.sleep((start + trouble.at_ms) / 1000.0 - loop.time())
         self.note.note("trouble", trouble.kind, trouble.on, trouble.for_ms, trouble.size)
@@ -506,6 +512,7 @@
                 self.note.note("healed", trouble.on)
 
     async def _node_trouble(self, trouble: Trouble, index: int) -> None:
+        """Injects a fault of a node; a node that ends is listed as gone, started again and listed as live."""
         _, control = self.nodes[index]
         kind, for_ms = trouble.kind, trouble.for_ms
         if kind in ("crash", "drain", "move"):
@@ -531,6 +538,7 @@
         await control.say(command, value=value, for_ms=for_ms)
 
     async def _dispatcher_trouble(self, trouble: Trouble, number: int) -> None:
+        """Stops a dispatcher for a time by a signal, or ends it and (but for kind "end") starts it again."""
         child = self.dispatchers[number]
         if trouble.kind == "stop":
             self.note.note("stopped", number)
--- a/cherrygrade/lab/rig/scenario.py
+++ b/cherrygrade/lab/rig/scenario.py
@@ -159,7 +159,7 @@
         extra: Text of a record with further values.
 
     Raises:
-        RecordError: The scenario is invalid; the error names all faults of it.
+        RecordError: The scenario is invalid; the error lists everything wrong with it.
     """
     read = convert(plain(read_vertex(path, "scenario.rec", extra)), Scenario)
     return replace(read, troubles=[*read.troubles, *draw(read)]) if read.drawn else read
@@ -238,6 +238,7 @@
     """Random source that hashes the scenario's seed and a counter."""
 
     def __init__(self, seed: int) -> None:
+        """Starts the sequence of this seed."""
         self.seed, self.count = seed, 0
 
     def uniform(self) -> float:
