--- a/cherrygrade/fleet/runtime/status_query.py
+++ b/cherrygrade/fleet/runtime/status_query.py
@@ -32,11 +32,11 @@
         """Send the query: it is a `Hello` with the role of a status query, and no other message."""
         conn.send(Hello(VERSION, stream_roles.STATUS, "cherrygrade fleet"))
 
-    def room(self, conn: Connection, message: Any, length: int) -> None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> None:
         """Called by the connection for memory for a frame's body: `Members` frames have none."""
         return
 
-    def frame(self, conn: Connection, message: Any, body: object) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: object) -> None:
         """Called by the connection with each frame; a status may have any number of frames."""
         if isinstance(message, Members) and not self.answer.done():
             self._received += message.payload
--- a/cherrygrade/inflight.py
+++ b/cherrygrade/inflight.py
@@ -13,8 +13,8 @@
 from cherrygrade.scheduling.model import Attempt, Request
 
 if TYPE_CHECKING:  # the platform's dispatcher does not load these modules
-    from cherrygrade.peers.ladder import Step
-    from cherrygrade.peers.store import Account, Claim, Purse
+    from cherrygrade.peers.memory_budget import Account, PrepaidCredit, Reservation
+    from cherrygrade.peers.slow_peer_escalation import Step
     from cherrygrade.transport.connection import Connection
     from cherrygrade.wire.messages import Errored, Ok, Part, ReadRpc, Rejected, WriteRpc
 
@@ -29,7 +29,7 @@
         claim: memory for the complete range; None where the pieces claim their own.
     """
 
-    claim: Claim | None
+    claim: Reservation | None
 
     @property
     def session(self) -> ClientSession:
@@ -112,10 +112,12 @@
     def memory_refused(self, request: InflightRequest) -> None:
         """Take in that memory for the request's bytes was not granted in time."""
 
-    def send_message(self, message: Ok | Rejected | Errored | Part, body: Body, claim: Claim | None) -> None:
+    def send_message(
+        self, message: Ok | Rejected | Errored | Part, body: Body, claim: Reservation | None
+    ) -> None:
         """Send a message to the client; `claim` is released once the client has taken the body."""
 
-    def answer(self, message: Ok | Rejected | Errored, body: Body, claim: Claim | None) -> None:
+    def answer(self, message: Ok | Rejected | Errored, body: Body, claim: Reservation | None) -> None:
         """Send the final answer of an RPC, or only release `claim` if the client no longer waits for it."""
 
 
@@ -145,21 +147,21 @@
     version: int = -1
     range: RangeRequest | None = None
     piece: Any = None
-    claim: Claim | None = None
-    purse: Purse | None = None
+    claim: Reservation | None = None
+    purse: PrepaidCredit | None = None
 
-    def memory_claim(self) -> Claim | None:
+    def memory_claim(self) -> Reservation | None:
         """Return the claim that covers the request's bytes, its own or that of its range request."""
         return self.claim or (self.range.claim if self.range is not None else None)
 
-    def roomy(self, claim: Claim) -> None:
+    def reservation_granted(self, claim: Reservation) -> None:
         """Pass on to the session that `claim` was granted, and let a range request start further pieces."""
         assert self.session is not None
         self.session.memory_granted(self)
         if self.range is not None:
             self.range.start_pieces()
 
-    def cramped(self, claim: Claim) -> None:
+    def reservation_timed_out(self, claim: Reservation) -> None:
         """Pass on to the session that `claim` was not granted in time."""
         assert self.session is not None
         self.session.memory_refused(self)
@@ -179,6 +181,6 @@
 
     frame: Any = None
     timer_slot: int = 0
-    claim: Claim | None = None
+    claim: Reservation | None = None
     expires_ms: float = 0.0
     exchange: Any = None
