--- a/cherrygrade/lab/audits/audit.py
+++ b/cherrygrade/lab/audits/audit.py
@@ -306,8 +306,8 @@
             f"deadline {request.deadline_ms:.1f})"
         )
         excused = any(
-            request.at_ms - CLOCK_SLACK_MS <= death <= request.deadline_ms + CLOCK_SLACK_MS
-            for death in ev.exits_ms[request.host]
+            request.at_ms - CLOCK_SLACK_MS <= exit_ms <= request.deadline_ms + CLOCK_SLACK_MS
+            for exit_ms in ev.exits_ms[request.host]
         )
         # Answers need `answer_ms` to reach the client: a request with less time is rejected on receipt.
         excused = excused or request.deadline_ms - request.at_ms < ev.site.bounds.answer_ms
@@ -340,7 +340,7 @@
                 )
     for name, incarnation, reason, code in ev.exit_codes:
         if reason != "kill" and code:
-            verdict.add_breach(f"{name} (incarnation {incarnation}) expected exit code 0, got {code}")
+            verdict.add_breach(f"{name} (incarnation {incarnation}): expected exit code 0, got {code}")
 
 
 def _twice(ev: Evidence, verdict: Verdict) -> None:
@@ -353,6 +353,7 @@
         verdict.judged += 1
         work = ev.workload(request.workload)
         sends = sorted(sends, key=lambda attempt: attempt.at_ms)
+        # Code 2: the node was full and did not execute the attempt. Any other attempt may have run.
         ran = [attempt for attempt in sends if attempt.outcome != "answer 2"]
         for earlier, later in itertools.pairwise(sends):
             if (
--- a/cherrygrade/lab/rig/fromday.py
+++ b/cherrygrade/lab/rig/fromday.py
@@ -19,6 +19,7 @@
 EFFECTS = {"safe": "idempotent", "keyed": "tokened", "unsafe": "non-idempotent"}
 
 Change = dict[str, Any]
+"""One fault or change of load, as day files and scenarios describe it."""
 
 
 class _Day:
@@ -65,7 +66,7 @@
 def _node_fault(
     kind: str, sized: Callable[[Change], float] = lambda trouble: 1.0
 ) -> Callable[[_Day, Change], list[Change]]:
-    """Returns a converter for a single fault of nodes; `sized` gives its size in the scenario."""
+    """Returns a converter for a single fault of nodes or the registry; `sized` gives the fault's size."""
 
     def convert(day: _Day, trouble: Change) -> list[Change]:
         on = day.select_scaled(trouble["on"], day.servers, day.nodes)
--- a/cherrygrade/lab/rig/run.py
+++ b/cherrygrade/lab/rig/run.py
@@ -134,10 +134,10 @@
 def free_places(count: int, on: str = "127.0.0.1") -> list[str]:
     """Returns `count` addresses 127.0.0.1:PORT with different ports that are free on the address `on`."""
     sockets = [socket.create_server((on, 0)) for _ in range(count)]
-    places = [f"127.0.0.1:{sock.getsockname()[1]}" for sock in sockets]
+    addresses = [f"127.0.0.1:{sock.getsockname()[1]}" for sock in sockets]
     for sock in sockets:
         sock.close()
-    return places
+    return addresses
 
 
 class Day:
@@ -262,6 +262,7 @@
             await self._end(loads)
 
     async def _start(self) -> None:
+        """Starts all processes but the load, and gives them the state before the run."""
         scenario, folder = self.scenario, self.folder
         self.told("processes", 0.0)
         await self.register.start(
@@ -270,7 +271,7 @@
         self.listed = Controller(f"127.0.0.1:{self.register.ports[1]}")
         await self.listed.connect()
 
-        async def node(index: int) -> tuple[Child, Controller]:
+        async def start_node(index: int) -> tuple[Child, Controller]:
             child = Child(f"node-{index}", folder)
             build = json.dumps(
                 {
@@ -293,7 +294,7 @@
             await control.connect()
             return child, control
 
-        self.nodes = [*await asyncio.gather(*(node(index) for index in range(len(scenario.nodes))))]
+        self.nodes = [*await asyncio.gather(*(start_node(index) for index in range(len(scenario.nodes))))]
         self.addresses = [f"127.0.0.1:{child.ports[0]}" for child, _ in self.nodes]
         if scenario.fleet:
             await self._start_network()
@@ -306,6 +307,7 @@
             await asyncio.gather(*(self._launch(number) for number in batch))
 
     async def _start_council(self) -> None:
+        """Starts the receiver of orders and creates the stores of the council's founding members."""
         council_settings = self.scenario.council
         assert council_settings is not None
         numbered = "--numbered" if council_settings.numbered else "--no-numbered"
@@ -316,6 +318,7 @@
             create_founding_store(self.folder / f"council-{name}", FLEET, name, voters)
 
     def _council(self, number: int) -> dict[str, object]:
+        """Returns the council settings of a dispatcher; empty if the scenario has no council."""
         council_settings = self.scenario.council
         if council_settings is None:
             return {}
@@ -330,11 +333,11 @@
 
     async def _start_network(self) -> None:
         """Starts the network between dispatchers, on two ports that are free on all addresses."""
-        told, bound = (int(place.rpartition(":")[2]) for place in free_places(2, "0.0.0.0"))
-        self.fleet_ports = (told, bound)
+        announced, bound = (int(address.rpartition(":")[2]) for address in free_places(2, "0.0.0.0"))
+        self.fleet_ports = (announced, bound)
         await self.ways.start(
             "cherrygrade", "standin", "ways",
-            "--count", str(self.scenario.dispatchers), "--port", str(told), "--bound", str(bound),
+            "--count", str(self.scenario.dispatchers), "--port", str(announced), "--bound", str(bound),
             "--fleet", FLEET, "--seed", str(self.scenario.seed), "--record", str(self.folder / "ways.log"),
         )  # fmt: skip
         self.network_control = Controller(f"127.0.0.1:{self.ways.ports[0]}")
@@ -365,17 +368,18 @@
         self.note.note("placed", index, self.addresses[index], self.listed_addresses[index])
 
     def _listed_address(self, index: int) -> str:
+        """Returns the address under which the registry lists the node."""
         return self.listed_addresses[index] if self.forwarding_port else self.addresses[index]
 
     def _fleet(self, number: int) -> dict[str, object] | None:
         """Returns the fleet settings of a dispatcher: contacts, and the announced and the bound address."""
         if not self.scenario.fleet:
             return None
-        told, bound = self.fleet_ports
-        contacts = [f"{host(TOLD, at)}:{told}" for at in range(min(3, self.scenario.dispatchers))]
+        announced, bound = self.fleet_ports
+        contacts = [f"{host(TOLD, at)}:{announced}" for at in range(min(3, self.scenario.dispatchers))]
         return {
             "name": FLEET,
-            "place": f"{host(TOLD, number)}:{told}",
+            "place": f"{host(TOLD, number)}:{announced}",
             "bind": f"{host(BOUND, number)}:{bound}",
             "contacts": contacts,
             "zone": f"z{number % 3}",
@@ -562,6 +566,7 @@
         await self._launch(number)
 
     async def _end(self, loads: list[Child]) -> None:
+        """Ends all processes and records the exit codes of the dispatchers."""
         await asyncio.gather(*(child.end(signal.SIGKILL) for child in loads))
         self.note.note("ended")
         if self.scenario.fleet:
