--- a/cherrygrade/lab/audits/audit.py
+++ b/cherrygrade/lab/audits/audit.py
@@ -45,6 +45,11 @@
     18: "no two act for one task",
     19: "tasks are done where the most can speak",
 }
+"""Titles of the rules by number, as report.json and `lab audit` show them.
+
+This module checks 1 to 8, `fleetaudit.py` checks 11 to 19 (the promises of a fleet). The function
+of each rule says what the rule demands.
+"""
 
 
 @dataclass(slots=True)
--- a/cherrygrade/lab/audits/fleetaudit.py
+++ b/cherrygrade/lab/audits/fleetaudit.py
@@ -36,7 +36,7 @@
 """Loss (part of the datagrams) and delay (ms) up to which no running member may be declared failed."""
 
 DIGEST_INTERVAL_MS = 20.0  # resolution in time of the expected digest
-PROMISES = (11, 12, 13, 14, 15, 16, 17)
+PROMISES = (11, 12, 13, 14, 15, 16, 17)  # rules checked from datagrams and the process table
 
 
 @dataclass(slots=True)
--- a/cherrygrade/lab/audits/selfcheck.py
+++ b/cherrygrade/lab/audits/selfcheck.py
@@ -59,6 +59,6 @@
     broken = ", ".join(RULES[verdict.rule] for verdict in verdicts if verdict.broken) or "nothing"
     name = f"broken in '{RULES[way]}'" if way else "sound"
     first = next((verdict.evidence[0] for verdict in verdicts if verdict.broken and verdict.rule == way), "")
-    return f"{'ok  ' if as_expected else 'FAIL'} {name}: convicted of {broken}" + (
+    return f"{'ok  ' if as_expected else 'FAIL'} {name}: found broken: {broken}" + (
         f"\n       {first}" if first else ""
     )
