--- a/cherrygrade/lab/audits/fleetaudit.py
+++ b/cherrygrade/lab/audits/fleetaudit.py
@@ -465,8 +465,8 @@
             at = probed.get((datagram.source, int(name[1:])), -1e18)
             if datagram.at - at > MAX_ACCUSATION_DELAY_MS:
                 verdict.add_breach(
-                    f"{by} suspects {name} at {datagram.at:.0f}, last probe more than "
-                    f"{MAX_ACCUSATION_DELAY_MS / 1000.0:.0f} s ago"
+                    f"{by} suspects {name} at {datagram.at:.0f}, not probed in the last "
+                    f"{MAX_ACCUSATION_DELAY_MS / 1000.0:.0f} s"
                 )
 
 
