--- a/cherrygrade/records/__init__.py
+++ b/cherrygrade/records/__init__.py
@@ -1,1 +1,1 @@
-"""Typed records: the form of our settings and scenarios (docs/records.md)."""
+"""The records language, in which settings and scenarios are written (docs/records.md)."""
--- a/cherrygrade/records/frozen_names.py
+++ b/cherrygrade/records/frozen_names.py
@@ -1,7 +1,8 @@
-"""Names that settings have in records, in the start message and in the fleet's mark, and the program's own.
+"""Frozen names of settings, and the fields of the program's types that they stand for.
 
-The names in records are frozen: operators' files use them. They are mapped here, once, to the fields of the
-types that the program works with. Each entry lists the frozen names in the order of the type's fields.
+The frozen names are used in records, in the start message and in the digest of the fleet's settings. They
+must not change, because operators' files contain them. This module alone maps them to the fields of the
+program's types.
 """
 
 from __future__ import annotations
@@ -43,29 +44,30 @@
         "join_length join_most unit_length least_units",
     ),
 }
-"""Type: its frozen name, and the frozen names of its fields in order."""
+"""For each type its frozen name, and the frozen names of its fields in the order of the fields."""
 
 FROZEN_IDEMPOTENCY = {
     Idempotency.IDEMPOTENT: "IDEMPOTENT",
     Idempotency.IDEMPOTENT_WITH_KEY: "TOKENED",
     Idempotency.NON_IDEMPOTENT: "NON_IDEMPOTENT",
 }
+"""Frozen name of each member of `Idempotency`."""
 
 
 def frozen_fields(kind: type) -> list[tuple[str, str]]:
-    """Pairs of the frozen name and the field's name, in the order of the fields."""
+    """Return pairs of a frozen name and the field's name, in the order of the fields."""
     _, frozen = FROZEN_NAMES[kind]
-    return [*zip(frozen.split(), (one.name for one in fields(kind)), strict=True)]
+    return [*zip(frozen.split(), (each.name for each in fields(kind)), strict=True)]
 
 
 def record_keys(kind: type) -> list[tuple[str, str]]:
-    """Pairs of the key in a record and the field's name; both are the same where nothing was renamed."""
+    """Return pairs of the key in a record and the field's name; equal if the type has no frozen names."""
     if kind in FROZEN_NAMES:
         return frozen_fields(kind)
-    return [(one.name, one.name) for one in fields(kind)]
+    return [(each.name, each.name) for each in fields(kind)]
 
 
 def with_field_names(kind: type, values: Mapping[str, Any]) -> dict[str, Any]:
-    """Values of one record under the names of the type's fields; unknown names stay as they are."""
+    """Return the values of a record under the names of the type's fields; unknown names stay as they are."""
     names = dict(frozen_fields(kind))
     return {names.get(key, key): value for key, value in values.items()}
--- a/cherrygrade/records/grammar.py
+++ b/cherrygrade/records/grammar.py
@@ -1,7 +1,8 @@
-"""Text of records to a tree, by a lark grammar; commas are put in at line ends, as CUE does.
+"""Parser of the records language, a subset of CUE: turns a text into a tree of expressions.
 
-The subset: fields, optional fields, pattern fields with an alias, definitions, nested labels, closed and open
-structs, lists, references, `&`, `|` with `*default`, bounds, `=~`, sums and products, comments.
+As in CUE, a line end counts as a comma where an expression is complete. The subset has fields, optional
+fields, pattern fields with an alias, definitions, nested labels, closed and open structs, lists, references,
+`&`, `|` with `*default`, bounds, `=~`, sums and products, and comments.
 """
 
 from __future__ import annotations
@@ -17,28 +18,28 @@
 GRAMMAR = r"""
 start: [_decls]
 _decls: decl (_COMMA decl)* _COMMA?
-?decl: field | embed | open
-embed: expr
-open: _DOTS
-field: label QUERY? ":" (field_in | expr)
-field_in: field
-label: IDENT -> plain | WORD -> plain | DEF -> plain | STRING -> quoted
+?decl: field | embedded | open_struct
+embedded: expr
+open_struct: _DOTS
+field: label QUERY? ":" (nested_field | expr)
+nested_field: field
+label: IDENT -> plain | KEYWORD -> plain | DEF -> plain | STRING -> quoted
      | "[" [IDENT "="] expr "]" -> pattern
-?expr: first ("|" first)* -> either
-first: STAR? all
-?all: sum ("&" sum)* -> both
-?sum: product (SIGN product)* -> arith
-?product: unary (FACTOR unary | STAR unary)* -> arith
+?expr: alternative ("|" alternative)* -> disjunction
+alternative: STAR? operand
+?operand: sum ("&" sum)* -> conjunction
+?sum: product (SIGN product)* -> calculation
+?product: unary (FACTOR unary | STAR unary)* -> calculation
 ?unary: COMPARE unary -> bound | SIGN unary -> signed | primary
-?primary: IDENT ("." (IDENT | DEF))* -> ref | DEF ("." IDENT)* -> ref
-     | NUMBER -> number | STRING -> string | WORD -> word
-     | "{" [_decls] "}" -> struct | "[" "]" -> many | "[" expr "]" -> many
-     | "[" element _COMMA [_elements] "]" -> many | "[" rest "]" -> many
+?primary: IDENT ("." (IDENT | DEF))* -> reference | DEF ("." IDENT)* -> reference
+     | NUMBER -> number | STRING -> string | KEYWORD -> keyword
+     | "{" [_decls] "}" -> struct | "[" "]" -> list_literal | "[" expr "]" -> list_literal
+     | "[" element _COMMA [_elements] "]" -> list_literal | "[" ellipsis "]" -> list_literal
      | "(" expr ")" -> paren
 _elements: element (_COMMA element)* _COMMA?
-?element: expr | rest
-rest: _DOTS expr?
-WORD.3: /(true|false|null|string|int|number|bool|_)(?![A-Za-z0-9_])/
+?element: expr | ellipsis
+ellipsis: _DOTS expr?
+KEYWORD.3: /(true|false|null|string|int|number|bool|_)(?![A-Za-z0-9_])/
 DEF: /#[A-Za-z_][A-Za-z0-9_]*/
 IDENT: /[A-Za-z_][A-Za-z0-9_]*/
 NUMBER: /[0-9][0-9_]*(\.[0-9]+)?([eE][-+]?[0-9]+)?/
@@ -59,7 +60,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """Where something stands: file, line and column from 1."""
+    """A place in a text.
+
+    Attributes:
+        file: Path or name of the text.
+        line: Line number, from 1.
+        column: Column number, from 1.
+    """
 
     file: str
     line: int
@@ -71,68 +78,88 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Tree:
-    """One expression. Kinds and their parts are those of the grammar's names."""
+    """One expression of a text.
+
+    Attributes:
+        kind: "literal", "type", or the name that `GRAMMAR` gives the expression, such as "struct",
+            "disjunction" or "reference".
+        position: Where the expression starts.
+        parts: The operands, fields or values of the expression. Each part of a disjunction is a pair: whether
+            it is marked as a default by `*`, and its tree.
+    """
 
     kind: str
-    at: Position
+    position: Position
     parts: tuple[Any, ...]
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Field:
-    """kind: 'field', 'optional' or 'pattern'; `label` is text, or a pattern's expression."""
+    """One field of a struct.
+
+    Attributes:
+        kind: "field", "optional" or "pattern".
+        label: The name of the field as text; for a pattern the expression that names have to match.
+        alias: The name by which the value of a pattern refers to the matched name; "" for none.
+        value: The expression after the colon.
+        position: Where the field starts.
+    """
 
     kind: str
     label: Any
     alias: str
     value: Tree
-    at: Position
+    position: Position
 
 
 class RecordSyntaxError(Exception):
-    """The text is no record; the message names file, line and column."""
+    """The text cannot be parsed; the message starts with the file, and with line and column where known."""
 
 
-class _Commas:
-    """A comma stands at each line end that follows something complete."""
+class _CommaInserter:
+    """Inserts a comma token at each line end that follows a complete expression."""
 
     always_accept = ("NEWLINE",)
-    ends = frozenset({"IDENT", "DEF", "STRING", "NUMBER", "WORD", "RBRACE", "RSQB", "RPAR", "_DOTS"})
+    ending_terminals = frozenset(
+        {"IDENT", "DEF", "STRING", "NUMBER", "KEYWORD", "RBRACE", "RSQB", "RPAR", "_DOTS"}
+    )
 
     def process(self, stream: Iterator[Token]) -> Iterator[Token]:
-        last = ""
+        previous_type = ""
         for token in stream:
             if token.type != "NEWLINE":
-                last = token.type
+                previous_type = token.type
                 yield token
-            elif last in self.ends:
-                last = "_COMMA"
+            elif previous_type in self.ending_terminals:
+                previous_type = "_COMMA"
                 yield Token.new_borrow_pos("_COMMA", ",", token)
 
 
-def _alone(parts: list[Any]) -> Tree | None:
+def _only_part(parts: list[Any]) -> Tree | None:
     return parts[0] if len(parts) == 1 else None
 
 
 @v_args(meta=True)
-class _Build(Transformer[Token, Any]):
+class _TreeBuilder(Transformer[Token, Any]):
+    """Turns lark's parse tree into a `Tree`; each method builds the rule of `GRAMMAR` of the same name."""
+
     def __init__(self, file: str) -> None:
         super().__init__()
         self.file = file
 
-    def at(self, meta: Any) -> Position:
+    def position(self, meta: Any) -> Position:
         return Position(self.file, getattr(meta, "line", 1), getattr(meta, "column", 1))
 
     def start(self, meta: Any, parts: list[Any]) -> Tree:
         return self.struct(meta, parts)
 
     def struct(self, meta: Any, parts: list[Any]) -> Tree:
-        return Tree("struct", self.at(meta), tuple(part for part in parts if part is not None))
+        return Tree("struct", self.position(meta), tuple(part for part in parts if part is not None))
 
-    def embed(self, meta: Any, parts: list[Any]) -> Any:
+    def embedded(self, meta: Any, parts: list[Any]) -> Any:
         return parts[0]
 
-    def open(self, meta: Any, parts: list[Any]) -> str:
+    def open_struct(self, meta: Any, parts: list[Any]) -> str:
         return "..."
 
     def plain(self, meta: Any, parts: list[Any]) -> tuple[str, Any, str]:
@@ -144,78 +171,88 @@
     def pattern(self, meta: Any, parts: list[Any]) -> tuple[str, Any, str]:
         return "pattern", parts[-1], str(parts[0]) if len(parts) > 1 and parts[0] is not None else ""
 
-    def field_in(self, meta: Any, parts: list[Any]) -> Tree:
-        return Tree("struct", parts[0].at, (parts[0],))
+    def nested_field(self, meta: Any, parts: list[Any]) -> Tree:
+        return Tree("struct", parts[0].position, (parts[0],))
 
     def field(self, meta: Any, parts: list[Any]) -> Field:
         kind, label, alias = parts[0]
         if any(isinstance(part, Token) for part in parts[1:-1]):
             kind = "optional"
-        return Field(kind, label, alias, parts[-1], self.at(meta))
+        return Field(kind, label, alias, parts[-1], self.position(meta))
 
-    def first(self, meta: Any, parts: list[Any]) -> tuple[bool, Tree]:
+    def alternative(self, meta: Any, parts: list[Any]) -> tuple[bool, Tree]:
         return len(parts) > 1, parts[-1]
 
-    def either(self, meta: Any, parts: list[Any]) -> Tree:
+    def disjunction(self, meta: Any, parts: list[Any]) -> Tree:
         if len(parts) == 1 and not parts[0][0]:
             tree: Tree = parts[0][1]
             return tree
-        return Tree("either", self.at(meta), tuple(parts))
+        return Tree("disjunction", self.position(meta), tuple(parts))
 
-    def both(self, meta: Any, parts: list[Any]) -> Tree:
-        return _alone(parts) or Tree("both", self.at(meta), tuple(parts))
+    def conjunction(self, meta: Any, parts: list[Any]) -> Tree:
+        return _only_part(parts) or Tree("conjunction", self.position(meta), tuple(parts))
 
-    def arith(self, meta: Any, parts: list[Any]) -> Tree:
-        return _alone(parts) or Tree("arith", self.at(meta), tuple(parts))
+    def calculation(self, meta: Any, parts: list[Any]) -> Tree:
+        return _only_part(parts) or Tree("calculation", self.position(meta), tuple(parts))
 
     def bound(self, meta: Any, parts: list[Any]) -> Tree:
-        return Tree("bound", self.at(meta), (str(parts[0]), parts[1]))
+        return Tree("bound", self.position(meta), (str(parts[0]), parts[1]))
 
     def signed(self, meta: Any, parts: list[Any]) -> Tree:
-        zero = Tree("literal", self.at(meta), (0,))
-        return Tree("arith", self.at(meta), (zero, parts[0], parts[1]))
+        zero = Tree("literal", self.position(meta), (0,))
+        return Tree("calculation", self.position(meta), (zero, parts[0], parts[1]))
 
-    def ref(self, meta: Any, parts: list[Any]) -> Tree:
-        return Tree("ref", self.at(meta), tuple(str(part) for part in parts))
+    def reference(self, meta: Any, parts: list[Any]) -> Tree:
+        return Tree("reference", self.position(meta), tuple(str(part) for part in parts))
 
     def number(self, meta: Any, parts: list[Any]) -> Tree:
         text = parts[0].replace("_", "")
         value: int | float = int(text) if text.isdigit() else float(text)
-        return Tree("literal", self.at(meta), (value,))
+        return Tree("literal", self.position(meta), (value,))
 
     def string(self, meta: Any, parts: list[Any]) -> Tree:
-        return Tree("literal", self.at(meta), (json.loads(parts[0]),))
+        return Tree("literal", self.position(meta), (json.loads(parts[0]),))
 
-    def word(self, meta: Any, parts: list[Any]) -> Tree:
+    def keyword(self, meta: Any, parts: list[Any]) -> Tree:
         text = str(parts[0])
         if text in ("true", "false", "null"):
-            return Tree("literal", self.at(meta), ({"true": True, "false": False, "null": None}[text],))
-        return Tree("type", self.at(meta), (text,))
+            return Tree("literal", self.position(meta), ({"true": True, "false": False, "null": None}[text],))
+        return Tree("type", self.position(meta), (text,))
 
-    def rest(self, meta: Any, parts: list[Any]) -> Tree:
-        inner = parts[0] if parts and parts[0] is not None else Tree("type", self.at(meta), ("_",))
-        return Tree("rest", self.at(meta), (inner,))
+    def ellipsis(self, meta: Any, parts: list[Any]) -> Tree:
+        inner = parts[0] if parts and parts[0] is not None else Tree("type", self.position(meta), ("_",))
+        return Tree("ellipsis", self.position(meta), (inner,))
 
-    def many(self, meta: Any, parts: list[Any]) -> Tree:
-        return Tree("many", self.at(meta), tuple(part for part in parts if part is not None))
+    def list_literal(self, meta: Any, parts: list[Any]) -> Tree:
+        return Tree("list_literal", self.position(meta), tuple(part for part in parts if part is not None))
 
     def paren(self, meta: Any, parts: list[Any]) -> Any:
         return parts[0]
 
 
-_lark = Lark(GRAMMAR, parser="lalr", postlex=_Commas(), propagate_positions=True, maybe_placeholders=False)
+_parser = Lark(
+    GRAMMAR, parser="lalr", postlex=_CommaInserter(), propagate_positions=True, maybe_placeholders=False
+)
 
 
 def parse(text: str, file: str) -> Tree:
-    """The text's struct. Raises RecordSyntaxError."""
+    """Parse a text into the tree of its outermost struct.
+
+    Args:
+        text: Text in the records language.
+        file: Path or name of the text, for positions and error messages.
+
+    Raises:
+        RecordSyntaxError: If the text is not in the records language.
+    """
     try:
-        built: Tree = _Build(file).transform(_lark.parse(text + "\n"))
+        built: Tree = _TreeBuilder(file).transform(_parser.parse(text + "\n"))
         return built
-    except (UnexpectedCharacters, UnexpectedToken) as trouble:
-        line, column = trouble.line, trouble.column
-        if isinstance(trouble, UnexpectedToken) and trouble.token.type == "$END":
-            raise RecordSyntaxError(f"{file}: the text ends within a record") from trouble
-        shown = text.splitlines()[line - 1].strip() if 0 < line <= len(text.splitlines()) else ""
-        raise RecordSyntaxError(f"{file}:{line}:{column}: not understood here: {shown}") from trouble
-    except UnexpectedInput as trouble:
-        raise RecordSyntaxError(f"{file}: {trouble}") from trouble
+    except (UnexpectedCharacters, UnexpectedToken) as error:
+        line, column = error.line, error.column
+        if isinstance(error, UnexpectedToken) and error.token.type == "$END":
+            raise RecordSyntaxError(f"{file}: the text ends within a record") from error
+        source_line = text.splitlines()[line - 1].strip() if 0 < line <= len(text.splitlines()) else ""
+        raise RecordSyntaxError(f"{file}:{line}:{column}: syntax error: {source_line}") from error
+    except UnexpectedInput as error:
+        raise RecordSyntaxError(f"{file}: {error}") from error
--- a/cherrygrade/records/settings_digest.py
+++ b/cherrygrade/records/settings_digest.py
@@ -1,8 +1,8 @@
-"""The mark of the settings that have to be the same in a whole fleet.
+"""Digest of the settings that must be equal in the whole fleet.
 
-Members tell each other this mark, so it belongs to the wire: it is a checksum of the text form that settings
-had when the protocol was frozen (`frozen_names.py`); renaming a class or a field in the program does not
-change the mark.
+Members send this digest to each other, so it is part of the protocol. It is a checksum of the text form that
+the settings had when the protocol was frozen, with the names in `frozen_names.py`. Renaming a class or a
+field in the program does not change the digest.
 """
 
 from __future__ import annotations
@@ -18,15 +18,17 @@
 
 
 def settings_digest(site: SiteSettings) -> str:
-    """Eight hexadecimal digits, equal for two dispatchers whose shared settings are equal.
+    """Return eight hexadecimal digits, equal for two dispatchers whose shared settings are equal.
 
-    :param site: the settings of the dispatcher's own file, without the fleet's configuration.
+    Args:
+        site: The settings of the dispatcher's own file, without the fleet's configuration.
     """
     shared = (site.trade, site.bearings, site.place.dispatchers)
     return f"{zlib.crc32(_frozen_text(shared).encode()):08x}"
 
 
 def _frozen_text(value: Any) -> str:
+    """Return the text form of a value, with the frozen names of types, fields and enum members."""
     if isinstance(value, Enum):
         assert isinstance(value, Idempotency)
         return f"<Effect.{FROZEN_IDEMPOTENCY[value]}: {value.value!r}>"
--- a/tests/records/test_records.py
+++ b/tests/records/test_records.py
@@ -1,4 +1,7 @@
-"""Records: what is right becomes frozen types, what is wrong is told with its place, all at once."""
+"""Settings in the records language: valid texts become frozen types, invalid ones list all errors.
+
+Each error names the file, line and column, so that an operator can correct a file in one go.
+"""
 
 from __future__ import annotations
 
@@ -14,11 +17,12 @@
 from cherrygrade.scheduling.model import Idempotency
 
 
-def value(*texts: str):
+def value_and_errors(*texts: str):
+    """Unify texts, and return the value and all errors; the texts are called f0, f1 and so on in errors."""
     vertex = unify([parse(text, f"f{i}") for i, text in enumerate(texts)])
     faults = list(vertex.all_faults())
-    plain, lacking = vertex.export()
-    return plain, [str(fault) for fault in [*faults, *lacking]]
+    value, missing = vertex.export()
+    return value, [str(fault) for fault in [*faults, *missing]]
 
 
 @pytest.mark.parametrize(
@@ -40,12 +44,12 @@
         ("a: -2.5e1 // the end", {"a": -25.0}),
     ],
 )
-def test_what_is_said_of_a_path_becomes_one_value(text, expected):
-    assert value(text) == (expected, [])
+def test_expressions_for_a_path_unify_to_one_value(text, expected):
+    assert value_and_errors(text) == (expected, [])
 
 
 @pytest.mark.parametrize(
-    ("texts", "words"),
+    ("texts", "error_parts"),
     [
         (("a: >5", "a: 3"), ["f1:1:4", "a:", "3", ">5 (f0:1:4)"]),
         (("#D: {x: int}\nd: #D & {y: 2}",), ["f0:2:10", "d:", "'y'", "x"]),
@@ -55,34 +59,34 @@
         (("e: zz",), ["'zz'"]),
         (("h: int & >3",), ["needs a value", ">3"]),
         (("l: [1, 2] & [1]",), ["a list of 1", "of 2"]),
-        (("a: {b: 1}\na: 3",), ["a scalar here, a struct elsewhere"]),
+        (("a: {b: 1}\na: 3",), ["expected a struct as given elsewhere, got a scalar"]),
         (("a: 1 / 0",), ["division by zero"]),
-        (('a: 1 + "x"',), ["'+' between 1"]),
+        (('a: 1 + "x"',), ["operator '+' needs two numbers, got 1"]),
         (("a: int\na: true",), ["conflict: true"]),
     ],
 )
-def test_what_cannot_be_is_told_with_both_sides_and_their_places(texts, words):
-    _, faults = value(*texts)
-    assert all(any(word in fault for fault in faults) for word in words), faults
+def test_conflicts_are_reported_with_both_expressions_and_their_positions(texts, error_parts):
+    _, faults = value_and_errors(*texts)
+    assert all(any(part in fault for fault in faults) for part in error_parts), faults
 
 
 @pytest.mark.parametrize(
-    ("text", "place"), [("a: {", "ends within"), ("a: 1\nb: ]", "f:2:4"), ("a: @", "f:1:4")]
+    ("text", "position"), [("a: {", "ends within"), ("a: 1\nb: ]", "f:2:4"), ("a: @", "f:1:4")]
 )
-def test_text_that_is_no_record_is_told_by_line_and_column(text, place):
-    with pytest.raises(RecordSyntaxError, match=place):
+def test_syntax_errors_are_reported_with_line_and_column(text, position):
+    with pytest.raises(RecordSyntaxError, match=position):
         parse(text, "f")
 
 
 @given(st.dictionaries(st.sampled_from("abcd"), st.integers(-9, 9)), st.permutations(["x", "y", "z"]))
-def test_the_order_of_texts_changes_no_value(fields, order):
+def test_order_of_texts_does_not_change_the_value(fields, order):
     texts = {
         "x": "\n".join(f"{name}: {number}" for name, number in fields.items()),
         "y": "a: *3 | int\nb: *4 | number",
         "z": "s: a\nt: {u: b}",
     }
-    plain, faults = value(*(texts[name] for name in order))
-    assert not faults and plain["s"] == fields.get("a", 3) and plain["t"]["u"] == fields.get("b", 4)
+    value, faults = value_and_errors(*(texts[name] for name in order))
+    assert not faults and value["s"] == fields.get("a", 3) and value["t"]["u"] == fields.get("b", 4)
 
 
 MINIMAL = """
@@ -93,7 +97,7 @@
 """
 
 
-def test_a_site_is_read_into_frozen_types(tmp_path: Path):
+def test_settings_are_read_into_frozen_types(tmp_path: Path):
     (tmp_path / "s.rec").write_text(MINIMAL)
     site = read_site(tmp_path / "s.rec", "place: dispatchers: 3")
     assert site.trade.workloads["w"].idempotency is Idempotency.IDEMPOTENT_WITH_KEY
@@ -101,34 +105,34 @@
     assert site.bearings.budget is None and site.lines.streams == 32
 
 
-def test_what_is_given_goes_before_a_file_in_braces_too(tmp_path):
+def test_command_line_overrides_a_file_that_is_enclosed_in_braces(tmp_path):
     text = '{"place": {"name": "d", "listen": "127.0.0.1:1", "register": "127.0.0.1:2"}}'
     (tmp_path / "s.rec").write_text(text)
-    for given_ in ('place: name: "other"', '{"place": {"name": "other"}}', '{place: {name: "other"}}'):
-        site = read_site(tmp_path / "s.rec", given_)
+    for override in ('place: name: "other"', '{"place": {"name": "other"}}', '{place: {name: "other"}}'):
+        site = read_site(tmp_path / "s.rec", override)
         assert (site.place.name, site.place.listen) == ("other", "127.0.0.1:1")
     (tmp_path / "s.rec").write_text("a: 1\n{b: 2}\n...\n")
     with pytest.raises(RecordError):
         read_site(tmp_path / "s.rec", "c: 3")
 
 
-def test_every_error_in_settings_is_told_at_once(tmp_path: Path):
+def test_all_errors_in_settings_are_reported_at_once(tmp_path: Path):
     (tmp_path / "s.rec").write_text(MINIMAL)
     with pytest.raises(RecordError) as caught:
         read_site(
             tmp_path / "s.rec", 'bogus: 1\nplace: number: 5\nplans: p: price: "much"\nbounds: most_held: 0'
         )
-    text = str(caught.value)
-    assert all(word in text for word in ("'bogus'", "place.number", "plans.p.price", "bounds.most_held"))
+    message = str(caught.value)
+    assert all(key in message for key in ("'bogus'", "place.number", "plans.p.price", "bounds.most_held"))
 
 
-def test_what_is_given_on_the_command_line_goes_before_the_file():
-    # A scenario for seven dispatchers, asked for twelve, ended with a conflict of records.
+def test_command_line_overrides_the_file():
+    """A command line that asks for twelve dispatchers conflicted with a scenario file that gives seven."""
     scenario = Path("scenarios/fleet-small.rec")
-    more = "dispatchers: 12\nsite: bounds: answer_ms: 90\nsite: cold: warm_ms: 9000"
-    told = checked_value(read_vertex(scenario, "scenario.rec", more))
-    assert told["dispatchers"] == 12 and told["seed"] == 1
-    assert told["site"]["bounds"]["answer_ms"] == 90 and told["site"]["cold"]["warm_ms"] == 9000
-    assert told["site"]["cold"]["units"] == 60  # what stands beside it stays
+    override = "dispatchers: 12\nsite: bounds: answer_ms: 90\nsite: cold: warm_ms: 9000"
+    value = checked_value(read_vertex(scenario, "scenario.rec", override))
+    assert value["dispatchers"] == 12 and value["seed"] == 1
+    assert value["site"]["bounds"]["answer_ms"] == 90 and value["site"]["cold"]["warm_ms"] == 9000
+    assert value["site"]["cold"]["units"] == 60  # other keys of the same struct keep the value of the file
     with pytest.raises(RecordError):
         checked_value(read_vertex(scenario, "scenario.rec", 'dispatchers: "many"'))
