--- a/cherrygrade/virtual/__init__.py
+++ b/cherrygrade/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""Virtual time: an event loop whose clock moves when all is idle, and a network that it carries."""
+"""Simulation in virtual time: an event loop whose clock jumps to the next timer, and a simulated network."""
--- a/cherrygrade/virtual/datagrams.py
+++ b/cherrygrade/virtual/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams of a virtual loop: lost, late, doubled and out of order, as they are told to be."""
+"""Datagrams on a virtual loop: they may be lost, delayed, duplicated and reordered."""
 
 from __future__ import annotations
 
@@ -12,8 +12,16 @@
 
 @dataclass(frozen=True, slots=True)
 class DatagramConditions:
-    """What becomes of datagrams: parts lost and doubled; ms of way, each drawn anew, so that they
-    overtake."""
+    """Loss, duplication and delay of datagrams.
+
+    Each datagram, and each duplicate, draws a delay of its own, so datagrams overtake each other.
+
+    Attributes:
+        loss_probability: Part of the datagrams that do not arrive, 0 to 1.
+        duplicate_probability: Part of those that are not lost that arrive twice, 0 to 1.
+        delay_ms: Least delay, ms.
+        jitter_ms: Greatest random delay that is added to it, ms.
+    """
 
     loss_probability: float = 0.0
     duplicate_probability: float = 0.0
@@ -22,65 +30,88 @@
 
 
 class DatagramNetwork(Protocol):
-    """The network, as a datagram needs it."""
+    """The part of the network that datagram transports use.
+
+    Attributes:
+        datagrams: Open transport for each address.
+        datagrams_sent: Number of datagrams sent, lost ones included.
+        datagram_bytes: Number of bytes in them.
+    """
 
     datagrams: dict[tuple[str, int], Any]
     datagrams_sent: int
     datagram_bytes: int
 
     @property
-    def loop(self) -> VirtualLoop: ...
+    def loop(self) -> VirtualLoop:
+        """The event loop that datagrams are delivered on."""
+        ...
 
     @property
-    def random_streams(self) -> Any: ...
+    def random_streams(self) -> Any:
+        """The network's `RandomStreams`."""
+        ...
 
-    def is_partitioned(self, one: str, other: str) -> bool: ...
+    def is_partitioned(self, sender: str, receiver: str) -> bool:
+        """Return whether datagrams from one process to the other are dropped."""
+        ...
 
 
 class VirtualDatagrams(asyncio.DatagramTransport):
-    """One bound place. What comes to a process that stands still waits for it, as in a socket's queue."""
+    """A datagram socket that is bound to an address.
+
+    Datagrams for a process that is paused are delivered when it resumes, as from a socket's receive queue.
+    """
 
     def __init__(
-        self, network: DatagramNetwork, rain: DatagramConditions, place: tuple[str, int], protocol: Any
+        self,
+        network: DatagramNetwork,
+        conditions: DatagramConditions,
+        address: tuple[str, int],
+        protocol: Any,
     ) -> None:
-        super().__init__({"sockname": place})
-        self.network, self.rain, self.place, self.protocol = network, rain, place, protocol
+        super().__init__({"sockname": address})
+        self.network, self.conditions, self.address, self.protocol = network, conditions, address, protocol
         self.process, self.context = CURRENT.get(), copy_context()
         self._closed = False
-        self.network.datagrams[place] = self
+        self.network.datagrams[address] = self
 
     def sendto(self, data: Any, addr: Any = None) -> None:
+        """Send a datagram; it is dropped if nothing is bound to the address or a partition is in between."""
         if self._closed:
             return
         network = self.network
         network.datagrams_sent += 1
         network.datagram_bytes += len(data)
-        there = network.datagrams.get(addr)
-        ours = self.process.name if self.process else ""
-        theirs = there.process.name if there is not None and there.process else ""
-        if there is None or network.is_partitioned(ours, theirs):
+        receiver = network.datagrams.get(addr)
+        sender_name = self.process.name if self.process else ""
+        receiver_name = receiver.process.name if receiver is not None and receiver.process else ""
+        if receiver is None or network.is_partitioned(sender_name, receiver_name):
             return
-        draw = network.random_streams.part(f"{self.place}>")
-        times = (
+        rng = network.random_streams.generator(f"{self.address}>")
+        copies = (
             0
-            if draw.random() < self.rain.loss_probability
-            else 1 + (draw.random() < self.rain.duplicate_probability)
+            if rng.random() < self.conditions.loss_probability
+            else 1 + (rng.random() < self.conditions.duplicate_probability)
         )
-        for _ in range(times):
-            after = self.rain.delay_ms + self.rain.jitter_ms * float(draw.random())
-            at, landed = network.loop.time() + after / 1000.0, there.landed
-            network.loop.call_at(at, landed, bytes(data), self.place, context=there.context)
+        for _ in range(copies):
+            delay_ms = self.conditions.delay_ms + self.conditions.jitter_ms * float(rng.random())
+            at_s, receive = network.loop.time() + delay_ms / 1000.0, receiver.receive
+            network.loop.call_at(at_s, receive, bytes(data), self.address, context=receiver.context)
 
-    def landed(self, data: bytes, source: tuple[str, int]) -> None:
+    def receive(self, data: bytes, source: tuple[str, int]) -> None:
+        """Deliver a datagram to the protocol, unless this transport was closed meanwhile."""
         if not self._closed:
             self.protocol.datagram_received(data, source)
 
     def is_closing(self) -> bool:
+        """Return whether this transport is closed."""
         return self._closed
 
     def close(self) -> None:
+        """Close the transport and free its address."""
         self._closed = True
-        if self.network.datagrams.get(self.place) is self:
-            del self.network.datagrams[self.place]
+        if self.network.datagrams.get(self.address) is self:
+            del self.network.datagrams[self.address]
 
     abort = close
--- a/cherrygrade/virtual/guard.py
+++ b/cherrygrade/virtual/guard.py
@@ -1,6 +1,7 @@
-"""What is real is out of bounds in virtual time: its clock, its chance, its sockets.
+"""Forbids real clocks, random numbers and sockets to simulated processes.
 
-A simulated process that reaches for one of them fails the run, at the place where it did.
+A simulated process that calls one of them fails the run at the place of the call, because the run would not
+be reproducible.
 """
 
 from __future__ import annotations
@@ -15,40 +16,48 @@
 
 from cherrygrade.virtual.loop import CURRENT
 
-OUT_OF_BOUNDS: tuple[tuple[Any, tuple[str, ...]], ...] = (
+FORBIDDEN_CALLS: tuple[tuple[Any, tuple[str, ...]], ...] = (
     (time, ("time", "time_ns", "monotonic", "monotonic_ns", "perf_counter", "perf_counter_ns", "sleep")),
     (os, ("urandom", "getpid")),
     (random, ("random", "randrange", "randint", "choice", "uniform", "expovariate", "shuffle", "sample")),
     (socket, ("socket", "create_connection", "create_server", "getaddrinfo")),
 )
+"""Pairs of a module and the functions of it that simulated processes must not call."""
 
 
 class RealWorldError(BaseException):
-    """Not an `Exception`: no handler of the program may take it for a trouble of its own."""
+    """A simulated process called a forbidden function.
+
+    This is no `Exception`, so that no handler in the program takes it for an error that it can handle.
+    """
 
 
 @contextmanager
 def guarded() -> Iterator[list[str]]:
-    """Within it, simulated processes have no way to what is real. Gives what was reached for."""
-    reached: list[str] = []
-    kept: list[tuple[Any, str, Any]] = []
+    """Replace the forbidden functions: calls by a simulated process raise RealWorldError, others go through.
+
+    Yields:
+        A list to which each forbidden call is added, as the process and the function.
+    """
+    forbidden_calls: list[str] = []
+    originals: list[tuple[Any, str, Any]] = []
 
-    def fence(name: str, real: Callable[..., Any]) -> Callable[..., Any]:
-        def fenced(*args: Any, **more: Any) -> Any:
+    def guard(name: str, original: Callable[..., Any]) -> Callable[..., Any]:
+        def guarded_call(*args: Any, **kwargs: Any) -> Any:
             process = CURRENT.get()
             if process is None:
-                return real(*args, **more)
-            reached.append(f"{process.name}: {name}")
+                return original(*args, **kwargs)
+            forbidden_calls.append(f"{process.name}: {name}")
             raise RealWorldError(f"{process.name} reached for {name} in virtual time")
 
-        return fenced
+        return guarded_call
 
-    for module, names in OUT_OF_BOUNDS:
+    for module, names in FORBIDDEN_CALLS:
         for name in names:
-            kept.append((module, name, getattr(module, name)))
-            setattr(module, name, fence(f"{module.__name__}.{name}", getattr(module, name)))
+            originals.append((module, name, getattr(module, name)))
+            setattr(module, name, guard(f"{module.__name__}.{name}", getattr(module, name)))
     try:
-        yield reached
+        yield forbidden_calls
     finally:
-        for module, name, real in kept:
-            setattr(module, name, real)
+        for module, name, original in originals:
+            setattr(module, name, original)
--- a/cherrygrade/virtual/loop.py
+++ b/cherrygrade/virtual/loop.py
@@ -1,7 +1,7 @@
-"""An asyncio event loop in virtual time: its clock jumps to the next timer whenever nothing is ready.
+"""An asyncio event loop in virtual time: its clock jumps to the next timer whenever no callback is ready.
 
-What runs belongs to a `Process`, told by the context it was scheduled in. A process that stands still has its
-callbacks kept, in order, until it goes on; those of a dead one are dropped. The loop itself opens no socket.
+Each callback belongs to the `Process` in whose context it was scheduled. Callbacks of a paused process are
+deferred, in order, until it resumes; those of a terminated process are dropped. The loop opens no sockets.
 """
 
 from __future__ import annotations
@@ -12,51 +12,66 @@
 from typing import Any
 
 CURRENT: ContextVar[Process | None] = ContextVar("process", default=None)
-START_S = 1000.0  # times are never 0, as on a machine that has been up for a while
+"""The simulated process that the current callback belongs to; None for the simulation itself."""
+START_S = 1000.0
+"""Time at which the virtual clock starts, s. As on a machine that has been up for a while, it is never 0."""
 
 
 class NoPendingEventsError(RuntimeError):
-    """Everybody waits and nothing is due: the day cannot go on."""
+    """The run cannot continue: no callback is ready and no timer is scheduled."""
 
 
 class Process:
-    """Who callbacks belong to. `kept` is emptied by going on or by the end."""
+    """A simulated process: the owner of callbacks.
+
+    Attributes:
+        name: Name of the process, by which partitions refer to it.
+        alive: False after `terminate`.
+        paused: Whether callbacks are deferred.
+        deferred: Callbacks that were due while the process was paused. `resume` and `terminate` empty it.
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.alive, self.still = True, False
-        self.kept: list[tuple[list[asyncio.Handle], Callable[..., Any], tuple[Any, ...], Context]] = []
+        self.alive, self.paused = True, False
+        self.deferred: list[tuple[list[asyncio.Handle], Callable[..., Any], tuple[Any, ...], Context]] = []
 
     def context(self) -> Context:
-        """A context in which all that is scheduled belongs to this process."""
-        made = copy_context()
-        made.run(CURRENT.set, self)
-        return made
+        """Return a new context; callbacks that are scheduled in it belong to this process."""
+        new_context = copy_context()
+        new_context.run(CURRENT.set, self)
+        return new_context
 
     def pause(self) -> None:
-        self.still = True
+        """Defer the callbacks of this process until `resume`."""
+        self.paused = True
 
     def resume(self) -> None:
-        self.still = False
-        kept, self.kept = self.kept, []
+        """Run the deferred callbacks in order, and later ones as usual.
+
+        This must be called while the virtual loop runs.
+        """
+        self.paused = False
+        deferred, self.deferred = self.deferred, []
         loop = asyncio.get_running_loop()
         assert isinstance(loop, VirtualLoop)
-        for cell, callback, args, context in kept:
-            loop.again(self, cell, callback, args, context)
+        for handle_cell, callback, args, context in deferred:
+            loop.requeue(self, handle_cell, callback, args, context)
 
-    def end(self) -> None:
+    def terminate(self) -> None:
+        """Drop the deferred callbacks and all later ones."""
         self.alive = False
-        self.kept.clear()
+        self.deferred.clear()
 
 
-class _Idle:
-    """In a selector's place: there is nothing to wait for but time."""
+class _NoSelector:
+    """Replaces the loop's selector: the loop waits for timers alone, by advancing its clock."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self._loop = loop
 
     def select(self, timeout: float | None) -> list[Any]:
-        self._loop.skip(timeout)
+        self._loop.advance_time(timeout)
         return []
 
     def close(self) -> None:
@@ -64,83 +79,120 @@
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
+    """An event loop with a virtual clock and a simulated network in place of sockets.
+
+    Attributes:
+        network: The `Network` of this loop, which sets itself here.
+        callbacks_run: Number of callbacks that were run for processes.
+    """
+
     def __init__(self) -> None:
         super().__init__()
-        self._virtual_now = START_S
-        self._selector = _Idle(self)
+        self._virtual_now_s = START_S
+        self._selector = _NoSelector(self)
         self._clock_resolution = 1e-9
         self.network: Any = None
-        self.steps = 0  # callbacks run for processes
+        self.callbacks_run = 0
 
     def time(self) -> float:
-        return self._virtual_now
+        """Return the virtual time, s."""
+        return self._virtual_now_s
+
+    def advance_time(self, timeout: float | None) -> None:
+        """Advance the clock to the next timer, unless callbacks are ready.
+
+        Args:
+            timeout: Time until the next timer, s; 0 if callbacks are ready, None if no timer is scheduled.
 
-    def skip(self, timeout: float | None) -> None:
-        """Nothing is ready: go to the next timer."""
+        Raises:
+            NoPendingEventsError: If no callback is ready and no timer is scheduled.
+        """
         if timeout is None:
-            raise NoPendingEventsError(f"nothing left to happen at {self._virtual_now:.6f} s")
+            raise NoPendingEventsError(
+                f"no callback is ready and no timer is scheduled at virtual time {self._virtual_now_s:.6f} s"
+            )
         if timeout > 0.0:
             scheduled: list[asyncio.TimerHandle] = self._scheduled  # type: ignore[attr-defined]
-            self._virtual_now = max(self._virtual_now, scheduled[0].when())
+            self._virtual_now_s = max(self._virtual_now_s, scheduled[0].when())
 
     def call_soon(  # type: ignore[override]
         self, callback: Any, *args: Any, context: Context | None = None
     ) -> asyncio.Handle:
-        made = context if context is not None else copy_context()
-        process = made.get(CURRENT)
+        """Schedule a callback for the process of its context."""
+        run_context = context if context is not None else copy_context()
+        process = run_context.get(CURRENT)
         if process is None:
-            return super().call_soon(callback, *args, context=made)
-        cell: list[asyncio.Handle] = []
-        handle = super().call_soon(self._step, process, cell, callback, args, made, context=made)
-        cell.append(handle)
+            return super().call_soon(callback, *args, context=run_context)
+        handle_cell: list[asyncio.Handle] = []
+        handle = super().call_soon(
+            self._run_for_process, process, handle_cell, callback, args, run_context, context=run_context
+        )
+        handle_cell.append(handle)
         return handle
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Any, *args: Any, context: Context | None = None
     ) -> asyncio.TimerHandle:
-        made = context if context is not None else copy_context()
-        process = made.get(CURRENT)
+        """Schedule a callback for the process of its context, at a time in s of virtual time."""
+        run_context = context if context is not None else copy_context()
+        process = run_context.get(CURRENT)
         if process is None:
-            return super().call_at(when, callback, *args, context=made)
-        cell: list[asyncio.Handle] = []
-        handle = super().call_at(when, self._step, process, cell, callback, args, made, context=made)
-        cell.append(handle)
+            return super().call_at(when, callback, *args, context=run_context)
+        handle_cell: list[asyncio.Handle] = []
+        handle = super().call_at(
+            when,
+            self._run_for_process,
+            process,
+            handle_cell,
+            callback,
+            args,
+            run_context,
+            context=run_context,
+        )
+        handle_cell.append(handle)
         return handle
 
-    def _step(
-        self, process: Process, cell: list[asyncio.Handle], callback: Any, args: Any, context: Context
+    def _run_for_process(
+        self, process: Process, handle_cell: list[asyncio.Handle], callback: Any, args: Any, context: Context
     ) -> None:
-        if not process.alive or (cell and cell[0].cancelled()):  # one kept may be called off by another
+        # `handle_cell` holds the callback's handle, which exists only after the callback was scheduled. A
+        # deferred callback may have been cancelled by one that ran before it.
+        if not process.alive or (handle_cell and handle_cell[0].cancelled()):
             return
-        if process.still:
-            process.kept.append((cell, callback, args, context))
+        if process.paused:
+            process.deferred.append((handle_cell, callback, args, context))
             return
-        self.steps += 1
+        self.callbacks_run += 1
         callback(*args)
 
-    def again(
-        self, process: Process, cell: list[asyncio.Handle], callback: Any, args: Any, context: Context
+    def requeue(
+        self, process: Process, handle_cell: list[asyncio.Handle], callback: Any, args: Any, context: Context
     ) -> None:
-        """What was kept while its process stood still."""
-        super().call_soon(self._step, process, cell, callback, args, context, context=context)
+        """Schedule a callback again that was deferred while its process was paused."""
+        super().call_soon(
+            self._run_for_process, process, handle_cell, callback, args, context, context=context
+        )
 
-    # What a loop on sockets does with them, done by the network.
+    # These methods use the simulated network in place of sockets.
 
     async def create_connection(
-        self, protocol_factory: Any, host: Any = None, port: Any = None, **more: Any
+        self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any
     ) -> Any:
+        """Connect to a listener of the simulated network."""
         return await self.network.connect(protocol_factory, f"{host}:{port}")
 
     async def create_server(
-        self, protocol_factory: Any, host: Any = None, port: Any = None, **more: Any
+        self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any
     ) -> Any:
+        """Listen on the simulated network."""
         return self.network.listen(protocol_factory, host, port)
 
     listen = create_server
 
     async def create_datagram_endpoint(  # type: ignore[override]
-        self, protocol_factory: Any, local_addr: Any = None, **more: Any
+        self, protocol_factory: Any, local_addr: Any = None, **options: Any
     ) -> Any:
+        """Bind a datagram transport on the simulated network."""
         protocol = protocol_factory()
         transport = self.network.bind(local_addr, protocol)
         protocol.connection_made(transport)
