--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,7 +1,10 @@
-"""Tests that are known to fail for a real fault: KNOWN-RED.txt at the root, a line each of
-`test | cause | issue`, three at most. Just these are passed over, and told at the end. A line too many is
-red, and so is a listed test that passes or is skipped; with --known-red, as script/pytest runs, one that is
-not found too: each of its calls looks among the tests of all. It holds with and without workers.
+"""Pytest plugin for tests that are known to fail because of a real fault in the program.
+
+They are listed in KNOWN-RED.txt at the root of the repository, one line `test | cause | issue` each, at most
+three. A failure of a listed test does not fail the run; the test is reported at the end. The run fails if
+there are more lines, or if a listed test passes or is skipped. With --known-red, which script/pytest passes,
+it also fails if a listed test does not exist; each call of script/pytest searches the tests of all calls. The
+plugin works with and without xdist workers.
 """
 
 from __future__ import annotations
@@ -11,82 +14,115 @@
 
 import pytest
 
-MOST = 3
-ELSEWHERE = "long"  # marks what none of script/pytest's calls runs
+MAX_LISTED = 3
+"""Number of tests that may be listed."""
+EXCLUDED_MARK = "long"
+"""Mark of the tests that no call of script/pytest runs."""
 
 
 def read(file: Path) -> dict[str, str]:
-    """Cause and issue by test. UsageError where the file is not as it has to be."""
+    """Read the list.
+
+    Returns:
+        Cause and issue for each test.
+
+    Raises:
+        pytest.UsageError: If a line is malformed, or there are too many.
+    """
     if not file.exists():
         return {}
-    found: dict[str, str] = {}
+    listed: dict[str, str] = {}
     for number, line in enumerate(file.read_text().splitlines(), 1):
         if not line.strip():
             continue
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts):
-            raise pytest.UsageError(f"{file.name}, line {number}: 'test | cause | issue' wanted: {line}")
-        found[parts[0]] = f"{parts[1]} (issue {parts[2]})"
-        if len(found) > MOST:
-            raise pytest.UsageError(f"{file.name}: more than {MOST} tests: mend one before another is listed")
-    return found
+            raise pytest.UsageError(
+                f"{file.name}, line {number}: expected 'test | cause | issue', got: {line}"
+            )
+        listed[parts[0]] = f"{parts[1]} (issue {parts[2]})"
+        if len(listed) > MAX_LISTED:
+            raise pytest.UsageError(
+                f"{file.name}: more than {MAX_LISTED} tests: fix one before another is listed"
+            )
+    return listed
 
 
 class KnownRed:
-    """In the process that tells the verdict and in each worker, whose collection the former is told of."""
+    """The plugin; an instance exists in the main process and in each xdist worker.
+
+    Workers report which listed tests they collected, and the main process decides whether the run fails.
+
+    Attributes:
+        listed: Cause and issue for each listed test.
+        missing: Listed tests that no call of script/pytest runs; empty without --known-red.
+        selected: Listed tests that this call selected.
+        outcomes: Outcome of each listed test that had one.
+    """
 
     def __init__(self, config: pytest.Config) -> None:
         self.config, self.listed = config, read(config.rootpath / "KNOWN-RED.txt")
-        self.missing: set[str] = set()  # no test of script/pytest's calls
-        self.here: set[str] = set()  # listed and selected in this call
-        self.seen: dict[str, str] = {}  # its outcome, of each that had one
+        self.missing: set[str] = set()
+        self.selected: set[str] = set()
+        self.outcomes: dict[str, str] = {}
 
-    @pytest.hookimpl(tryfirst=True)  # before this call's selection: the other call's are found too
+    # First, before the tests of the other calls are deselected, so that these are found too.
+    @pytest.hookimpl(tryfirst=True)
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
+        """Mark listed tests as expected to fail, and find listed tests that do not exist."""
         for item in items:
             if item.nodeid in self.listed:
                 item.add_marker(pytest.mark.xfail(strict=True, reason=self.listed[item.nodeid]))
-        found = {item.nodeid for item in items if item.get_closest_marker(ELSEWHERE) is None}
+        found = {item.nodeid for item in items if item.get_closest_marker(EXCLUDED_MARK) is None}
         self.missing = self.listed.keys() - found if self.config.getoption("--known-red") else set()
 
     def pytest_collection_finish(self, session: pytest.Session) -> None:
-        self.here |= self.listed.keys() & {item.nodeid for item in session.items}
+        """Note the listed tests that this call selected; a worker reports them to the main process."""
+        self.selected |= self.listed.keys() & {item.nodeid for item in session.items}
         if hasattr(self.config, "workeroutput"):
-            self.config.workeroutput["known_red"] = [sorted(self.missing), sorted(self.here)]
+            self.config.workeroutput["known_red"] = [sorted(self.missing), sorted(self.selected)]
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_testnodedown(self, node: Any) -> None:
-        missing, here = getattr(node, "workeroutput", {}).get("known_red", ([], []))
+        """Take over in the main process what a worker reported."""
+        missing, selected = getattr(node, "workeroutput", {}).get("known_red", ([], []))
         self.missing.update(missing)
-        self.here.update(here)
+        self.selected.update(selected)
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
+        """Note the outcome of a listed test."""
         if report.nodeid in self.listed and (report.when == "call" or report.outcome != "passed"):
-            self.seen[report.nodeid] = "xfailed" if hasattr(report, "wasxfail") else report.outcome
+            self.outcomes[report.nodeid] = "xfailed" if hasattr(report, "wasxfail") else report.outcome
 
-    def faults(self) -> list[str]:
-        """What of the list does not hold in this call, beside what pytest reports as failed itself."""
-        wrong = [f"KNOWN-RED.txt names what is no test here: {test}" for test in sorted(self.missing)]
-        for test in sorted(self.here):
-            if (seen := self.seen.get(test, "not run")) not in ("xfailed", "failed"):
-                wrong.append(f"KNOWN-RED.txt names a test that did not fail: {test} ({seen})")
-        return wrong
+    def errors(self) -> list[str]:
+        """Return an error for each listed test that does not exist, or did not fail when it was selected."""
+        errors = [f"KNOWN-RED.txt lists what is no test here: {test}" for test in sorted(self.missing)]
+        for test in sorted(self.selected):
+            if (outcome := self.outcomes.get(test, "not run")) not in ("xfailed", "failed"):
+                errors.append(f"KNOWN-RED.txt lists a test that did not fail: {test} ({outcome})")
+        return errors
 
     @pytest.hookimpl(trylast=True)
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
-        if not hasattr(self.config, "workeroutput") and self.faults():
+        """Fail the run if the list has errors."""
+        if not hasattr(self.config, "workeroutput") and self.errors():
             session.exitstatus = session.exitstatus or pytest.ExitCode.USAGE_ERROR
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        for test in sorted(self.here):
+        """Print the listed tests that were selected, and the errors of the list."""
+        for test in sorted(self.selected):
             terminalreporter.write_line(f"known red: {test}: {self.listed[test]}")
-        for wrong in self.faults():
-            terminalreporter.write_line(wrong, red=True)
+        for error in self.errors():
+            terminalreporter.write_line(error, red=True)
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    parser.addoption("--known-red", action="store_true", help="each test of KNOWN-RED.txt has to be there")
+    """Add the option --known-red."""
+    parser.addoption(
+        "--known-red", action="store_true", help="fail if a test in KNOWN-RED.txt does not exist"
+    )
 
 
 def pytest_configure(config: pytest.Config) -> None:
+    """Register the plugin."""
     config.pluginmanager.register(KnownRed(config), "known red")
--- a/tests/support/port_reservation.py
+++ b/tests/support/port_reservation.py
@@ -1,9 +1,11 @@
-"""Places of loopback for processes and servers that have to come back where they were, or be told of
-beforehand: nobody else gets them, whatever runs beside, until they are given back.
+"""Reservation of loopback ports for processes and servers under test.
 
-They lie below what the system hands out by itself. A socket that is bound and never listens holds the port;
-as it allows reuse, the one that the place is for can listen there (as asyncio's servers and the program's own
-door do), and whoever looks for a place by this module, in whichever process, passes over it.
+Some tests must know an address before a server starts, or start a server again at the same address. A
+reserved port is given to no other user of this module, in any process, until it is released.
+
+The ports lie below the range from which the system assigns ports by itself. A reservation is a socket that is
+bound and never listens. Since the socket allows reuse, a server that allows it too can listen at the port, as
+asyncio's servers and the program's own listener do.
 """
 
 from __future__ import annotations
@@ -12,41 +14,52 @@
 import socket
 from pathlib import Path
 
-SPAN = 12_000
+PORT_COUNT = 12_000
+"""Number of ports below the system's range that reservations are taken from."""
 HOST = "127.0.0.1"
-_holds: dict[int, socket.socket] = {}
-_next = os.getpid() * 131
+_sockets: dict[int, socket.socket] = {}  # by reserved port
+_next_offset = os.getpid() * 131  # processes start at different ports
 
 
 def reserve(count: int) -> list[str]:
-    """Places, `host:port`, free for streams and datagrams alike; this process's until `release`."""
-    global _next
-    low = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
-    found: list[str] = []
-    for _ in range(SPAN):
-        if len(found) == count:
-            return found
-        _next += 1
-        port = low - SPAN + _next % SPAN
-        if _hold(port):
-            found.append(f"{HOST}:{port}")
-    raise AssertionError(f"no {count} free places between {low - SPAN} and {low}")
-
-
-def release(*places: str) -> None:
-    for place in places:
-        _holds.pop(int(place.rpartition(":")[2])).close()
-
-
-def _hold(port: int) -> bool:
-    hold = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as word:
+    """Reserve ports that are free for TCP and UDP.
+
+    Returns:
+        An address `host:port` for each port; it is reserved until `release`.
+    """
+    global _next_offset
+    first_system_port = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
+    addresses: list[str] = []
+    for _ in range(PORT_COUNT):
+        if len(addresses) == count:
+            return addresses
+        _next_offset += 1
+        port = first_system_port - PORT_COUNT + _next_offset % PORT_COUNT
+        if _reserve_port(port):
+            addresses.append(f"{HOST}:{port}")
+    raise AssertionError(
+        f"no {count} free ports between {first_system_port - PORT_COUNT} and {first_system_port}"
+    )
+
+
+def release(*addresses: str) -> None:
+    """End the reservations of these addresses."""
+    for address in addresses:
+        _sockets.pop(int(address.rpartition(":")[2])).close()
+
+
+def _reserve_port(port: int) -> bool:
+    """Reserve a port if it is free, and return whether it was."""
+    reservation = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_check:
         try:
-            hold.bind((HOST, port))  # without reuse: refused where anybody is bound
-            word.bind((HOST, port))
+            reservation.bind(
+                (HOST, port)
+            )  # fails if any socket is bound there, because reuse is not allowed yet
+            udp_check.bind((HOST, port))
         except OSError:
-            hold.close()
+            reservation.close()
             return False
-    hold.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    _holds[port] = hold
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    _sockets[port] = reservation
     return True
