--- a/tests/http/test_http_forms.py
+++ b/tests/http/test_http_forms.py
@@ -419,7 +419,7 @@
         answer = await client.read_answer()
         assert answer is not None and answer.status == 200
         assert answer.body == (b"mine" if expected.outcome is Outcome.OK else b"of " + TARGET)
-        assert dispatcher.rounds.module.outcomes[0] == (
+        assert dispatcher.rounds.scheduler.outcomes[0] == (
             expected.outcome,
             expected.plan_use,
             dict(expected.load),
--- a/tests/scheduling/test_failures.py
+++ b/tests/scheduling/test_failures.py
@@ -398,11 +398,11 @@
     # On a machine whose cores are all in use timers fire late, and answers would miss their deadlines without
     # a margin.
     lateness = Lateness(0.0)
-    assert lateness.margin(2000.0, 0.0) == 0.0
-    lateness.saw(180.0, 100.0)
-    lateness.saw(3.0, 200.0)
-    assert lateness.margin(2000.0, 300.0) == 180.0
-    assert lateness.margin(100.0, 300.0) == 50.0  # the margin takes at most half of the remaining time
-    assert lateness.margin(2000.0, 6000.0) == 180.0 and lateness.margin(2000.0, 11_000.0) == 0.0
-    lateness.saw(30_000.0, 12_000.0)
-    assert lateness.margin(5000.0, 12_000.0) == 1000.0
+    assert lateness.margin_ms(2000.0, 0.0) == 0.0
+    lateness.record(180.0, 100.0)
+    lateness.record(3.0, 200.0)
+    assert lateness.margin_ms(2000.0, 300.0) == 180.0
+    assert lateness.margin_ms(100.0, 300.0) == 50.0  # the margin takes at most half of the remaining time
+    assert lateness.margin_ms(2000.0, 6000.0) == 180.0 and lateness.margin_ms(2000.0, 11_000.0) == 0.0
+    lateness.record(30_000.0, 12_000.0)
+    assert lateness.margin_ms(5000.0, 12_000.0) == 1000.0
