--- a/tests/support/fake_host.py
+++ b/tests/support/fake_host.py
@@ -18,10 +18,13 @@
 from cherrygrade.scheduling.scheduler import Scheduler
 
 READ = Workload("read", latency_objective_ms=200.0, deadline_ms=2000.0, priority_weight=3.0)
+"""An idempotent workload of high priority."""
 EXPORT = Workload("export", latency_objective_ms=1500.0, deadline_ms=5000.0, priority_weight=1.0)
+"""An idempotent workload of low priority."""
 ORDERED = Workload(
     "ordered", latency_objective_ms=900.0, deadline_ms=2000.0, priority_weight=3.0, ordered=True
 )
+"""A workload whose requests of the same key run one after the other."""
 ONCE = Workload(
     "once",
     latency_objective_ms=900.0,
@@ -29,6 +32,7 @@
     priority_weight=3.0,
     idempotency=Idempotency.NON_IDEMPOTENT,
 )
+"""A workload whose requests may take effect only once."""
 MARKED = Workload(
     "marked",
     900.0,
@@ -38,7 +42,9 @@
     deduplication_scope="zone",
     deduplication_window_ms=500.0,
 )
+"""A workload whose repeated requests are recognized by the nodes of a zone."""
 PLAN = ServicePlan("plan", usual_rate=1000.0)
+"""A service plan without limits."""
 
 
 class FakeHost:
--- a/tests/support/port_reservation.py
+++ b/tests/support/port_reservation.py
@@ -17,6 +17,7 @@
 PORT_COUNT = 12_000
 """Number of ports below the system's range that reservations are taken from."""
 HOST = "127.0.0.1"
+"""The loopback address of all reserved ports."""
 _sockets: dict[int, socket.socket] = {}  # by reserved port
 _next_offset = os.getpid() * 131  # processes start at different ports
 
