--- a/cherrygrade/peers/__init__.py
+++ b/cherrygrade/peers/__init__.py
@@ -1,4 +1,6 @@
-"""Slow peers: whose rate is too low, what is done about it step by step, and when it is over.
+"""Flow control for peers: the memory budget for request bodies, and escalation against slow connections.
 
-`rate.py` and `ladder.py` decide, free of I/O, clock and chance; `watch.py` looks and carries out.
+The decisions are in `connection_admission`, `memory_budget`, `slow_peer_escalation` and `transfer_rate`,
+which use no I/O, clock or random source. `memory_admission` and `watch` apply these decisions on the event
+loop.
 """
--- a/cherrygrade/peers/connection_admission.py
+++ b/cherrygrade/peers/connection_admission.py
@@ -1,4 +1,4 @@
-"""Connections that have not said who they are. Free of I/O, clock and chance."""
+"""Admission of connections whose peer has not identified itself. Uses no I/O, clock or random source."""
 
 from __future__ import annotations
 
@@ -8,23 +8,44 @@
 
 
 class ConnectionAdmission(Generic[T]):
-    """Silent ones hold at most a part of all places: the oldest goes when another comes, so that a crowd that
-    never speaks shuts nobody out. Emptied by hellos and ends."""
+    """Limits all connections, and those that have not identified themselves.
+
+    Unidentified connections get at most `max_unidentified` of all places. Beyond that the oldest of them is
+    closed for each new connection, so that a crowd of clients that send nothing can't lock out other clients.
+    """
 
     def __init__(self, max_connections: int, max_unidentified: int) -> None:
+        """Set the limits.
+
+        Args:
+            max_connections: Maximum number of connections.
+            max_unidentified: Maximum number of connections whose peer has not identified itself.
+        """
         self.max_connections, self.max_unidentified = max_connections, max_unidentified
-        self._silent: dict[T, None] = {}
-
-    def admit(self, one: T, others: int) -> tuple[bool, T | None]:
-        """Whether there is a place beside so many others, and who has to go for it."""
-        goes = None
-        if self._silent and (others >= self.max_connections or len(self._silent) >= self.max_unidentified):
-            goes = next(iter(self._silent))
-            del self._silent[goes]
-        if others - (goes is not None) >= self.max_connections:
-            return False, goes
-        self._silent[one] = None
-        return True, goes
-
-    def mark_identified(self, one: T) -> None:
-        self._silent.pop(one, None)
+        # Oldest first; an entry is removed when its connection identifies itself, is displaced or closes.
+        self._unidentified: dict[T, None] = {}
+
+    def admit(self, connection: T, open_count: int) -> tuple[bool, T | None]:
+        """Decide on a new connection.
+
+        Args:
+            connection: The new connection.
+            open_count: Number of other open connections, identified or not.
+
+        Returns:
+            Whether the connection is admitted, and the connection that has to be closed for it, if any.
+        """
+        displaced = None
+        if self._unidentified and (
+            open_count >= self.max_connections or len(self._unidentified) >= self.max_unidentified
+        ):
+            displaced = next(iter(self._unidentified))
+            del self._unidentified[displaced]
+        if open_count - (displaced is not None) >= self.max_connections:
+            return False, displaced
+        self._unidentified[connection] = None
+        return True, displaced
+
+    def mark_identified(self, connection: T) -> None:
+        """Stop counting the connection as unidentified: its peer identified itself, or it was closed."""
+        self._unidentified.pop(connection, None)
--- a/cherrygrade/peers/memory_admission.py
+++ b/cherrygrade/peers/memory_admission.py
@@ -1,4 +1,4 @@
-"""Room for bodies: asks the store, keeps time for what waits, tells owners what was decided."""
+"""Reservations of memory for bodies: applies the memory budget, times out what waits and notifies owners."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     MemoryBudget,
     PrepaidCredit,
     Reservation,
-    State,
+    ReservationState,
     VolumeUsage,
     is_waiting,
 )
@@ -19,151 +19,221 @@
 from cherrygrade.scheduling.model import UtilityModel, Workload
 from cherrygrade.settings import FlowControlSettings, TrafficSettings
 
-PREPAID_CREDIT_BYTES = 65536  # of one client's small pressed bodies; a body over an eighth of it is not small
+PREPAID_CREDIT_BYTES = 65536
+"""Credit for the small pressed bodies of one client; a body above an eighth of it is not small."""
 
 
 class Owner(Protocol):
-    """Who waits for room; one of both is told, once."""
+    """Waits for a reservation.
 
-    def reservation_granted(self, claim: Reservation) -> None:
-        """The room is there."""
+    One of the two methods is called, once, unless the owner releases the reservation before.
+    """
+
+    def reservation_granted(self, reservation: Reservation) -> None:
+        """Handle that the memory is reserved now."""
 
-    def reservation_timed_out(self, claim: Reservation) -> None:
-        """It did not come in time."""
+    def reservation_timed_out(self, reservation: Reservation) -> None:
+        """Handle that the memory did not become available in time."""
 
 
 class MemoryAdmission:
-    """`presses` is the module's: whether a workload is pressed work.
+    """Reserves memory for the bodies of known workloads and volumes.
 
-    `_volumes` is the site's volumes; `_timers` is emptied by room, by time and by owners that leave.
+    Attributes:
+        budget: The memory budget of the process.
+        is_limited: Memory is limited at all; otherwise no reservation is needed.
+        waited: Number of reservations that had to wait since the last log line.
+        timed_out: Number of reservations that timed out since the last log line.
     """
 
     def __init__(
         self,
-        trade: TrafficSettings,
-        earnings: UtilityModel,
-        presses: Callable[[Workload], bool],
-        pace: FlowControlSettings,
-        most_body: int,
+        traffic: TrafficSettings,
+        utility: UtilityModel,
+        is_pressed: Callable[[Workload], bool],
+        settings: FlowControlSettings,
+        max_body_bytes: int,
         log: Callable[..., None],
     ) -> None:
-        # The largest body finds room at any time, alone if need be.
-        room, batch = max(pace.room, most_body), max(pace.batch_room, most_body)
+        """Set up the budget.
+
+        Args:
+            traffic: Workloads and volumes.
+            utility: What work is worth within its volume's quota and beyond it.
+            is_pressed: Returns whether a workload is pressed work, as the scheduler decides.
+            settings: Limits of memory.
+            max_body_bytes: Size of the largest body.
+            log: Writes a log event.
+        """
+        # The largest body must fit at any time, if need be as the only one.
+        capacity, batch_capacity = (
+            max(settings.room, max_body_bytes),
+            max(settings.batch_room, max_body_bytes),
+        )
         self.budget = MemoryBudget(
-            room, batch, pace.most_peer, pace.most_slow, earnings.within_quota, earnings.beyond_quota
+            capacity,
+            batch_capacity,
+            settings.most_peer,
+            settings.most_slow,
+            utility.within_quota,
+            utility.beyond_quota,
         )
-        self.is_limited, self._wait_part = pace.watch, pace.wait_part
+        self.is_limited, self._max_wait_fraction = settings.watch, settings.wait_part
+        # By workload: whether it is pressed, its value and how long a reservation may wait, ms.
         self._workloads: dict[str, tuple[bool, float, float]] = {}
+        # By volume: its memory use and its price.
         self._volumes: dict[str, tuple[VolumeUsage, float]] = {}
-        self.apply_settings(trade, earnings, presses, set(), set())
+        self.apply_settings(traffic, utility, is_pressed, set(), set())
+        # Of waiting reservations; an entry is removed when the reservation is granted, released or times out.
         self._timers: dict[Reservation, asyncio.TimerHandle] = {}
-        self.waited = self.cramped = 0  # since they were last told
+        self.waited = self.timed_out = 0
         self._log = log
 
     def apply_settings(
         self,
-        trade: TrafficSettings,
-        earnings: UtilityModel,
-        presses: Callable[[Workload], bool],
+        traffic: TrafficSettings,
+        utility: UtilityModel,
+        is_pressed: Callable[[Workload], bool],
         workloads: set[str],
         volumes: set[str],
     ) -> None:
-        """Go by these settings from now on. What is in, and what waits, stays where it is; `workloads` and
-        `volumes` are of RPCs that are held, and stay known where these settings name them no more."""
-        works = {name: work for name, work in self._workloads.items() if name in workloads}
-        for name, work in trade.workloads.items():
-            works[name] = (presses(work), work.priority_weight, work.latency_objective_ms * self._wait_part)
-        shares = {name: share for name, share in self._volumes.items() if name in volumes}
-        for name, volume in trade.volumes.items():
-            share = self._volumes[name][0] if name in self._volumes else VolumeUsage(volume.plan.weight)
-            shares[name] = (share, volume.plan.price)
-        for name, volume in trade.volumes.items():
-            self.budget.reweigh(shares[name][0], volume.plan.weight)
+        """Replace the settings; granted and waiting reservations stay as they are.
+
+        Args:
+            traffic: Workloads and volumes from now on.
+            utility: What work is worth from now on.
+            is_pressed: Returns whether a workload is pressed work.
+            workloads: Workloads of RPCs in progress, which stay known even if `traffic` lacks them.
+            volumes: Volumes of RPCs in progress, which stay known even if `traffic` lacks them.
+        """
+        workload_terms = {name: terms for name, terms in self._workloads.items() if name in workloads}
+        for name, workload in traffic.workloads.items():
+            workload_terms[name] = (
+                is_pressed(workload),
+                workload.priority_weight,
+                workload.latency_objective_ms * self._max_wait_fraction,
+            )
+        volume_terms = {name: known for name, known in self._volumes.items() if name in volumes}
+        for name, volume in traffic.volumes.items():
+            usage = self._volumes[name][0] if name in self._volumes else VolumeUsage(volume.plan.weight)
+            volume_terms[name] = (usage, volume.plan.price)
+        for name, volume in traffic.volumes.items():
+            self.budget.set_weight(volume_terms[name][0], volume.plan.weight)
         self.budget.value_within_quota, self.budget.value_beyond_quota = (
-            earnings.within_quota,
-            earnings.beyond_quota,
+            utility.within_quota,
+            utility.beyond_quota,
         )
-        self._workloads, self._volumes = works, shares
+        self._workloads, self._volumes = workload_terms, volume_terms
 
     def reserve(
-        self, account: Account, workload: str, volume: str, length: int, owner: Owner, left_ms: float
+        self, account: Account, workload: str, volume: str, length: int, owner: Owner, remaining_ms: float
     ) -> Reservation | None:
-        """Room for one body; None where none is needed. Where the claim waits, its owner is told, before half
-        of its time is over."""
-        claim = self._claim(account, workload, volume, length, owner)
-        if claim is None or self.budget.take(claim):
-            return claim
-        self.budget.wait(claim)
-        self.admit()
-        if is_waiting(claim):
+        """Reserve memory for one body.
+
+        If the reservation has to wait, its owner is notified when it is granted or times out, which is within
+        half of the request's remaining time.
+
+        Args:
+            account: The peer that the body comes from or goes to.
+            workload: Workload of the request.
+            volume: Volume of the request.
+            length: Size of the body, bytes.
+            owner: Is notified if the reservation has to wait.
+            remaining_ms: Time until the request's deadline, ms.
+
+        Returns:
+            The reservation, granted or waiting; None if none is needed.
+        """
+        reservation = self._new_reservation(account, workload, volume, length, owner)
+        if reservation is None or self.budget.try_reserve(reservation):
+            return reservation
+        self.budget.enqueue(reservation)
+        self.grant_waiting()
+        if is_waiting(reservation):
             self.waited += 1
-            wait = max(0.0, min(self._workloads[workload][2], left_ms * 0.5))
+            wait_ms = max(0.0, min(self._workloads[workload][2], remaining_ms * 0.5))
             loop = asyncio.get_running_loop()
-            self._timers[claim] = loop.call_later(wait / 1000.0, self._late, claim)
-        return claim
+            self._timers[reservation] = loop.call_later(wait_ms / 1000.0, self._time_out, reservation)
+        return reservation
 
-    def _claim(
+    def _new_reservation(
         self, account: Account, workload: str, volume: str, length: int, owner: Owner
     ) -> Reservation | None:
-        """For work that the site knows, where room is bounded at all; the rest needs none."""
-        work, place = self._workloads.get(workload), self._volumes.get(volume)
-        if work is None or place is None or not self.is_limited:
+        """Return None if memory is not limited, or if the workload or the volume is unknown."""
+        workload_terms, volume_terms = self._workloads.get(workload), self._volumes.get(volume)
+        if workload_terms is None or volume_terms is None or not self.is_limited:
             return None
-        return Reservation(account, place[0], length, work[0], work[1] * place[1], owner)
+        return Reservation(
+            account, volume_terms[0], length, workload_terms[0], workload_terms[1] * volume_terms[1], owner
+        )
 
     def open_credit(self, account: Account, workload: str, volume: str, owner: Owner) -> PrepaidCredit | None:
-        """For pressed work, in plenty; None: each body takes its own room."""
-        work = self._workloads.get(workload)
-        if work is None or not work[0] or not self.budget.plenty(PREPAID_CREDIT_BYTES):
+        """Open a credit for the small bodies of a pressed workload.
+
+        Returns:
+            The credit; None if the work is not pressed or memory is not plentiful. Then each body needs a
+            reservation of its own.
+        """
+        terms = self._workloads.get(workload)
+        if terms is None or not terms[0] or not self.budget.is_plentiful(PREPAID_CREDIT_BYTES):
             return None
-        claim = self._claim(account, workload, volume, PREPAID_CREDIT_BYTES, owner)
+        reservation = self._new_reservation(account, workload, volume, PREPAID_CREDIT_BYTES, owner)
         return (
-            PrepaidCredit(claim, workload, volume) if claim is not None and self.budget.take(claim) else None
+            PrepaidCredit(reservation, workload, volume)
+            if reservation is not None and self.budget.try_reserve(reservation)
+            else None
         )
 
-    def unpin(self, claim: Reservation) -> None:
-        """One holder of its bytes less."""
-        self.budget.unpin(claim)
+    def unpin(self, reservation: Reservation) -> None:
+        """Remove a user of the body's bytes; with the last one the memory is released."""
+        self.budget.unpin(reservation)
         if self.budget.waiting_count:
-            self.admit()
+            self.grant_waiting()
 
-    def release(self, claim: Reservation | None) -> None:
-        """Its owner wants it no more, whether it waits or is in."""
-        if claim is None:
+    def release(self, reservation: Reservation | None) -> None:
+        """Give up the owner's interest in a reservation, whether it waits or is granted."""
+        if reservation is None:
             return
-        if is_waiting(claim):
-            self._timers.pop(claim).cancel()
-            self.budget.drop(claim)
-        elif claim.state is State.IN:
-            self.unpin(claim)
+        if is_waiting(reservation):
+            self._timers.pop(reservation).cancel()
+            self.budget.cancel(reservation)
+        elif reservation.state is ReservationState.GRANTED:
+            self.unpin(reservation)
 
     def set_step(self, account: Account, step: Step) -> None:
-        """A peer's standing changed, and its most with it."""
-        self.budget.mark(account, step)
-        self.admit()
-
-    def admit(self) -> None:
-        into: list[Reservation] = []
-        self.budget.admit(into)
-        for claim in into:
-            timer = self._timers.pop(claim, None)
-            if timer is not None:  # else its owner is asking just now, and sees
+        """Set the escalation step of a peer, and with it the peer's memory limit."""
+        self.budget.set_step(account, step)
+        self.grant_waiting()
+
+    def grant_waiting(self) -> None:
+        """Grant the waiting reservations that now fit, and notify their owners."""
+        granted: list[Reservation] = []
+        self.budget.grant_waiting(granted)
+        for reservation in granted:
+            timer = self._timers.pop(reservation, None)
+            if timer is not None:  # without a timer, `reserve` is still running and returns the reservation
                 timer.cancel()
-                claim.owner.reservation_granted(claim)
+                reservation.owner.reservation_granted(reservation)
 
-    def _late(self, claim: Reservation) -> None:
-        del self._timers[claim]
-        self.budget.drop(claim)
-        self.cramped += 1
-        claim.owner.reservation_timed_out(claim)
+    def _time_out(self, reservation: Reservation) -> None:
+        del self._timers[reservation]
+        self.budget.cancel(reservation)
+        self.timed_out += 1
+        reservation.owner.reservation_timed_out(reservation)
 
     def log_shortage(self) -> None:
-        """What shortage did since the last line; silent where there was none."""
+        """Log how many reservations waited and timed out since the last call, if any waited."""
         if self.waited:
-            self._log("room", waited=self.waited, turned_away=self.cramped, used=self.budget.used_bytes)
-        self.waited = self.cramped = 0
+            self._log(
+                "memory for bodies was short",
+                waited=self.waited,
+                turned_away=self.timed_out,
+                used=self.budget.used_bytes,
+            )
+        self.waited = self.timed_out = 0
 
     def close(self) -> None:
+        """Cancel all timers; owners are not notified."""
         for timer in self._timers.values():
             timer.cancel()
         self._timers.clear()
--- a/cherrygrade/peers/transfer_rate.py
+++ b/cherrygrade/peers/transfer_rate.py
@@ -1,35 +1,54 @@
-"""How fast a peer moves bytes while it is the peer that is waited for. Free of I/O and clock."""
+"""Transfer rate of a peer, measured only while data waits for the peer. Uses no I/O or clock."""
 
 from __future__ import annotations
 
 
 class TransferRate:
-    """Bytes a second over two spans, of time that counts only while something waits for the peer.
+    """Bytes per second over a short and a long window.
 
-    Time in which this process stood still, and time with nothing to move, is no time of the peer's. Both
-    spans fade by their length, so that two numbers each are all that is kept.
+    Only time in which data waits for the peer counts. Time in which this process was stalled, or had nothing
+    to transfer, is not held against the peer. Old samples decay linearly with the length of each window, so
+    that only two numbers per window are stored.
+
+    Attributes:
+        windows_ms: Lengths of the short and the long window, ms.
+        bytes: Decayed number of transferred bytes, by window.
+        elapsed_ms: Decayed time that was counted, ms, by window.
+        waited_ms: Time for which data has waited without interruption, ms.
     """
 
     def __init__(self, short_ms: float, long_ms: float) -> None:
-        self.spans = (short_ms, long_ms)
+        """Args: `short_ms`, `long_ms`: lengths of the two windows."""
+        self.windows_ms = (short_ms, long_ms)
         self.bytes = [0.0, 0.0]
-        self.ms = [0.0, 0.0]
-        self.waited = 0.0  # ms that something waited without a pause
-
-    def record(self, moved: int, took_ms: float) -> None:
-        """In `took_ms`, all of it with something waiting, the peer moved so many bytes."""
-        self.waited += took_ms
-        for index, span in enumerate(self.spans):
-            kept = max(0.0, 1.0 - took_ms / span)
-            self.bytes[index] = self.bytes[index] * kept + moved
-            self.ms[index] = self.ms[index] * kept + took_ms
+        self.elapsed_ms = [0.0, 0.0]
+        self.waited_ms = 0.0
+
+    def record(self, moved_bytes: int, elapsed_ms: float) -> None:
+        """Add an interval during all of which data waited for the peer.
+
+        Args:
+            moved_bytes: Bytes that the peer took or delivered in the interval.
+            elapsed_ms: Length of the interval, ms.
+        """
+        self.waited_ms += elapsed_ms
+        for index, window_ms in enumerate(self.windows_ms):
+            retained = max(0.0, 1.0 - elapsed_ms / window_ms)
+            self.bytes[index] = self.bytes[index] * retained + moved_bytes
+            self.elapsed_ms[index] = self.elapsed_ms[index] * retained + elapsed_ms
 
     def reset_wait(self) -> None:
-        """Nothing waits for it."""
-        self.waited = 0.0
+        """Note that no data waits for the peer now."""
+        self.waited_ms = 0.0
 
     def bytes_per_second(self) -> float:
-        """The higher of the two spans' rates, so that a pause of the short span is no verdict against a peer;
-        infinite where nothing was seen yet."""
-        rates = [1000.0 * moved / ms for moved, ms in zip(self.bytes, self.ms, strict=True) if ms > 0.0]
+        """Return the higher rate of the two windows; infinity before the first sample.
+
+        The higher one is used so that a pause as long as the short window does not count against a peer.
+        """
+        rates = [
+            1000.0 * moved / elapsed
+            for moved, elapsed in zip(self.bytes, self.elapsed_ms, strict=True)
+            if elapsed > 0.0
+        ]
         return max(rates, default=float("inf"))
--- a/tests/peers/test_memory_budget.py
+++ b/tests/peers/test_memory_budget.py
@@ -1,4 +1,9 @@
-"""The store of bytes: never below nothing, nothing leaks, kept room holds, value and due before turn."""
+"""The memory budget for bodies: limits hold, no memory leaks, and waiting work is granted by value.
+
+A counting error here would either stop the process from accepting bodies, once lost memory adds up, or let
+bodies take more memory than there is. Admission of connections that never identify themselves is tested here
+too.
+"""
 
 from __future__ import annotations
 
@@ -11,115 +16,131 @@
     MemoryBudget,
     PrepaidCredit,
     Reservation,
-    State,
+    ReservationState,
     VolumeUsage,
 )
 from cherrygrade.peers.slow_peer_escalation import Step
 
 
-def store(**more) -> MemoryBudget:
+def new_budget(**more) -> MemoryBudget:
     return MemoryBudget(
-        **{"room": 100, "batch_room": 60, "peer": 50, "slow": 20, "in_share": 0.5, "beyond": 0.1} | more
+        **{
+            "capacity_bytes": 100,
+            "batch_capacity_bytes": 60,
+            "max_peer_bytes": 50,
+            "max_slow_bytes": 20,
+            "value_within_quota": 0.5,
+            "value_beyond_quota": 0.1,
+        }
+        | more
     )
 
 
-def claim(length: int, *, account=None, share=None, pressed=False, value=1.0) -> Reservation:
-    return Reservation(account or Account(), share or VolumeUsage(1.0), length, pressed, value, None)
+def reservation(length: int, *, account=None, usage=None, pressed=False, value=1.0) -> Reservation:
+    return Reservation(account or Account(), usage or VolumeUsage(1.0), length, pressed, value, None)
 
 
-def admitted(kept: MemoryBudget) -> list[Reservation]:
-    into: list[Reservation] = []
-    kept.admit(into)
-    return into
+def grant_waiting(budget: MemoryBudget) -> list[Reservation]:
+    granted: list[Reservation] = []
+    budget.grant_waiting(granted)
+    return granted
 
 
-def test_batch_never_takes_the_room_kept_for_pressed_work():
-    kept = store()
-    assert kept.take(claim(40)) and kept.take(claim(20)) and not kept.take(claim(1))
-    assert kept.take(claim(30, pressed=True)) and not kept.take(claim(11, pressed=True))
+def test_batch_work_cannot_take_memory_reserved_for_pressed_work():
+    budget = new_budget()
+    assert (
+        budget.try_reserve(reservation(40))
+        and budget.try_reserve(reservation(20))
+        and not budget.try_reserve(reservation(1))
+    )
+    assert budget.try_reserve(reservation(30, pressed=True)) and not budget.try_reserve(
+        reservation(11, pressed=True)
+    )
 
 
-def test_value_goes_in_before_who_came_first_and_what_waits_is_not_passed():
-    kept = store()
-    full = claim(60)
-    assert kept.take(full)
-    cheap, dear = claim(50, value=1.0), claim(30, value=3.0)
-    for one in (cheap, dear):
-        assert not kept.take(one)
-        kept.wait(one)
-    assert not admitted(kept)
-    kept.unpin(full)
-    assert admitted(kept) == [dear]  # the cheap one does not fit beside it
-    small = claim(1, value=0.1)
-    assert not kept.take(small)  # there is room, but not past the one that waits
-    kept.drop(cheap)
-    kept.wait(small)
-    assert admitted(kept) == [small]
+def test_higher_value_is_granted_first_and_new_work_does_not_overtake_waiting_work():
+    budget = new_budget()
+    full = reservation(60)
+    assert budget.try_reserve(full)
+    low, high = reservation(50, value=1.0), reservation(30, value=3.0)
+    for one in (low, high):
+        assert not budget.try_reserve(one)
+        budget.enqueue(one)
+    assert not grant_waiting(budget)
+    budget.unpin(full)
+    assert grant_waiting(budget) == [high]  # the other one does not fit beside it
+    small = reservation(1, value=0.1)
+    assert not budget.try_reserve(small)  # it would fit, but another reservation waits already
+    budget.cancel(low)
+    budget.enqueue(small)
+    assert grant_waiting(budget) == [small]
+
+
+def test_volume_beyond_its_share_waits_behind_volume_within_its_share():
+    budget = new_budget(batch_capacity_bytes=100, max_peer_bytes=100)
+    greedy, modest = VolumeUsage(1.0), VolumeUsage(1.0)
+    full, own = reservation(90, usage=greedy), reservation(10, usage=modest)
+    assert budget.try_reserve(full) and budget.try_reserve(own)
+    first, second = reservation(20, usage=greedy, value=2.0), reservation(20, usage=modest, value=1.0)
+    budget.enqueue(first)
+    budget.enqueue(second)
+    budget.unpin(own)
+    budget.unpin(full)
+    assert grant_waiting(budget) == [second, first]
+
+
+def test_limit_of_a_peer_keeps_out_only_its_own_reservations():
+    budget, hog = new_budget(), Account()
+    first = reservation(45, account=hog)
+    assert budget.try_reserve(first)
+    waiting = [reservation(10, account=hog) for _ in range(3)]
+    for one in waiting:
+        assert not budget.try_reserve(one)
+        budget.enqueue(one)
+    assert grant_waiting(budget) == [] and budget.try_reserve(reservation(15))
+    budget.unpin(first)
+    assert grant_waiting(budget) == waiting  # one release grants all that now fit
+
+
+def test_slow_peers_share_a_limit_and_a_narrowed_peer_has_an_eighth_of_its_own():
+    budget, slow, other = new_budget(), Account(), Account()
+    budget.set_step(slow, Step.HELD)
+    budget.set_step(other, Step.NARROW)
+    assert budget.try_reserve(reservation(15, account=slow)) and not budget.try_reserve(
+        reservation(10, account=other)
+    )
+    blocked = reservation(10, account=other)
+    budget.enqueue(blocked)
+    assert not grant_waiting(budget) and budget.try_reserve(reservation(20))
+    budget.set_step(other, Step.FREE)
+    assert grant_waiting(budget) == [blocked]
+    budget.set_step(other, Step.NARROW)
+    assert not budget.try_reserve(reservation(1, account=other))  # it uses 10 of 50 / 8 already
 
 
-def test_what_is_beyond_its_volumes_share_of_the_store_waits_behind_what_is_due():
-    kept = store(batch_room=100, peer=100)
-    greedy, modest = VolumeUsage(1.0), VolumeUsage(1.0)
-    full, own = claim(90, share=greedy), claim(10, share=modest)
-    assert kept.take(full) and kept.take(own)
-    first, second = claim(20, share=greedy, value=2.0), claim(20, share=modest, value=1.0)
-    kept.wait(first)
-    kept.wait(second)
-    kept.unpin(own)
-    kept.unpin(full)
-    assert admitted(kept) == [second, first]
-
-
-def test_a_peers_own_most_keeps_out_its_own_claims_only():
-    kept, hog = store(), Account()
-    first = claim(45, account=hog)
-    assert kept.take(first)
-    waits = [claim(10, account=hog) for _ in range(3)]
-    for one in waits:
-        assert not kept.take(one)
-        kept.wait(one)
-    assert admitted(kept) == [] and kept.take(claim(15))
-    kept.unpin(first)
-    assert admitted(kept) == waits  # one release lets in all that now fit
-
-
-def test_slow_peers_share_a_most_and_a_narrowed_one_has_an_eighth():
-    kept, slow, other = store(), Account(), Account()
-    kept.mark(slow, Step.HELD)
-    kept.mark(other, Step.NARROW)
-    assert kept.take(claim(15, account=slow)) and not kept.take(claim(10, account=other))
-    blocked = claim(10, account=other)
-    kept.wait(blocked)
-    assert not admitted(kept) and kept.take(claim(20))
-    kept.mark(other, Step.FREE)
-    assert admitted(kept) == [blocked]
-    kept.mark(other, Step.NARROW)
-    assert not kept.take(claim(1, account=other))  # 10 in already, of 50 / 8
-
-
-def test_a_body_larger_than_its_peers_most_comes_in_alone():
-    kept = store(peer=10)
-    assert kept.take(claim(60)) and not kept.take(claim(1))
-
-
-def test_a_purse_pays_for_small_bodies_of_one_volume_up_to_what_it_holds():
-    purse = PrepaidCredit(claim(100, pressed=True), "read", "v")
-    assert purse.spend("read", "v", 40, 0) and purse.spend("read", "v", 40, 0)
-    assert not purse.spend("read", "v", 40, 0) and not purse.spend("read", "w", 1, 0)
-    purse.spent -= 40  # handed over, and it waits for the client: it counts as before
-    assert not purse.spend("read", "v", 40, 41) and purse.spend("read", "v", 40, 20)
-
-
-def test_purses_are_given_out_in_plenty_only():
-    kept = store()
-    assert kept.plenty(50) and not kept.plenty(51)
-    kept.take(claim(60))
-    kept.wait(claim(60))
-    assert not kept.plenty(0)
+def test_body_above_the_peer_limit_is_granted_if_it_is_the_only_one_of_the_peer():
+    budget = new_budget(max_peer_bytes=10)
+    assert budget.try_reserve(reservation(60)) and not budget.try_reserve(reservation(1))
+
+
+def test_prepaid_credit_covers_bodies_of_one_workload_and_volume_up_to_its_size():
+    credit = PrepaidCredit(reservation(100, pressed=True), "read", "v")
+    assert credit.spend("read", "v", 40, 0) and credit.spend("read", "v", 40, 0)
+    assert not credit.spend("read", "v", 40, 0) and not credit.spend("read", "w", 1, 0)
+    credit.spent -= 40  # the body was handed to the connection, and counts as unsent bytes now
+    assert not credit.spend("read", "v", 40, 41) and credit.spend("read", "v", 40, 20)
+
+
+def test_memory_is_not_plentiful_beyond_half_of_it_or_while_work_waits():
+    budget = new_budget()
+    assert budget.is_plentiful(50) and not budget.is_plentiful(51)
+    budget.try_reserve(reservation(60))
+    budget.enqueue(reservation(60))
+    assert not budget.is_plentiful(0)
 
 
 lengths = st.integers(1, 60)
-acts = st.lists(
+operations = st.lists(
     st.one_of(
         st.tuples(st.just("come"), st.integers(0, 3), lengths, st.booleans(), st.sampled_from([1.0, 3.0])),
         st.tuples(st.just("end"), st.integers(0, 50)),
@@ -131,65 +152,75 @@
 )
 
 
-@given(acts)
-def test_no_interleaving_takes_it_below_nothing_over_its_bounds_or_leaks(acts):
-    kept, accounts, shares = store(), [Account() for _ in range(4)], [VolumeUsage(1.0), VolumeUsage(3.0)]
-    inside: list[Reservation] = []
+@given(operations)
+def test_no_order_of_operations_exceeds_a_limit_or_leaks_memory(operations):
+    budget, accounts, usages = (
+        new_budget(),
+        [Account() for _ in range(4)],
+        [VolumeUsage(1.0), VolumeUsage(3.0)],
+    )
+    granted: list[Reservation] = []
     waiting: list[Reservation] = []
 
     def settle() -> None:
-        for one in admitted(kept):
+        for one in grant_waiting(budget):
             waiting.remove(one)
-            inside.append(one)
-
-    for act, *parts in acts:
-        if act == "come":
-            who, length, pressed, value = parts
-            one = claim(length, account=accounts[who], share=shares[who % 2], pressed=pressed, value=value)
-            if kept.take(one):
-                inside.append(one)
+            granted.append(one)
+
+    for operation, *parts in operations:
+        if operation == "come":
+            peer, length, pressed, value = parts
+            one = reservation(
+                length, account=accounts[peer], usage=usages[peer % 2], pressed=pressed, value=value
+            )
+            if budget.try_reserve(one):
+                granted.append(one)
             else:
-                kept.wait(one)
+                budget.enqueue(one)
                 waiting.append(one)
-        elif act == "mark":
-            kept.mark(accounts[parts[0]], parts[1])
-        elif act == "leave" and waiting:
-            kept.drop(waiting.pop(parts[0] % len(waiting)))
-        elif act in ("end", "pin") and inside:
-            one = inside[parts[0] % len(inside)]
-            if act == "pin":
+        elif operation == "mark":
+            budget.set_step(accounts[parts[0]], parts[1])
+        elif operation == "leave" and waiting:
+            budget.cancel(waiting.pop(parts[0] % len(waiting)))
+        elif operation in ("end", "pin") and granted:
+            one = granted[parts[0] % len(granted)]
+            if operation == "pin":
                 one.pin()
             else:
-                kept.unpin(one)
-                if one.state is State.GONE:
-                    inside.remove(one)
+                budget.unpin(one)
+                if one.state is ReservationState.RELEASED:
+                    granted.remove(one)
         settle()
-        assert kept.used_bytes == sum(one.length for one in inside) <= kept.capacity_bytes
+        assert budget.used_bytes == sum(one.length for one in granted) <= budget.capacity_bytes
         assert (
-            kept.batch_bytes
-            == sum(one.length for one in inside if not one.pressed)
-            <= kept.batch_capacity_bytes
+            budget.batch_bytes
+            == sum(one.length for one in granted if not one.is_pressed)
+            <= budget.batch_capacity_bytes
         )
-        assert kept.slow_bytes == sum(one.length for one in inside if one.account.step)
-        assert kept.waiting_count == len(waiting)
+        assert budget.slow_bytes == sum(one.length for one in granted if one.account.step)
+        assert budget.waiting_count == len(waiting)
         assert all(account.used_bytes >= 0 for account in accounts)
-    while inside:  # once what is in has ended, all that waits comes in, and nothing is left
-        one = inside.pop(0)
-        while one.state is not State.GONE:
-            kept.unpin(one)
+    # Once the granted reservations are released, each waiting one is granted, and nothing is left.
+    while granted:
+        one = granted.pop(0)
+        while one.state is not ReservationState.RELEASED:
+            budget.unpin(one)
         settle()
-    assert not waiting and not kept.waiting_count
-    assert kept.used_bytes == kept.batch_bytes == kept.slow_bytes == 0 and abs(kept._weights) < 1e-9
+    assert not waiting and not budget.waiting_count
+    assert (
+        budget.used_bytes == budget.batch_bytes == budget.slow_bytes == 0
+        and abs(budget._active_weight) < 1e-9
+    )
     assert all(not account.used_bytes and not account.waiting for account in accounts)
 
 
-def test_a_crowd_that_never_speaks_shuts_nobody_out():
-    arrivals: ConnectionAdmission[int] = ConnectionAdmission(max_connections=8, max_unidentified=2)
-    assert arrivals.admit(1, 0) == (True, None) and arrivals.admit(2, 1) == (True, None)
-    assert arrivals.admit(3, 2) == (True, 1)  # the oldest silent one goes
-    arrivals.mark_identified(2)
-    assert arrivals.admit(4, 2) == (True, None)
-    assert arrivals.admit(5, 8) == (True, 3)  # every place is taken, one by a silent one
-    arrivals.mark_identified(4)
-    arrivals.mark_identified(5)
-    assert arrivals.admit(6, 8) == (False, None)
+def test_clients_that_never_identify_themselves_do_not_lock_out_others():
+    admission: ConnectionAdmission[int] = ConnectionAdmission(max_connections=8, max_unidentified=2)
+    assert admission.admit(1, 0) == (True, None) and admission.admit(2, 1) == (True, None)
+    assert admission.admit(3, 2) == (True, 1)  # the oldest unidentified connection is closed
+    admission.mark_identified(2)
+    assert admission.admit(4, 2) == (True, None)
+    assert admission.admit(5, 8) == (True, 3)  # every place is taken, one by an unidentified connection
+    admission.mark_identified(4)
+    admission.mark_identified(5)
+    assert admission.admit(6, 8) == (False, None)
--- a/tests/peers/test_slow_peers.py
+++ b/tests/peers/test_slow_peers.py
@@ -1,4 +1,9 @@
-"""Slow peers are stepped down and cut; nobody else is, nor anybody for a fault of our own."""
+"""Slow peers are escalated step by step and cut, and no other peer is.
+
+A slow peer makes its data occupy memory that other requests need. A wrong decision would close the
+connections of good peers: if the network is slow, if this process was stalled, or because of how data arrives
+in bursts.
+"""
 
 from __future__ import annotations
 
@@ -118,12 +123,12 @@
 
 @given(st.lists(st.tuples(st.integers(0, 40), st.floats(0.0, 50.0)), max_size=80))
 def test_who_was_cut_is_remembered_for_its_time_in_bounded_room(cuts):
-    memory, now, last = RecentCuts(100.0, most=8), 0.0, {}
+    memory, now, last = RecentCuts(100.0, max_entries=8), 0.0, {}
     for peer, gap in cuts:
         now += gap
         memory.cut(("a", str(peer)), now)
         last[peer] = now
-        assert memory.grace(("a", str(peer)), now, 8.0) == 4.0 and len(memory._cut) <= 8
+        assert memory.grace(("a", str(peer)), now, 8.0) == 4.0 and len(memory._cut_at_ms) <= 8
     assert all(memory.grace(("a", str(peer)), at + 100.1, 8.0) == 8.0 for peer, at in last.items())
 
 
