--- a/tests/peers/test_floods.py
+++ b/tests/peers/test_floods.py
@@ -1,4 +1,8 @@
-"""Bad clients of every kind at once against one process, and what usual clients get beside them."""
+"""Malformed and hostile clients of every kind at once against one process, beside well-behaved clients.
+
+A fault here lets a hostile client use up sockets or memory, or crash the process, so that others are not
+served.
+"""
 
 from __future__ import annotations
 
@@ -14,12 +18,12 @@
 
 pytestmark = pytest.mark.alone
 
-CUT = client_request()[:-2]  # its head does not end
-# What each kind writes, and what it is told; None: a close will do.
+UNFINISHED_HEAD = client_request()[:-2]  # lacks the empty line
+# By kind: what the client writes, and the status that it gets; None: its connection may just be closed.
 KINDS: dict[str, tuple[list[bytes], int | None]] = {
     "no HTTP": ([b"\x00\x01\x02 nonsense\r\n\r\n"], 400),
-    "a head without end": ([CUT, *[b"X-More: " + b"a" * 1000 + b"\r\n"] * 40], 431),
-    "many fields": ([CUT, *[b"X-%d: 1\r\n" % n for n in range(200)], b"\r\n"], 431),
+    "a head without end": ([UNFINISHED_HEAD, *[b"X-More: " + b"a" * 1000 + b"\r\n"] * 40], 431),
+    "many fields": ([UNFINISHED_HEAD, *[b"X-%d: 1\r\n" % n for n in range(200)], b"\r\n"], 431),
     "a body of 60 MB": ([client_request(method="PUT", Content_Length="61000000"), *[bytes(65536)] * 60], 413),
     "chunks without end": (
         [
@@ -41,13 +45,13 @@
 }
 
 
-async def bad(one: PlatformProcess, writes: list[bytes]) -> list[int] | None:
-    """The statuses that it is told until its connection ends; None where that takes over 6 s."""
+async def run_bad_client(platform: PlatformProcess, writes: list[bytes]) -> list[int] | None:
+    """Return the statuses that the client gets until its connection ends; None after 6 s."""
     try:
-        reader, writer = await asyncio.open_connection("127.0.0.1", one.port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", platform.port)
     except ConnectionError:
         return []
-    told = MessageReader(responses=True)
+    responses = MessageReader(responses=True)
 
     async def write() -> None:
         try:
@@ -60,7 +64,7 @@
     async def read() -> None:
         try:
             while some := await reader.read(65536):
-                told.feed(some)
+                responses.feed(some)
         except ConnectionError:
             pass
 
@@ -72,17 +76,17 @@
     finally:
         writing.cancel()
         writer.close()
-    return [message.status for message in told.messages]
+    return [message.status for message in responses.messages]
 
 
-async def deaf(one: PlatformProcess) -> None:
-    """Asks for much and never reads."""
+async def run_deaf_client(platform: PlatformProcess) -> None:
+    """Send many requests and read no answer."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.setblocking(False)
     loop = asyncio.get_running_loop()
     try:
-        await loop.sock_connect(sock, ("127.0.0.1", one.port))
+        await loop.sock_connect(sock, ("127.0.0.1", platform.port))
         await asyncio.wait_for(loop.sock_sendall(sock, b"".join(client_request() for _ in range(300))), 1.0)
         await asyncio.sleep(2.0)
     except (TimeoutError, ConnectionError):
@@ -91,45 +95,49 @@
         sock.close()
 
 
-def test_floods_of_every_kind_at_once_cost_usual_clients_nothing(tmp_path):
-    async def story() -> None:
-        one = PlatformProcess(tmp_path)
-        await one.start()
+def test_hostile_clients_of_every_kind_at_once_do_not_affect_well_behaved_clients(tmp_path):
+    async def scenario() -> None:
+        platform = PlatformProcess(tmp_path)
+        await platform.start()
         try:
-            usual, kept = await one.connect_client(), psutil.Process(one.process.pid)
-            before, most, served, stop = kept.memory_info().rss, 0, [], asyncio.Event()
+            client, process = await platform.connect_client(), psutil.Process(platform.process.pid)
+            rss_before, max_fds, served, stop = process.memory_info().rss, 0, [], asyncio.Event()
 
             async def serve() -> None:
-                nonlocal most
+                nonlocal max_fds
                 while not stop.is_set():
-                    # Each of its own key: one that follows what was given up there is taken for its repeat.
-                    answered = await usual.exchange(
+                    # Each request has its own key: a request after a rejected one of the same key counts as
+                    # its retry.
+                    answered = await client.exchange(
                         client_request(f"/api/00000000000000ac/{len(served):016x}")
                     )
                     served.append(answered.status if answered is not None else 0)
                     served.append(
-                        await one.status_on_new_connection(f"/api/00000000000000ac/{len(served):016x}")
+                        await platform.status_on_new_connection(f"/api/00000000000000ac/{len(served):016x}")
                     )
-                    most = max(most, kept.num_fds())
+                    max_fds = max(max_fds, process.num_fds())
                     await asyncio.sleep(0.01)
 
             serving = asyncio.create_task(serve())
             for _ in range(3):
-                crowd = [deaf(one) for _ in range(3)]
-                told = await asyncio.gather(*[bad(one, writes) for writes, _ in KINDS.values()], *crowd)
-                for (name, (_, status)), got in zip(KINDS.items(), told, strict=False):
-                    assert got is not None, f"{name}: neither told nor closed"
+                crowd = [run_deaf_client(platform) for _ in range(3)]
+                results = await asyncio.gather(
+                    *[run_bad_client(platform, writes) for writes, _ in KINDS.values()], *crowd
+                )
+                for (name, (_, status)), got in zip(KINDS.items(), results, strict=False):
+                    assert got is not None, f"{name}: neither answered nor closed"
                     assert status is None or got[:1] in ([status], []), f"{name}: {got}"
                     assert 200 not in got, name
             stop.set()
             await serving
-            # Nobody usual is closed unanswered, and hardly any is rejected (the node shares this process).
+            # Well-behaved clients always get an answer, and hardly any rejection (the node runs in the
+            # process of the test).
             assert len(served) > 20 and 0 not in served and served.count(200) >= 0.9 * len(served)
-            assert most <= SOCKETS - 8
-            assert kept.memory_info().rss - before < 24 * 1024 * 1024
-            assert {message.fields[b"x-call-class"] for message in one.node.came} == {b"read"}
+            assert max_fds <= SOCKETS - 8
+            assert process.memory_info().rss - rss_before < 24 * 1024 * 1024
+            assert {message.fields[b"x-call-class"] for message in platform.node.came} == {b"read"}
         finally:
-            code = await one.stop()
-        assert code == 0 and "Traceback" not in one.read_log()
+            code = await platform.stop()
+        assert code == 0 and "Traceback" not in platform.read_log()
 
-    asyncio.run(asyncio.wait_for(story(), 90.0))
+    asyncio.run(asyncio.wait_for(scenario(), 90.0))
