--- a/cherrygrade/extents/__init__.py
+++ b/cherrygrade/extents/__init__.py
@@ -1,4 +1,5 @@
-"""Volumes as byte ranges: where their extents lie, how a range is split, when company is waited for.
+"""Byte ranges of volumes: the extent map, splitting and coalescing of requests.
 
-Everything here but the carrying in `carrier.py` is free of I/O, clock and chance.
+The decisions are in `extent_map`, `piece_tracker` and `coalescing_predictor`, which use no I/O or clock;
+`range_service` applies these decisions on the event loop.
 """
--- a/cherrygrade/extents/coalescing_predictor.py
+++ b/cherrygrade/extents/coalescing_predictor.py
@@ -1,8 +1,9 @@
-"""Whether a small RPC may wait a moment for company that recent traffic promises. Free of I/O and clock.
+"""Decides whether a small RPC waits for others that it could be coalesced with. Uses no I/O or clock.
 
-Two things are learned of an extent: how often a neighbour followed within the hold, seen whether or not one
-was held, and what holding earned. Others of the same extent are no company: they cannot share a send.
-The hold is a stated part of the slack to the soft deadline, never more.
+The decision is learned per extent from two measurements: how often an adjacent RPC followed within the
+waiting time, whether or not one did wait, and how often waiting led to a coalesced attempt. RPCs of the same
+extent that are not adjacent don't count, because they can't share an attempt. The waiting time is a
+configured fraction of the time until the latency objective, never more.
 """
 
 from __future__ import annotations
@@ -10,70 +11,117 @@
 from collections import deque
 from dataclasses import dataclass
 
-LEARN = 0.2  # of each new sight
-SELDOM = 0.1  # where neighbours are rarer, they are looked for in 32 of each 512 ms only
-COMES = 0.5  # company is expected where it followed more often than this
-EARNS = 0.3  # holding goes on while at least this part of holds met company
-RECENT = 8  # RPCs of an extent that are compared
-REST_MS = 1000.0  # after which holding may be tried again, doubled each time it earned nothing
-MOST_REST_MS = 60_000.0
+SMOOTHING = 0.2
+"""Weight of each new sample in a moving average."""
+RARE_ADJACENCY = 0.1
+"""If adjacent RPCs are rarer than this, they are looked for during 32 ms of every 512 ms only."""
+MIN_ADJACENCY = 0.5
+"""An RPC waits only if adjacent ones have followed more often than this."""
+MIN_SUCCESS = 0.3
+"""Waiting stops if fewer waits than this fraction led to a coalesced attempt."""
+RECENT_RPCS = 8
+"""Number of previous RPCs of an extent that a new one is compared with."""
+BACKOFF_MS = 1000.0
+"""Waiting is tried again after this time. The time doubles whenever waiting fails again."""
+MAX_BACKOFF_MS = 60_000.0
 
 
 @dataclass(slots=True)
-class _Sight:
-    recent: deque[tuple[float, int, int]]  # when, start and end of the last few
-    follows: float = 0.0  # part of RPCs that came within the hold of a neighbour
-    earned: float = 1.0  # part of holds that met company
-    rest: float = REST_MS
-    until: float = 0.0  # no hold before
-
-
-class Company:
-    """At most `most` extents are remembered; when they are too many, the half unseen for longest goes."""
-
-    def __init__(self, part: float, most: int = 4096) -> None:
-        self.part, self.most = part, most
-        self._sights: dict[tuple[str, int], _Sight] = {}
-        self._often: set[tuple[str, int]] = set()  # those of them where neighbours are not rare
-
-    def hold(self, volume: str, extent: int, start: int, end: int, now: float, slack_ms: float) -> float:
-        """How long this RPC on bytes from start to end may wait, ms; 0 where nobody is expected."""
-        looks = not int(now) & 480
-        if not (looks or self._often) and self._sights:
-            return 0.0  # the short way: nobody has company anywhere
+class _ExtentStats:
+    """What was measured of one extent.
+
+    Attributes:
+        recent: Arrival time, ms, start and end of the last RPCs, oldest first.
+        adjacency: Fraction of the RPCs that arrived within the waiting time after an adjacent one.
+        success: Fraction of the waits that led to a coalesced attempt.
+        backoff_ms: Length of the next backoff, ms.
+        wait_from_ms: No RPC waits before this time, ms.
+    """
+
+    recent: deque[tuple[float, int, int]]
+    adjacency: float = 0.0
+    success: float = 1.0
+    backoff_ms: float = BACKOFF_MS
+    wait_from_ms: float = 0.0
+
+
+class CoalescingPredictor:
+    """Predicts by extent whether an adjacent RPC follows soon.
+
+    Attributes:
+        max_wait_fraction: Fraction of the time until the latency objective that an RPC may wait.
+        max_extents: Maximum number of extents that statistics are kept of. Beyond it the half that had no RPC
+            for
+            longest is dropped.
+    """
+
+    def __init__(self, max_wait_fraction: float, max_extents: int = 4096) -> None:
+        """Args: `max_wait_fraction`: of the time until the objective; `max_extents`: bound on memory."""
+        self.max_wait_fraction, self.max_extents = max_wait_fraction, max_extents
+        self._stats: dict[tuple[str, int], _ExtentStats] = {}
+        self._adjacent: set[tuple[str, int]] = set()  # extents where adjacent RPCs are not rare
+
+    def wait_ms(self, volume: str, extent: int, start: int, end: int, now: float, slack_ms: float) -> float:
+        """Return how long an RPC on a part of an extent may wait for others.
+
+        Args:
+            volume: Name of the volume.
+            extent: Number of the extent.
+            start: First byte of the RPC, within the extent.
+            end: End of the RPC, exclusive, within the extent.
+            now: The time, ms.
+            slack_ms: Time until the latency objective, ms.
+
+        Returns:
+            The waiting time, ms; 0 if no adjacent RPC is expected.
+        """
+        samples_all = not int(now) & 480
+        if not (samples_all or self._adjacent) and self._stats:
+            return 0.0  # fast path: adjacent RPCs are rare in all extents
         key = (volume, extent)
-        sight = self._sights.get(key)
-        if sight is not None and not (looks or key in self._often):
+        stats = self._stats.get(key)
+        if stats is not None and not (samples_all or key in self._adjacent):
             return 0.0
-        longest = max(0.0, slack_ms * self.part)
-        if sight is None:
-            if len(self._sights) >= self.most:
-                seen = sorted(self._sights, key=lambda old: self._sights[old].recent[-1][0])
-                for old in seen[: max(1, self.most // 2)]:
-                    del self._sights[old]
-                    self._often.discard(old)
-            self._sights[key] = _Sight(deque([(now, start, end)], RECENT))
+        max_wait = max(0.0, slack_ms * self.max_wait_fraction)
+        if stats is None:
+            if len(self._stats) >= self.max_extents:
+                oldest_first = sorted(self._stats, key=lambda old: self._stats[old].recent[-1][0])
+                for old in oldest_first[: max(1, self.max_extents // 2)]:
+                    del self._stats[old]
+                    self._adjacent.discard(old)
+            self._stats[key] = _ExtentStats(deque([(now, start, end)], RECENT_RPCS))
             return 0.0
-        followed, since = False, now - longest
-        for at, first, last in reversed(sight.recent):
-            if at < since:
+        is_adjacent, since = False, now - max_wait
+        for arrived, first, last in reversed(stats.recent):
+            if arrived < since:
                 break
             if first <= end and start <= last:
-                followed = True
+                is_adjacent = True
                 break
-        sight.follows += LEARN * (followed - sight.follows)
-        (self._often.add if sight.follows >= SELDOM else self._often.discard)(key)
-        sight.recent.append((now, start, end))
-        return longest if sight.follows > COMES and now >= sight.until else 0.0
-
-    def met(self, volume: str, extent: int, now: float, together: int) -> None:
-        """A hold is over; so many RPCs had a neighbour among them."""
-        sight = self._sights.get((volume, extent))
-        if sight is None:
+        stats.adjacency += SMOOTHING * (is_adjacent - stats.adjacency)
+        (self._adjacent.add if stats.adjacency >= RARE_ADJACENCY else self._adjacent.discard)(key)
+        stats.recent.append((now, start, end))
+        return max_wait if stats.adjacency > MIN_ADJACENCY and now >= stats.wait_from_ms else 0.0
+
+    def record_wait(self, volume: str, extent: int, now: float, adjacent_count: int) -> None:
+        """Account for a wait that is over.
+
+        Args:
+            volume: Name of the volume.
+            extent: Number of the extent.
+            now: The time, ms.
+            adjacent_count: Number of waiting RPCs that could be coalesced; 1 if there were none beside the
+                first.
+        """
+        stats = self._stats.get((volume, extent))
+        if stats is None:
             return
-        sight.earned += LEARN * ((together > 1) - sight.earned)
-        if sight.earned < EARNS:
-            sight.until, sight.rest = now + sight.rest, min(MOST_REST_MS, sight.rest * 2.0)
-            sight.earned = COMES  # a second trial is a short one
-        elif sight.earned > 0.9:
-            sight.rest = REST_MS
+        stats.success += SMOOTHING * ((adjacent_count > 1) - stats.success)
+        if stats.success < MIN_SUCCESS:
+            stats.wait_from_ms, stats.backoff_ms = (
+                now + stats.backoff_ms,
+                min(MAX_BACKOFF_MS, stats.backoff_ms * 2.0),
+            )
+            stats.success = MIN_ADJACENCY  # close to `MIN_SUCCESS`, so that the next trial is a short one
+        elif stats.success > 0.9:
+            stats.backoff_ms = BACKOFF_MS
--- a/cherrygrade/extents/piece_tracker.py
+++ b/cherrygrade/extents/piece_tracker.py
@@ -1,8 +1,9 @@
-"""One client's RPC that goes as several pieces: which are taken when, and what their ends mean. Free of I/O.
+"""The pieces that one client RPC is split into: which to start when, and the result of the RPC. Uses no I/O.
 
-A read is ok only with all its bytes, those of one extent all of one version: where an extent turns out to
-have moved midway, its pieces go anew. A write that went in part is errored, never rejected: its ranges may
-hold new bytes or old. A read may always be rejected, it has no effect.
+A read succeeds only with all of its bytes, and those of one extent all of the same version: if an extent
+turns out to have moved during the read, its pieces are read again. A write that took effect in part is
+errored, never rejected, because its ranges may hold new bytes or old ones. A read has no effect, so it may
+always be rejected.
 """
 
 from __future__ import annotations
@@ -12,10 +13,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from cherrygrade.extents.extent_map import NOWHERE, Stretch
+from cherrygrade.extents.extent_map import UNKNOWN_SHARD, ExtentSlice
 
 
-class End(Enum):
+class Result(Enum):
+    """The result of an RPC that was split."""
+
     OK = "ok"
     REJECTED = "rejected"
     ERRORED = "errored"
@@ -23,94 +26,137 @@
 
 @dataclass(slots=True, eq=False)
 class Piece:
-    """A stretch with the home that it was last sent for. `turn` counts how often it went anew."""
-
-    stretch: Stretch
-    shard: int = NOWHERE
-    version: int = -1
-    turn: int = 0
-
+    """A slice of the range, with the location that it was last sent to.
 
-class Parent:
-    """`more` gives pieces to be taken now, at most `most_out` at once and `most_shard` of one shard.
+    Attributes:
+        slice: The bytes.
+        shard: Shard of the extent.
+        version: Version of the extent.
+        attempt: How often the piece was started again.
+    """
 
-    Pieces are made as they are taken: a large export that waits for room occupies little. Emptied by its end:
-    pieces not yet taken are dropped at once then, `out` tells those that are.
+    slice: ExtentSlice
+    shard: int = UNKNOWN_SHARD
+    version: int = -1
+    attempt: int = 0
+
+
+class PieceTracker:
+    """The pieces of one RPC.
+
+    A piece is created only when it is started, so that a large export that waits for memory occupies little.
+    Once the RPC has a result, no further piece is started, and `in_flight` has those that are still running.
+
+    Attributes:
+        writes: The RPC is a write.
+        max_in_flight: Maximum number of pieces in flight.
+        max_per_shard: Maximum number of pieces in flight for one shard.
+        waiting: Pieces to be started again, or that had to wait for the limit of their shard.
+        in_flight: Pieces that were started and have no outcome, in the order of their start.
+        completed: Pieces that succeeded, by extent.
+        remaining_bytes: Bytes that did not succeed yet.
+        result: The result of the RPC; None while it is open.
+        come_back_ms: Retry delay for the client if the RPC is rejected, ms; 0 if none may be given.
+        may_have_run: A piece may have taken effect.
     """
 
     def __init__(
-        self, stretches: Iterable[Stretch], length: int, writes: bool, most_out: int, most_shard: int
+        self,
+        slices: Iterable[ExtentSlice],
+        length: int,
+        writes: bool,
+        max_in_flight: int,
+        max_per_shard: int,
     ) -> None:
-        self.writes, self.most_out, self.most_shard = writes, most_out, most_shard
-        self._to_come = iter(stretches)
-        self.waiting: deque[Piece] = deque()  # those that go anew, or were passed over
-        self.out: dict[Piece, None] = {}
-        self.done: dict[int, list[Piece]] = {}  # by extent
-        self.left = length  # bytes
-        self.end: End | None = None if self.left else End.OK
+        """Set up the pieces of an RPC.
+
+        Args:
+            slices: The slices of the range, in order; consumed as pieces are started.
+            length: Length of the range, bytes.
+            writes: The RPC is a write.
+            max_in_flight: Maximum number of pieces in flight.
+            max_per_shard: Maximum number of pieces in flight for one shard.
+        """
+        self.writes, self.max_in_flight, self.max_per_shard = writes, max_in_flight, max_per_shard
+        self._slices = iter(slices)
+        self.waiting: deque[Piece] = deque()
+        self.in_flight: dict[Piece, None] = {}
+        self.completed: dict[int, list[Piece]] = {}
+        self.remaining_bytes = length
+        self.result: Result | None = None if self.remaining_bytes else Result.OK
         self.come_back_ms = 0.0
-        self.begun = False  # something of it may have run
+        self.may_have_run = False
+
+    def start(self, location: Callable[[int], tuple[int, int]], max_count: int = 1 << 30) -> list[Piece]:
+        """Start further pieces.
+
+        Args:
+            location: Returns the shard and the version of an extent.
+            max_count: Maximum number of pieces to start.
 
-    def more(self, home: Callable[[int], tuple[int, int]], most: int = 1 << 30) -> list[Piece]:
-        """Pieces to be taken now, so many at most; `home` tells an extent's shard and version."""
-        if self.end is not None:
+        Returns:
+            The pieces that are in flight from now on.
+        """
+        if self.result is not None:
             return []
         by_shard: dict[int, int] = {}
-        for flying in self.out:
-            by_shard[flying.shard] = by_shard.get(flying.shard, 0) + 1
-        taken: list[Piece] = []
-        passed: list[Piece] = []
-        most = min(most, self.most_out - len(self.out))
-        while len(taken) < most and len(passed) < self.most_out:
+        for running in self.in_flight:
+            by_shard[running.shard] = by_shard.get(running.shard, 0) + 1
+        started: list[Piece] = []
+        skipped: list[Piece] = []
+        max_count = min(max_count, self.max_in_flight - len(self.in_flight))
+        while len(started) < max_count and len(skipped) < self.max_in_flight:
             piece = self._next()
             if piece is None:
                 break
-            shard, version = home(piece.stretch.extent)
-            if by_shard.get(shard, 0) >= self.most_shard:
-                passed.append(piece)  # others of other shards may go before it
+            shard, version = location(piece.slice.extent)
+            if by_shard.get(shard, 0) >= self.max_per_shard:
+                skipped.append(piece)  # pieces of other shards may be started before it
                 continue
             piece.shard, piece.version = shard, version
             by_shard[shard] = by_shard.get(shard, 0) + 1
-            taken.append(piece)
-        self.waiting.extendleft(reversed(passed))
-        for piece in taken:
-            self.out[piece] = None
-        return taken
+            started.append(piece)
+        self.waiting.extendleft(reversed(skipped))
+        for piece in started:
+            self.in_flight[piece] = None
+        return started
 
     def _next(self) -> Piece | None:
         if self.waiting:
             return self.waiting.popleft()
-        stretch = next(self._to_come, None)
-        return None if stretch is None else Piece(stretch)
+        next_slice = next(self._slices, None)
+        return None if next_slice is None else Piece(next_slice)
 
     def ok(self, piece: Piece, version: int) -> None:
-        """Its bytes came, or were written, at this version of the extent."""
-        if self.out.pop(piece, self) is not None or self.end is not None:
+        """Note that the bytes of a piece were read, or written, at this version of the extent."""
+        if self.in_flight.pop(piece, self) is not None or self.result is not None:
             return
-        self.begun = True
-        others = self.done.setdefault(piece.stretch.extent, [])
+        self.may_have_run = True
+        others = self.completed.setdefault(piece.slice.extent, [])
         if others and others[0].version != version and not self.writes:
-            newer = version > others[0].version
-            for old in others if newer else [piece]:
-                old.turn += 1
+            # The extent moved during the read: the pieces of the older version have to be read again.
+            is_newer = version > others[0].version
+            for old in others if is_newer else [piece]:
+                old.attempt += 1
                 self.waiting.appendleft(old)
-            self.left += sum(old.stretch.length for old in others) if newer else 0
-            if not newer:
+            self.remaining_bytes += sum(old.slice.length for old in others) if is_newer else 0
+            if not is_newer:
                 return
             others.clear()
         piece.version = version
         others.append(piece)
-        self.left -= piece.stretch.length
-        if not self.left:
-            self.end = End.OK
+        self.remaining_bytes -= piece.slice.length
+        if not self.remaining_bytes:
+            self.result = Result.OK
 
     def errored(self, piece: Piece) -> None:
-        if self.out.pop(piece, self) is None:
-            self.end = self.end or End.ERRORED
+        """Note that a piece failed, and may have taken effect."""
+        if self.in_flight.pop(piece, self) is None:
+            self.result = self.result or Result.ERRORED
 
     def rejected(self, piece: Piece, come_back_ms: float) -> None:
-        """The piece never ran, or may run again."""
-        if self.out.pop(piece, self) is None and self.end is None:
+        """Note that a piece did not run, or may be run again; the client may retry after `come_back_ms`."""
+        if self.in_flight.pop(piece, self) is None and self.result is None:
             self.come_back_ms = come_back_ms
-            partly = self.writes and (self.begun or bool(self.out))
-            self.end = End.ERRORED if partly else End.REJECTED
+            has_partial_effect = self.writes and (self.may_have_run or bool(self.in_flight))
+            self.result = Result.ERRORED if has_partial_effect else Result.REJECTED
--- a/cherrygrade/extents/range_service.py
+++ b/cherrygrade/extents/range_service.py
@@ -1,6 +1,8 @@
-"""Ranges between sessions and rounds: maps and splits them, holds small ones for company, joins answers.
+"""Requests on byte ranges, between client sessions and the scheduler.
 
-Asks the decisions of this package and carries them out; the module still decides on each piece.
+Locates ranges by the extent map, splits large ones into pieces, lets small ones wait to be coalesced, and
+joins the results of pieces into one answer. The decisions are made by the other modules of this package; how
+each piece is dispatched is up to the scheduler.
 """
 
 from __future__ import annotations
@@ -10,9 +12,9 @@
 from itertools import pairwise
 from typing import Any, Protocol
 
-from cherrygrade.extents.coalescing_predictor import Company
-from cherrygrade.extents.extent_map import NOWHERE, ExtentMap, Stretch
-from cherrygrade.extents.piece_tracker import End, Parent, Piece
+from cherrygrade.extents.coalescing_predictor import CoalescingPredictor
+from cherrygrade.extents.extent_map import UNKNOWN_SHARD, ExtentMap, ExtentSlice
+from cherrygrade.extents.piece_tracker import Piece, PieceTracker, Result
 from cherrygrade.inflight import Body, ClientSession, InflightRequest, RangeRequest
 from cherrygrade.peers.memory_admission import MemoryAdmission
 from cherrygrade.peers.memory_budget import Reservation, is_waiting
@@ -21,29 +23,36 @@
 from cherrygrade.settings import ExtentSettings, TrafficSettings, VolumeSettings
 from cherrygrade.wire.messages import Errored, MapPart, Ok, Part, ReadRpc, Rejected, WriteRpc
 
-ASK_AGAIN_MS = 250.0
-PARTS = "parts"  # the feature of clients that take a read's bytes as they come
+QUERY_RETRY_MS = 250.0
+"""A query for a part of the map is repeated after this time, while requests still wait for the answer."""
+STREAMING_FEATURE = "parts"
+"""Clients with this feature receive the bytes of a read piece by piece."""
 
 
 class RequestHost(Protocol):
-    """The dispatcher, as ranges need it."""
+    """What range requests need of the dispatcher."""
 
     @property
-    def trade(self) -> TrafficSettings: ...
+    def trade(self) -> TrafficSettings:
+        """The workloads and volumes in force."""
 
     @property
-    def rooms(self) -> MemoryAdmission: ...
+    def rooms(self) -> MemoryAdmission:
+        """Reservations of memory for bodies."""
 
     @property
-    def come_back_ms(self) -> float: ...
+    def come_back_ms(self) -> float:
+        """Retry delay for rejected clients, ms."""
 
     @property
-    def log(self) -> Callable[..., None]: ...
+    def log(self) -> Callable[..., None]:
+        """Writes a log event."""
 
-    def clock(self) -> float: ...
+    def clock(self) -> float:
+        """Return the time, ms."""
 
     def answer_deadline_ms(self, session: ClientSession, ask: ReadRpc | WriteRpc) -> float:
-        """When the RPC's answer must be on its way. To be asked once an RPC."""
+        """Return the time by which the answer must be sent, ms; to be called once for an RPC."""
 
     def new_request(
         self,
@@ -55,399 +64,521 @@
         start: int,
         length: int,
         until: float,
-    ) -> InflightRequest: ...
+    ) -> InflightRequest:
+        """Make a request for the scheduler on a part of the object `key`."""
 
     def submit_direct(self, session: ClientSession, ask: ReadRpc | WriteRpc, body: Body) -> InflightRequest:
-        """An RPC that no map is asked for."""
+        """Submit an RPC that needs no extent map."""
 
     def admit(self, held: InflightRequest) -> None:
-        """To the module, once there is room for its bytes."""
+        """Submit a request to the scheduler as soon as there is memory for its bytes."""
 
     def abandon(self, held: InflightRequest) -> None:
-        """The module is to go on with it no more."""
+        """Make the scheduler stop working on a request."""
 
-    def detach_claim(self, one: InflightRequest | RangeRequest) -> Reservation | None: ...
+    def detach_claim(self, one: InflightRequest | RangeRequest) -> Reservation | None:
+        """Take over the reservation of a request that is finished."""
 
-    def pin_attempts(self, held: InflightRequest, claim: Reservation) -> None: ...
+    def pin_attempts(self, held: InflightRequest, claim: Reservation) -> None:
+        """Keep the reservation while attempts of the request are in flight."""
 
-    def discard_memory(self, one: InflightRequest | RangeRequest) -> None: ...
+    def discard_memory(self, one: InflightRequest | RangeRequest) -> None:
+        """Release the reservation of a request whose bytes nobody gets."""
 
     def is_open(self, one: RangeRequest) -> bool:
-        """Whether it is taken and not over."""
+        """Return whether the request was taken and has no final answer."""
 
     def send_final_answer(
         self, one: InflightRequest | RangeRequest, message: Ok | Rejected | Errored, body: Body = None
-    ) -> None: ...
+    ) -> None:
+        """Send the final answer of a request to its client."""
 
     def extents_located(self) -> None:
-        """RPCs that waited for their place have one now."""
-
-
-class Range:
-    """A client's RPC that goes as pieces. `helds` is emptied as they end, and by its own end. Workload and
-    volume are those that it was taken with: settings that come into force meanwhile may know neither."""
+        """Make the scheduler reconsider requests whose extent is located now."""
+
+
+class SplitRequest:
+    """A client RPC that runs as several pieces, or that waits for the map.
+
+    Attributes:
+        service: The range service.
+        session: The client.
+        rpc: The RPC.
+        deadline_ms: Time by which the answer must be sent, ms.
+        workload, volume: As they were when the RPC was taken; settings that come into force later may lack
+            them.
+        writes: The RPC is a write.
+        length: Length of the range, bytes.
+        streams: The client receives the bytes of the read piece by piece.
+        buffer: The bytes to write, or the bytes of a read that is not streamed; None if there are none yet.
+        claim: Memory for the buffer of a read; the pieces of a streamed read have reservations of their own.
+        waiting_piece: The piece that waited for memory when pieces were last started.
+        requests: The requests of the pieces in flight; emptied as they finish, and by the end of the RPC.
+        tracker: Decides which pieces to start.
+    """
 
     def __init__(
         self,
-        carrier: RangeService,
+        service: RangeService,
         session: ClientSession,
-        ask: ReadRpc | WriteRpc,
+        rpc: ReadRpc | WriteRpc,
         body: Any,
-        until: float,
+        deadline_ms: float,
         workload: Workload,
         volume: VolumeSettings,
     ) -> None:
-        self.carrier, self.session, self.rpc, self.until = carrier, session, ask, until
+        self.service, self.session, self.rpc, self.deadline_ms = service, session, rpc, deadline_ms
         self.workload, self.volume = workload, volume
-        self.writes = isinstance(ask, WriteRpc)
-        self.length = ask.length if isinstance(ask, ReadRpc) else len(body or b"")
-        self.streams = not self.writes and PARTS in session.features
-        self.whole = memoryview(body or b"") if self.writes else None  # a read's bytes, put together
-        self.claim: Reservation | None = None  # room of the whole; pieces that stream have their own
-        self.cramped_piece: InflightRequest | None = None  # one that waited for room when last looked at
-        self.helds: dict[Piece, InflightRequest] = {}
-        self.parent = Parent([Stretch(-1, 0, self.length, 0)], self.length, self.writes, 1, 1)
-
-    def enter(self) -> None:
-        """Find room for the whole, if it is put together here, and then the map."""
-        session, ask, rooms = self.session, self.rpc, self.carrier.host.rooms
+        self.writes = isinstance(rpc, WriteRpc)
+        self.length = rpc.length if isinstance(rpc, ReadRpc) else len(body or b"")
+        self.streams = not self.writes and STREAMING_FEATURE in session.features
+        self.buffer = memoryview(body or b"") if self.writes else None
+        self.claim: Reservation | None = None
+        self.waiting_piece: InflightRequest | None = None
+        self.requests: dict[Piece, InflightRequest] = {}
+        self.tracker = PieceTracker([ExtentSlice(-1, 0, self.length, 0)], self.length, self.writes, 1, 1)
+
+    def begin(self) -> None:
+        """Reserve memory for the buffer of a read that is not streamed, then locate the range."""
+        session, rpc, rooms = self.session, self.rpc, self.service.host.rooms
         if not (self.writes or self.streams) and self.length:
             self.claim = rooms.reserve(
-                session.account, ask.workload, ask.volume, self.length, self, ask.left_ms
+                session.account, rpc.workload, rpc.volume, self.length, self, rpc.left_ms
             )
             if is_waiting(self.claim):
                 return
-        self.carrier.find(self)
+        self.service.locate(self)
 
-    def reservation_granted(self, claim: Reservation) -> None:
-        self.carrier.find(self)
+    def reservation_granted(self, reservation: Reservation) -> None:
+        """Go on: there is memory for the buffer."""
+        self.service.locate(self)
 
-    def reservation_timed_out(self, claim: Reservation) -> None:
+    def reservation_timed_out(self, reservation: Reservation) -> None:
+        """Reject the RPC: no memory for the buffer became available in time."""
         self.drop()
-        host = self.carrier.host
-        host.send_final_answer(self, Rejected(self.rpc.id, host.come_back_ms, "no room for its bytes"))
+        host = self.service.host
+        host.send_final_answer(
+            self, Rejected(self.rpc.id, host.come_back_ms, f"no memory for a read of {self.length} bytes")
+        )
 
-    def plan(self) -> None:
-        """Begin anew by the map, which is known now; nothing has been sent before it was."""
+    def split(self) -> None:
+        """Split the range by the map, which is known now; no piece was sent to a node before."""
         self.drop()
-        cuts, ask = self.carrier.cuts, self.rpc
-        if not self.streams and self.whole is None:
-            self.whole = memoryview(bytearray(self.length))
-        stretches = self.carrier.map.stretches(ask.volume, ask.offset, self.length, cuts.most_piece)
-        self.parent = Parent(stretches, self.length, self.writes, cuts.pieces, cuts.pieces_a_shard)
+        settings, rpc = self.service.settings, self.rpc
+        if not self.streams and self.buffer is None:
+            self.buffer = memoryview(bytearray(self.length))
+        slices = self.service.map.slices(rpc.volume, rpc.offset, self.length, settings.most_piece)
+        self.tracker = PieceTracker(
+            slices, self.length, self.writes, settings.pieces, settings.pieces_a_shard
+        )
         self.start_pieces()
 
     @property
     def pieces(self) -> list[InflightRequest]:
-        return [*self.helds.values()]
+        """The requests of the pieces in flight."""
+        return [*self.requests.values()]
 
     def start_pieces(self) -> None:
-        """Take more pieces while the client takes what comes: what is out and what waits count alike."""
+        """Start further pieces, unless the client is slow to take the bytes of earlier ones.
+
+        Bytes of pieces in flight count like bytes that wait to be sent.
+        """
         session = self.session
-        narrow = session.slow >= Step.NARROW and bool(session.conn.waiting or session.bytes_in_flight)
-        if narrow or session.conn.waiting + session.bytes_in_flight >= session.conn.high:
+        is_narrowed = session.slow >= Step.NARROW and bool(session.conn.waiting or session.bytes_in_flight)
+        if is_narrowed or session.conn.waiting + session.bytes_in_flight >= session.conn.high:
             session.waiting_ranges[self] = None
             return
         session.waiting_ranges.pop(self, None)
-        if self.cramped_piece is not None and is_waiting(self.cramped_piece.claim):
-            return  # one that waits for room is enough: the next goes behind it
-        carrier, self.cramped_piece = self.carrier, None
-        most = 1 if carrier.host.rooms.budget.waiting_count else carrier.cuts.pieces
-        for piece in self.parent.more(lambda extent: carrier.map.home(self.rpc.volume, extent), most):
-            held = carrier.hold_piece(self, piece)
-            self.helds[piece] = held
-            session.bytes_in_flight += piece.stretch.length
-            carrier.host.admit(held)
-            if is_waiting(held.claim):
-                self.cramped_piece = held
+        if self.waiting_piece is not None and is_waiting(self.waiting_piece.claim):
+            return  # one piece that waits for memory is enough: others would wait behind it
+        service, self.waiting_piece = self.service, None
+        max_count = 1 if service.host.rooms.budget.waiting_count else service.settings.pieces
+        for piece in self.tracker.start(
+            lambda extent: service.map.location(self.rpc.volume, extent), max_count
+        ):
+            request = service.new_piece_request(self, piece)
+            self.requests[piece] = request
+            session.bytes_in_flight += piece.slice.length
+            service.host.admit(request)
+            if is_waiting(request.claim):
+                self.waiting_piece = request
 
     def ok(self, held: InflightRequest) -> None:
+        """Take in that a piece succeeded: pass its bytes on and start further pieces."""
         piece, body = held.piece, held.body
         assert isinstance(piece, Piece)
-        stretch = piece.stretch
+        part = piece.slice
         if self.streams and body is not None:
             self.session.send_message(
-                Part(self.rpc.id, stretch.at), body, self.carrier.host.detach_claim(held)
+                Part(self.rpc.id, part.range_offset), body, self.service.host.detach_claim(held)
             )
-        elif self.whole is not None and not self.writes and body is not None and body is not held.destination:
-            self.whole[stretch.at : stretch.at + stretch.length] = body
-        self._landed(piece)
-        held.body = held.destination = None  # what is in a circle of references would keep its bytes for long
-        self.parent.ok(piece, held.version)
-        self._on()
+        elif (
+            self.buffer is not None and not self.writes and body is not None and body is not held.destination
+        ):
+            self.buffer[part.range_offset : part.range_offset + part.length] = body
+        self._finish_piece(piece)
+        held.body = held.destination = (
+            None  # in a reference cycle the bytes would stay until the next collection
+        )
+        self.tracker.ok(piece, held.version)
+        self._advance()
 
     def rejected(self, held: InflightRequest, come_back_ms: float) -> None:
+        """Take in that a piece was rejected; the client may retry after `come_back_ms`."""
         assert isinstance(held.piece, Piece)
-        self._landed(held.piece)
-        if any(send.outcome is None or not send.outcome.never_ran for send in held.attempts):
-            self.parent.begun = True
-        self.parent.rejected(held.piece, come_back_ms)
-        self._on()
+        self._finish_piece(held.piece)
+        if any(attempt.outcome is None or not attempt.outcome.never_ran for attempt in held.attempts):
+            self.tracker.may_have_run = True
+        self.tracker.rejected(held.piece, come_back_ms)
+        self._advance()
 
     def errored(self, held: InflightRequest) -> None:
+        """Take in that a piece failed, and may have taken effect."""
         assert isinstance(held.piece, Piece)
-        self._landed(held.piece)
-        self.parent.errored(held.piece)
-        self._on()
+        self._finish_piece(held.piece)
+        self.tracker.errored(held.piece)
+        self._advance()
+
+    def _finish_piece(self, piece: Piece) -> None:
+        request = self.requests.pop(piece, None)
+        if request is not None:
+            self._discard(request)
 
-    def _landed(self, piece: Piece) -> None:
-        held = self.helds.pop(piece, None)
-        if held is not None:
-            self._let_go(held)
+    def _advance(self) -> None:
+        """Send the answer if there is a result, and start further pieces.
 
-    def _on(self) -> None:
-        end, parent = self.parent.end, self.parent
+        Other ranges of the client that waited for it to take bytes may go on as well.
+        """
+        result, tracker = self.tracker.result, self.tracker
         session = self.session
-        if end is None:
+        if result is None:
             self.start_pieces()
-        for range_ in [*session.waiting_ranges][:4]:
-            range_.start_pieces()
-        if end is None:
+        for waiting_range in [*session.waiting_ranges][:4]:
+            waiting_range.start_pieces()
+        if result is None:
             return
         self.drop()
-        ask, host = self.rpc, self.carrier.host
-        if end is End.OK:
-            body = None if self.streams or self.writes else self.whole
-            host.send_final_answer(self, Ok(ask.id, -1), body)
-        elif end is End.REJECTED:
-            host.send_final_answer(self, Rejected(ask.id, parent.come_back_ms, "a piece of it was rejected"))
+        rpc, host = self.rpc, self.service.host
+        if result is Result.OK:
+            body = None if self.streams or self.writes else self.buffer
+            host.send_final_answer(self, Ok(rpc.id, -1), body)
+        elif result is Result.REJECTED:
+            host.send_final_answer(
+                self, Rejected(rpc.id, tracker.come_back_ms, "a piece of the range was rejected")
+            )
         else:
-            what = "a piece failed: its ranges may hold new bytes or old" if self.writes else "a piece failed"
-            host.send_final_answer(self, Errored(ask.id, what))
+            reason = (
+                "a piece of the write failed: its range may hold new bytes or old ones"
+                if self.writes
+                else "a piece of the read failed"
+            )
+            host.send_final_answer(self, Errored(rpc.id, reason))
 
     def drop(self) -> None:
-        """Pieces that are still held are of no use any more."""
+        """Abandon all pieces in flight."""
         self.session.waiting_ranges.pop(self, None)
-        helds, self.helds = self.helds, {}
-        for held in helds.values():
-            self.carrier.host.abandon(held)
-            self._let_go(held)
-
-    def _let_go(self, held: InflightRequest) -> None:
-        host = self.carrier.host
-        self.session.bytes_in_flight -= held.length
+        requests, self.requests = self.requests, {}
+        for request in requests.values():
+            self.service.host.abandon(request)
+            self._discard(request)
+
+    def _discard(self, request: InflightRequest) -> None:
+        host = self.service.host
+        self.session.bytes_in_flight -= request.length
         if self.claim is not None:
-            host.pin_attempts(held, self.claim)
-        host.discard_memory(held)
+            host.pin_attempts(request, self.claim)
+        host.discard_memory(request)
 
 
 class RangeService:
-    """All of a dispatcher's ranges. `astray` is emptied by the map's word and by the RPCs' ends, `unmapped`
-    by the volume's map or its RPCs' ends, `company` by the hold's end."""
+    """All range requests of a dispatcher.
+
+    Attributes:
+        host: The dispatcher.
+        settings: How ranges are split and coalesced.
+        query_map: Queries the register for the extents of a volume, from a number on and so many.
+        map: The extent map.
+        predictor: Predicts whether RPCs can be coalesced.
+        unlocated: By volume and extent, requests that wait until the extent is located; entries are removed
+            when
+            it is, and when the requests are finished.
+        unmapped: By volume, requests that wait for the volume's map; entries are removed when it is received,
+            and
+            when the requests are finished.
+        coalescing: By volume and extent, requests that wait to be coalesced; an entry is removed when the
+            waiting
+            time is over.
+        coalesced_count, split_count, vain_wait_count, stale_entry_count: Since the last log line, attempts
+            that
+            shared a frame with another one, RPCs that were split, waits without another RPC to coalesce with,
+            and outdated map entries.
+    """
 
     def __init__(
-        self, host: RequestHost, cuts: ExtentSettings, ask_map: Callable[[str, int, int], None]
+        self, host: RequestHost, settings: ExtentSettings, query_map: Callable[[str, int, int], None]
     ) -> None:
-        self.host, self.cuts, self.ask_map = host, cuts, ask_map
+        self.host, self.settings, self.query_map = host, settings, query_map
         self.map = ExtentMap()
-        self.holds = Company(cuts.hold_part)
-        self.astray: dict[tuple[str, int], list[InflightRequest]] = {}
-        self.unmapped: dict[str, list[Range]] = {}
-        self.company: dict[tuple[str, int], list[InflightRequest]] = {}
-        # RPCs that went with others; those that went as pieces; holds that met nobody; old entries met.
-        self.coalesced_count = self.split = self.held_vain = self.stales = 0
-        self._again: asyncio.TimerHandle | None = None
+        self.predictor = CoalescingPredictor(settings.hold_part)
+        self.unlocated: dict[tuple[str, int], list[InflightRequest]] = {}
+        self.unmapped: dict[str, list[SplitRequest]] = {}
+        self.coalescing: dict[tuple[str, int], list[InflightRequest]] = {}
+        self.coalesced_count = self.split_count = self.vain_wait_count = self.stale_entry_count = 0
+        self._retry_timer: asyncio.TimerHandle | None = None
 
     def take(
-        self, session: ClientSession, ask: ReadRpc | WriteRpc, body: Any
-    ) -> InflightRequest | Range | None:
-        """A client's RPC on a range; None where it was answered at once."""
-        host, volume = self.host, ask.volume
-        length = ask.length if isinstance(ask, ReadRpc) else len(body or b"")
-        workload, dealt = host.trade.workloads.get(ask.workload), host.trade.volumes.get(volume)
-        if workload is None or dealt is None:
-            return host.submit_direct(session, ask, body)  # the module rejects what it does not know
-        if isinstance(ask, WriteRpc) and ask.append:
-            session.conn.send(Errored(ask.id, "a range has no end to append to"))
+        self, session: ClientSession, rpc: ReadRpc | WriteRpc, body: Any
+    ) -> InflightRequest | SplitRequest | None:
+        """Take a client's RPC on a range.
+
+        Args:
+            session: The client.
+            rpc: The RPC.
+            body: The bytes to write.
+
+        Returns:
+            The request; None if the RPC was answered at once.
+        """
+        host, volume = self.host, rpc.volume
+        length = rpc.length if isinstance(rpc, ReadRpc) else len(body or b"")
+        workload, volume_settings = host.trade.workloads.get(rpc.workload), host.trade.volumes.get(volume)
+        if workload is None or volume_settings is None:
+            return host.submit_direct(session, rpc, body)  # the scheduler rejects it
+        if isinstance(rpc, WriteRpc) and rpc.append:
+            session.conn.send(Errored(rpc.id, "append needs a key: a byte range can't be appended to"))
             return None
         if not self.map.known(volume):
-            range_ = Range(self, session, ask, body, host.answer_deadline_ms(session, ask), workload, dealt)
-            range_.enter()
-            return range_
-        told = self._judge(ask, length, workload)
-        if told is not None:
-            session.conn.send(told)
+            split_request = SplitRequest(
+                self,
+                session,
+                rpc,
+                body,
+                host.answer_deadline_ms(session, rpc),
+                workload,
+                volume_settings,
+            )
+            split_request.begin()
+            return split_request
+        answer = self._immediate_answer(rpc, length, workload)
+        if answer is not None:
+            session.conn.send(answer)
             return None
-        first = next(self.map.stretches(volume, ask.offset, length, self.cuts.most_piece))
+        first = next(self.map.slices(volume, rpc.offset, length, self.settings.most_piece))
         if first.length < length:
-            range_ = Range(self, session, ask, body, host.answer_deadline_ms(session, ask), workload, dealt)
-            self.split += 1
-            range_.enter()
-            return range_
-        held = self._single(session, ask, body, first)
-        wait = 0.0
-        if held.coalescable:
-            wait = self.holds.hold(
+            split_request = SplitRequest(
+                self,
+                session,
+                rpc,
+                body,
+                host.answer_deadline_ms(session, rpc),
+                workload,
+                volume_settings,
+            )
+            self.split_count += 1
+            split_request.begin()
+            return split_request
+        request = self._new_single_request(session, rpc, body, first)
+        wait_ms = 0.0
+        if request.coalescable:
+            wait_ms = self.predictor.wait_ms(
                 volume,
-                held.extent,
-                held.offset,
-                held.offset + held.length,
+                request.extent,
+                request.offset,
+                request.offset + request.length,
                 host.clock(),
                 workload.latency_objective_ms,
             )
-        if wait <= 0.0:
-            host.admit(held)
-            return held
-        key = (volume, held.extent)
-        if key not in self.company:
-            self.company[key] = []
-            asyncio.get_running_loop().call_later(wait / 1000.0, self._together, key)
-        self.company[key].append(held)
-        return held
-
-    def _together(self, key: tuple[str, int]) -> None:
-        """A hold is over: all that came go to the module in one round."""
-        helds = [held for held in self.company.pop(key) if not held.finished]
-        spans = sorted((held.offset, held.offset + held.length) for held in helds)
-        met = sum(later[0] <= earlier[1] for earlier, later in pairwise(spans))
-        self.holds.met(*key, self.host.clock(), met + 1)
-        self.held_vain += not met
-        for held in helds:
-            self.host.admit(held)
-
-    def _single(
-        self, session: ClientSession, ask: ReadRpc | WriteRpc, body: Any, stretch: Stretch
+        if wait_ms <= 0.0:
+            host.admit(request)
+            return request
+        key = (volume, request.extent)
+        if key not in self.coalescing:
+            self.coalescing[key] = []
+            asyncio.get_running_loop().call_later(wait_ms / 1000.0, self._end_wait, key)
+        self.coalescing[key].append(request)
+        return request
+
+    def _end_wait(self, key: tuple[str, int]) -> None:
+        """Submit the requests that waited for each other, all for the same round of the scheduler."""
+        requests = [request for request in self.coalescing.pop(key) if not request.finished]
+        spans = sorted((request.offset, request.offset + request.length) for request in requests)
+        adjacent_pairs = sum(later[0] <= earlier[1] for earlier, later in pairwise(spans))
+        self.predictor.record_wait(*key, self.host.clock(), adjacent_pairs + 1)
+        self.vain_wait_count += not adjacent_pairs
+        for request in requests:
+            self.host.admit(request)
+
+    def _new_single_request(
+        self, session: ClientSession, rpc: ReadRpc | WriteRpc, body: Any, part: ExtentSlice
     ) -> InflightRequest:
-        shard, version = self.map.home(ask.volume, stretch.extent)
-        return self._held(
-            session, ask, body, stretch, shard, version, self.host.answer_deadline_ms(session, ask)
+        shard, version = self.map.location(rpc.volume, part.extent)
+        return self._new_request(
+            session, rpc, body, part, shard, version, self.host.answer_deadline_ms(session, rpc)
         )
 
-    def hold_piece(self, range_: Range, piece: Piece) -> InflightRequest:
-        stretch, ask = piece.stretch, range_.rpc
+    def new_piece_request(self, split_request: SplitRequest, piece: Piece) -> InflightRequest:
+        """Make the scheduler's request for a piece."""
+        part, rpc = piece.slice, split_request.rpc
         body = None
-        if range_.writes and range_.whole is not None:
-            body = range_.whole[stretch.at : stretch.at + stretch.length]
-        held = self._held(
-            range_.session, ask, body, stretch, piece.shard, piece.version, range_.until, range_.workload
+        if split_request.writes and split_request.buffer is not None:
+            body = split_request.buffer[part.range_offset : part.range_offset + part.length]
+        request = self._new_request(
+            split_request.session,
+            rpc,
+            body,
+            part,
+            piece.shard,
+            piece.version,
+            split_request.deadline_ms,
+            split_request.workload,
         )
-        if held.plan is None:
-            held.plan, held.dispatchers = range_.volume.plan, range_.volume.hosts
-        held.id = f"{held.id}/{stretch.at}.{piece.turn}"
-        held.range, held.piece = range_, piece
-        if not range_.writes and range_.whole is not None:
-            held.destination = range_.whole[stretch.at : stretch.at + stretch.length]
-        return held
-
-    def _held(
+        if request.plan is None:
+            request.plan, request.dispatchers = split_request.volume.plan, split_request.volume.hosts
+        request.id = f"{request.id}/{part.range_offset}.{piece.attempt}"
+        request.range, request.piece = split_request, piece
+        if not split_request.writes and split_request.buffer is not None:
+            request.destination = split_request.buffer[part.range_offset : part.range_offset + part.length]
+        return request
+
+    def _new_request(
         self,
         session: ClientSession,
-        ask: ReadRpc | WriteRpc,
+        rpc: ReadRpc | WriteRpc,
         body: Any,
-        stretch: Stretch,
+        part: ExtentSlice,
         shard: int,
         version: int,
-        until: float,
+        deadline_ms: float,
         workload: Workload | None = None,
     ) -> InflightRequest:
-        """The module's RPC on one stretch; it waits for the map's word where its place is not known.
-        `workload`: of an RPC that was taken before."""
-        held = self.host.new_request(
-            session, ask, body, f"e{stretch.extent}", shard, stretch.start, stretch.length, until
+        """Make the scheduler's request for one slice; it waits if the extent is not located.
+
+        `workload` is given if the RPC was taken earlier, perhaps with other settings in force.
+        """
+        request = self.host.new_request(
+            session, rpc, body, f"e{part.extent}", shard, part.start, part.length, deadline_ms
         )
-        held.extent, held.version = stretch.extent, max(0, version)
-        work = held.workload = workload or held.workload
-        assert work is not None
-        held.coalescable = self.cuts.merge and work.idempotency is Idempotency.IDEMPOTENT and not work.ordered
-        if held.shard == NOWHERE and stretch.extent >= 0:
-            self._stray(held)
-        return held
-
-    def map_entry_stale(self, held: InflightRequest) -> None:
-        """A node's answer told that the map is old: the RPC waits for the newer word, in the module."""
-        self.stales += 1
-        self.map.forget(held.volume, held.extent, held.version)
-        shard, version = self.map.home(held.volume, held.extent)
-        held.shard = shard
-        if shard == NOWHERE:
-            self._stray(held)
+        request.extent, request.version = part.extent, max(0, version)
+        known_workload = request.workload = workload or request.workload
+        assert known_workload is not None
+        request.coalescable = (
+            self.settings.merge
+            and known_workload.idempotency is Idempotency.IDEMPOTENT
+            and not known_workload.ordered
+        )
+        if request.shard == UNKNOWN_SHARD and part.extent >= 0:
+            self._await_location(request)
+        return request
+
+    def map_entry_stale(self, request: InflightRequest) -> None:
+        """Take in that a node reported the map entry of a request as outdated.
+
+        The request stays with the scheduler, and is sent again once a newer entry is received.
+        """
+        self.stale_entry_count += 1
+        self.map.forget(request.volume, request.extent, request.version)
+        shard, version = self.map.location(request.volume, request.extent)
+        request.shard = shard
+        if shard == UNKNOWN_SHARD:
+            self._await_location(request)
         else:
-            held.version = version
+            request.version = version
 
-    def _stray(self, held: InflightRequest) -> None:
-        waiting = self.astray.setdefault((held.volume, held.extent), [])
+    def _await_location(self, request: InflightRequest) -> None:
+        waiting = self.unlocated.setdefault((request.volume, request.extent), [])
         waiting[:] = [other for other in waiting if not other.finished]
-        waiting.append(held)
-        if len(waiting) == 1:  # others wait for the same answer
-            self._ask(held.volume, held.extent, 1)
+        waiting.append(request)
+        if len(waiting) == 1:  # otherwise the query was sent already
+            self._query(request.volume, request.extent, 1)
 
-    def _ask(self, volume: str, first: int, count: int) -> None:
-        self.ask_map(volume, first, count)
-        if self._again is None:
+    def _query(self, volume: str, first: int, count: int) -> None:
+        self.query_map(volume, first, count)
+        if self._retry_timer is None:
             loop = asyncio.get_running_loop()
-            self._again = loop.call_later(ASK_AGAIN_MS / 1000.0, self._ask_again)
-
-    def _ask_again(self) -> None:
-        """Words get lost with connections: what still waits asks again."""
-        self._again = None
-        for key, helds in [*self.astray.items()]:
-            if all(held.finished for held in helds):
-                del self.astray[key]
+            self._retry_timer = loop.call_later(QUERY_RETRY_MS / 1000.0, self._repeat_queries)
+
+    def _repeat_queries(self) -> None:
+        """Repeat the queries that requests still wait for.
+
+        Queries and answers are lost if the connection to the register is.
+        """
+        self._retry_timer = None
+        for key, requests in [*self.unlocated.items()]:
+            if all(request.finished for request in requests):
+                del self.unlocated[key]
             else:
-                self._ask(*key, 1)
-        for volume, ranges in [*self.unmapped.items()]:
-            ranges[:] = [one for one in ranges if self.host.is_open(one)]
-            if ranges:
-                self._ask(volume, 0, 2**31)
+                self._query(*key, 1)
+        for volume, split_requests in [*self.unmapped.items()]:
+            split_requests[:] = [one for one in split_requests if self.host.is_open(one)]
+            if split_requests:
+                self._query(volume, 0, 2**31)
             else:
                 del self.unmapped[volume]
 
-    def map_received(self, word: MapPart) -> None:
-        learned = self.map.hear(word.volume, word.epoch, word.size, word.extent_bytes, word.first, word.homes)
-        found = False
-        for extent in learned:
-            shard, version = self.map.home(word.volume, extent)
-            for held in self.astray.pop((word.volume, extent), []):
-                if not held.finished:
-                    held.shard, held.version, found = shard, version, True
-        for range_ in self.unmapped.pop(word.volume, []):
-            if self.host.is_open(range_):
-                self.find(range_)
-        if found:
+    def map_received(self, message: MapPart) -> None:
+        """Take in a part of a volume's map, and go on with the requests that waited for it."""
+        updated = self.map.update(
+            message.volume, message.epoch, message.size, message.extent_bytes, message.first, message.homes
+        )
+        has_located = False
+        for extent in updated:
+            shard, version = self.map.location(message.volume, extent)
+            for request in self.unlocated.pop((message.volume, extent), []):
+                if not request.finished:
+                    request.shard, request.version, has_located = shard, version, True
+        for split_request in self.unmapped.pop(message.volume, []):
+            if self.host.is_open(split_request):
+                self.locate(split_request)
+        if has_located:
             self.host.extents_located()
 
-    def _judge(self, ask: ReadRpc | WriteRpc, length: int, workload: Workload) -> Ok | Errored | None:
-        """What the map alone tells of a range: its final answer, or None where it goes on."""
-        size = self.map.size(ask.volume)
-        if ask.offset + length > size:
-            return Errored(ask.id, f"beyond the volume's end at {size}")
+    def _immediate_answer(
+        self, rpc: ReadRpc | WriteRpc, length: int, workload: Workload
+    ) -> Ok | Errored | None:
+        """Return the final answer of an RPC that no node is needed for; None if nodes are needed."""
+        size = self.map.size(rpc.volume)
+        if rpc.offset + length > size:
+            return Errored(
+                rpc.id, f"range of {length} bytes at {rpc.offset} exceeds the volume's size of {size} bytes"
+            )
         if not length:
-            return Ok(ask.id, -1)
+            return Ok(rpc.id, -1)
         if workload.ordered:
-            stretches = list(self.map.stretches(ask.volume, ask.offset, length, length))
-            if stretches[0].extent != stretches[-1].extent:
-                return Errored(ask.id, "a range that keeps an order must lie within one extent")
+            slices = list(self.map.slices(rpc.volume, rpc.offset, length, length))
+            if slices[0].extent != slices[-1].extent:
+                return Errored(rpc.id, "a range of an ordered workload must be within one extent")
         return None
 
-    def find(self, range_: Range) -> None:
-        """It has its room: it goes by the map, or waits for it."""
-        ask = range_.rpc
-        if not self.map.known(ask.volume):
-            self.unmapped.setdefault(ask.volume, []).append(range_)
-            self._ask(ask.volume, 0, 2**31)
-            range_.start_pieces()
+    def locate(self, split_request: SplitRequest) -> None:
+        """Split a request by the map, or let it wait for the map; its memory is reserved."""
+        rpc = split_request.rpc
+        if not self.map.known(rpc.volume):
+            self.unmapped.setdefault(rpc.volume, []).append(split_request)
+            self._query(rpc.volume, 0, 2**31)
+            split_request.start_pieces()
             return
-        told = self._judge(ask, range_.length, range_.workload)
-        if told is None:
-            range_.plan()
+        answer = self._immediate_answer(rpc, split_request.length, split_request.workload)
+        if answer is None:
+            split_request.split()
         else:
-            range_.drop()
-            self.host.send_final_answer(range_, told)
+            split_request.drop()
+            self.host.send_final_answer(split_request, answer)
 
     def close(self) -> None:
-        if self._again is not None:
-            self._again.cancel()
+        """Stop repeating queries."""
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
 
     def log_counts(self) -> None:
-        """What merging and splitting did since the last line; silent where they did nothing."""
-        if self.coalesced_count or self.split or self.held_vain or self.stales:
+        """Log what was done to ranges since the last call, if anything was."""
+        if self.coalesced_count or self.split_count or self.vain_wait_count or self.stale_entry_count:
             self.host.log(
-                "ranges",
+                "ranges coalesced, split or relocated",
                 joined=self.coalesced_count,
-                split=self.split,
-                held_vain=self.held_vain,
-                stale=self.stales,
-                astray=len(self.astray),
+                split=self.split_count,
+                held_vain=self.vain_wait_count,
+                stale=self.stale_entry_count,
+                astray=len(self.unlocated),
                 unmapped=len(self.unmapped),
             )
-        self.coalesced_count = self.split = self.held_vain = self.stales = 0
+        self.coalesced_count = self.split_count = self.vain_wait_count = self.stale_entry_count = 0
