--- a/tests/extents/test_extents.py
+++ b/tests/extents/test_extents.py
@@ -412,8 +412,11 @@
 
 @given(steps, st.booleans(), st.sampled_from([128, 512, 4096]))
 @settings(max_examples=25, deadline=None)
-def test_whatever_happens_the_bytes_are_those_of_a_plain_volume(steps, merge, most_piece):
-    """Against a plain model: ok answers have its bytes, each RPC one answer, failed writes hold or not."""
+def test_random_operations_and_faults_agree_with_a_simple_model(steps, merge, most_piece):
+    """Compare with a model that lists the possible values of each byte; a failed write may have taken effect.
+
+    Each RPC must have exactly one answer.
+    """
 
     async def scenario(site: GatewaySite) -> None:
         for shard in range(3):
@@ -565,14 +568,14 @@
 
 
 def adjacent_request(host: FakeHost, start: int, **more):
-    rpc = host.rpc(more.pop("workload", FAKE_READ), key="e1", units=1.0, **more)
+    rpc = host.make_request(more.pop("workload", FAKE_READ), key="e1", units=1.0, **more)
     rpc.offset, rpc.length, rpc.coalescable = start, 4096, True
     return rpc
 
 
 def test_coalesced_attempts_use_one_slot_and_leave_nothing_behind():
-    host = FakeHost(permits=COALESCING)
-    host.take(*(adjacent_request(host, at * 4096) for at in range(6)))
+    host = FakeHost(policy=COALESCING)
+    host.submit(*(adjacent_request(host, at * 4096) for at in range(6)))
     queue = host.dispatcher.node_queues[host.nodes[0]]
     assert len(host.sent) == 6 and queue.busy == 1 and host.sent[0].coalesced == host.sent[1:]
     assert host.sent[0].coalesced_units == 6.0 and all(
@@ -589,24 +592,24 @@
 
 
 def test_requests_that_would_make_a_pressed_one_late_are_not_coalesced():
-    host = FakeHost(permits=COALESCING)
+    host = FakeHost(policy=COALESCING)
     queue = host.dispatcher.node_queues[host.nodes[0]]
     queue.latency.unit_ms, queue.limit.window = 45.0, 1.0
-    host.take(*(adjacent_request(host, at * 4096) for at in range(10)))
+    host.submit(*(adjacent_request(host, at * 4096) for at in range(10)))
     assert host.sent[0].coalesced and all(send.coalesced_units * 45.0 <= 200.0 for send in host.sent)
 
 
 def test_trial_request_to_a_failing_node_is_not_coalesced():
-    host = FakeHost(permits=COALESCING)
+    host = FakeHost(policy=COALESCING)
     queue = host.dispatcher.node_queues[host.nodes[0]]
     queue.health.consecutive_failures = 1
-    host.take(*(adjacent_request(host, at * 4096) for at in range(6)))
+    host.submit(*(adjacent_request(host, at * 4096) for at in range(6)))
     assert len(host.sent) == 1
 
 
 def test_nothing_is_coalesced_if_coalescing_is_disabled():
-    host = FakeHost(permits=replace(PERMITS, max_coalesced_bytes=0))
-    host.take(*(adjacent_request(host, at * 4096) for at in range(6)))
+    host = FakeHost(policy=replace(PERMITS, max_coalesced_bytes=0))
+    host.submit(*(adjacent_request(host, at * 4096) for at in range(6)))
     assert not any(send.coalesced or send.carried_by for send in host.sent)
 
 
