--- a/cherrygrade/transport/__init__.py
+++ b/cherrygrade/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Connections that carry frames over sockets; they decide nothing."""
+"""Connections that carry frames over sockets."""
--- a/cherrygrade/transport/listening.py
+++ b/cherrygrade/transport/listening.py
@@ -1,4 +1,4 @@
-"""Listening: one way for every door of the program."""
+"""Listening sockets."""
 
 from __future__ import annotations
 
@@ -9,20 +9,32 @@
 
 
 async def listen(
-    factory: Callable[[], Any], address: str, backlog: int, abreast: int = 100
+    factory: Callable[[], Any], address: str, backlog: int, accepts_per_iteration: int = 100
 ) -> asyncio.Server:
-    """A queue of `backlog` at the door, `abreast` accepted in one turn: asyncio takes one figure for both."""
+    """Listen on a TCP address.
+
+    asyncio takes one number both for the backlog and for the connections accepted at once; here they differ.
+
+    Args:
+        factory: Makes the protocol of each accepted connection.
+        address: host:port to listen on.
+        backlog: Maximum number of connections that wait to be accepted.
+        accepts_per_iteration: Maximum number of connections accepted in one iteration of the event loop.
+
+    Returns:
+        The server, which is listening.
+    """
     host, _, port = address.rpartition(":")
-    own = getattr(asyncio.get_running_loop(), "listen", None)
-    if own is not None:  # a loop without sockets
-        made: asyncio.Server = await own(factory, host, int(port))
-        return made
-    # The protocol is named: asyncio lets small writes go at once (TCP_NODELAY) only where it reads so.
-    door = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
-    door.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    door.bind((host, int(port)))
-    door.listen(backlog)
-    door.setblocking(False)
-    server = await asyncio.get_running_loop().create_server(factory, sock=door, backlog=abreast)
-    door.listen(backlog)
+    loop_listen = getattr(asyncio.get_running_loop(), "listen", None)
+    if loop_listen is not None:  # a simulated event loop, which has no sockets
+        simulated: asyncio.Server = await loop_listen(factory, host, int(port))
+        return simulated
+    # IPPROTO_TCP is given because asyncio sets TCP_NODELAY only on sockets with this protocol number.
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock.bind((host, int(port)))
+    sock.listen(backlog)
+    sock.setblocking(False)
+    server = await asyncio.get_running_loop().create_server(factory, sock=sock, backlog=accepts_per_iteration)
+    sock.listen(backlog)  # create_server has listened with its own backlog
     return server
--- a/tests/peers/test_room.py
+++ b/tests/peers/test_room.py
@@ -262,7 +262,7 @@
         assert all(isinstance(answer, Ok) for answer in answers)
         shared = [line for line in node.record.lines if line[1] == "recv" and "slow:2" in str(line)]
         assert shared
-        views = [piece for piece in slow.conn._pieces if isinstance(piece, memoryview)]
+        views = [piece for piece in slow.conn._unsent if isinstance(piece, memoryview)]
         assert all(len(view) == memoryview(view.obj).nbytes for view in views if len(view) <= 4 * K)
         sock.close()
 
