--- a/cherrygrade/transport/connection.py
+++ b/cherrygrade/transport/connection.py
@@ -128,7 +128,7 @@
             return
         try:
             self._reader.filled(nbytes)
-            if self._reader.waits:
+            if self._reader.is_body_deferred:
                 self.set_reading_paused(True)
         except ProtocolError as error:
             self.close(str(error))
@@ -141,7 +141,7 @@
         if self._is_closing or not self.open:
             return
         try:
-            self._reader.give(body)
+            self._reader.provide_body(body)
         except ProtocolError as error:
             self.close(str(error))
 
@@ -194,7 +194,7 @@
     def waits_for_peer(self) -> bool:
         """There is data that the peer does not take, or a frame that the peer does not complete."""
         # A body that waits for its buffer waits for this process, not for the peer.
-        is_receiving = self.is_mid_frame and not self._reader.waits
+        is_receiving = self.is_mid_frame and not self._reader.is_body_deferred
         return self.open and not self._is_closing and (self._is_write_paused or is_receiving)
 
     def send(
@@ -284,7 +284,7 @@
         """Pause or resume reading; while a body waits for its buffer, reading stays paused."""
         if self._transport is None or not self.open:
             return
-        paused = paused or self._reader.waits
+        paused = paused or self._reader.is_body_deferred
         if paused and self._transport.is_reading():
             self._transport.pause_reading()
         elif not paused and not self._transport.is_reading():
--- a/cherrygrade/wire/__init__.py
+++ b/cherrygrade/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Our native protocol as bytes and typed messages; free of I/O. Its specification is docs/protocol.md."""
+"""The native protocol: typed messages and their bytes. Uses no I/O. docs/protocol.md specifies it."""
--- a/cherrygrade/wire/frames.py
+++ b/cherrygrade/wire/frames.py
@@ -1,7 +1,7 @@
-"""Frames: eight bytes of head, a MessagePack header, a raw body (docs/protocol.md, 'Frames').
+"""Frames: eight bytes of head, a MessagePack header and a raw body (docs/protocol.md, 'Frames').
 
-`FrameReader` is fed by whoever owns the bytes: it lends the place where the next bytes belong and is told
-how many were put there. A body is received straight into the place that its owner gave for it.
+The owner of the bytes gets the buffer for the next bytes from a `FrameReader`, and reports how many it has
+put there. A body is received straight into the buffer that is provided for it.
 """
 
 from __future__ import annotations
@@ -14,149 +14,211 @@
 
 from cherrygrade.wire.messages import KINDS, Message
 
-HEAD = struct.Struct(">BBHI")  # kind, flags, header's length, body's length
-SKIP_IF_UNKNOWN = 1  # flag: a reader that does not know this kind passes it over
-MOST_HEADER = 16384
-SCRATCH = 256 * 1024
+HEAD = struct.Struct(">BBHI")
+"""Kind, flags, length of the header, length of the body."""
+SKIP_IF_UNKNOWN = 1
+"""Flag: a reader that does not know the kind skips the frame."""
+MAX_HEADER_BYTES = 16384
+RECEIVE_BUFFER_BYTES = 256 * 1024
 
 _encoder = msgspec.msgpack.Encoder()
-_decoders = {kind: msgspec.msgpack.Decoder(made) for kind, made in KINDS.items()}
-_numbers = {made: kind for kind, made in KINDS.items()}
+_decoders = {kind: msgspec.msgpack.Decoder(message_type) for kind, message_type in KINDS.items()}
+_kinds = {message_type: kind for kind, message_type in KINDS.items()}
 
 
 class ProtocolError(Exception):
-    """The peer broke the protocol and the boundary of frames is lost, or cannot be trusted any more."""
+    """The peer broke the protocol; the boundaries of further frames are unknown or can't be trusted."""
 
 
 def encode(message: Message, body_length: int = 0, flags: int = 0) -> bytes:
-    """Head and header of one frame; the body, of the stated bytes, is written behind it by the caller."""
+    """Encode the head and the header of a frame.
+
+    Args:
+        message: The header.
+        body_length: Size of the body, bytes, which the caller sends after the returned bytes.
+        flags: The flags of the frame.
+
+    Returns:
+        The head and the header.
+
+    Raises:
+        ProtocolError: The header is too long.
+    """
     header = _encoder.encode(message)
-    if len(header) > MOST_HEADER:
-        raise ProtocolError(f"a header of {len(header)} bytes; at most {MOST_HEADER}")
-    return HEAD.pack(_numbers[type(message)], flags, len(header), body_length) + header
+    if len(header) > MAX_HEADER_BYTES:
+        raise ProtocolError(
+            f"a header of {len(header)} bytes exceeds the maximum of {MAX_HEADER_BYTES} bytes"
+        )
+    return HEAD.pack(_kinds[type(message)], flags, len(header), body_length) + header
 
 
 class BodyDeferred:
-    """What `room` gives where a body's place is not known yet: the reader stands still until `give`."""
+    """Stands for a buffer that is not available yet.
+
+    The reader accepts no more bytes until `FrameReader.provide_body` is called.
+    """
 
 
 BODY_DEFERRED = BodyDeferred()
-Room = Callable[[Any, int], "bytearray | memoryview | BodyDeferred | None"]
-Taker = Callable[[Any, "bytearray | memoryview | None"], None]
+BodyBufferFunction = Callable[[Any, int], "bytearray | memoryview | BodyDeferred | None"]
+FrameFunction = Callable[[Any, "bytearray | memoryview | None"], None]
 
 
-# Bytes that come in are put here and cut before anything else is read, whichever connection they are of:
-# connections by the thousand keep only what they began to say.
-_PAGE = memoryview(bytearray(SCRATCH))
+# All readers share this buffer. Received bytes are processed before any other connection is read, so that
+# thousands of connections store only the frames that they received in part.
+_RECEIVE_BUFFER = memoryview(bytearray(RECEIVE_BUFFER_BYTES))
 
 
 class FrameReader:
-    """Cuts a stream of bytes into messages and bodies.
-
-    `room(message, length)` gives the place for a body, None to have it read off and dropped, or
-    BODY_DEFERRED: its owner feeds nothing more then until it has called `give`. `taker(message, body)` gets
-    each whole frame.
-    Bytes go to the place last lent by `place`, and `filled` follows at once: readers share a page. What a
-    reader keeps is bounded by one head and header, and one body; a page while a body's place is to be given.
-    Raises ProtocolError out of `filled`; after that the reader must not be used again.
+    """Splits a stream of bytes into messages and bodies.
+
+    After `place` has returned a buffer, the received bytes must be reported by `filled` before any other
+    reader is used, because readers share a buffer. A reader stores at most one head and header and one body,
+    or what is in the shared buffer while a body is deferred. Once `filled` or `provide_body` has raised
+    ProtocolError, the reader must not be used any more.
+
+    Attributes:
+        most_body: Maximum size of a body, bytes.
+        idle: No part of a further frame was received.
     """
 
-    def __init__(self, room: Room, taker: Taker, most_body: int) -> None:
+    def __init__(self, body_buffer: BodyBufferFunction, on_frame: FrameFunction, most_body: int) -> None:
+        """Set up a reader at the start of a frame.
+
+        Args:
+            body_buffer: Called with a message and the size of its body, bytes. Returns a buffer of this size;
+                None
+                to discard the body; or BODY_DEFERRED, after which `provide_body` must be called before more
+                bytes are received.
+            on_frame: Called with the message and the body of each complete frame.
+            most_body: Maximum size of a body, bytes.
+        """
         self.most_body = most_body
-        self._room, self._taker = room, taker
-        self._rest = b""  # the start of a frame, or what follows a head whose body has no place yet
-        self._message: Any = None  # its body is under way
+        self._body_buffer, self._on_frame = body_buffer, on_frame
+        self._remainder = (
+            b""  # the start of a frame, or the bytes received after a head whose body is deferred
+        )
+        self._message: Any = None  # the message whose body is being received
         self._body: bytearray | memoryview | None = None
         self._body_view: memoryview | None = None
-        self._wanted = self._got = 0
-        self._later: tuple[Any, int] | None = None
-        self.idle = True  # stands at a boundary of frames
+        self._body_length = self._received = 0
+        self._deferred: tuple[Any, int] | None = None
+        self.idle = True
 
     def place(self) -> memoryview:
-        """Where the next bytes belong; never empty."""
+        """Return the buffer for the next bytes, which is never empty."""
         if self._message is not None:
             if self._body_view is not None:
-                return self._body_view[self._got :]
-            return _PAGE[: min(self._wanted - self._got, SCRATCH)]  # dropped
-        kept = len(self._rest)
-        if not kept:
-            return _PAGE
-        _PAGE[:kept] = self._rest
-        return _PAGE[kept:]
+                return self._body_view[self._received :]
+            # The body is discarded.
+            return _RECEIVE_BUFFER[: min(self._body_length - self._received, RECEIVE_BUFFER_BYTES)]
+        remainder_length = len(self._remainder)
+        if not remainder_length:
+            return _RECEIVE_BUFFER
+        _RECEIVE_BUFFER[:remainder_length] = self._remainder
+        return _RECEIVE_BUFFER[remainder_length:]
 
     def filled(self, count: int) -> None:
-        """Bytes were put at the place last lent."""
+        """Process bytes that were received into the last buffer.
+
+        Args:
+            count: Number of the bytes.
+
+        Raises:
+            ProtocolError: The bytes break the protocol.
+        """
         if self._message is None:
-            self._cut(_PAGE, len(self._rest) + count)
+            self._split(_RECEIVE_BUFFER, len(self._remainder) + count)
             return
-        self._got += count
-        if self._got == self._wanted:
-            self._whole()
+        self._received += count
+        if self._received == self._body_length:
+            self._complete()
 
     @property
-    def waits(self) -> bool:
-        """A body's place is to be given."""
-        return self._later is not None
-
-    def give(self, body: bytearray | memoryview | None) -> None:
-        """The place that `room` put off; what has come meanwhile is cut."""
-        assert self._later is not None
-        (message, length), self._later = self._later, None
-        came = memoryview(self._rest)
-        at = self._begin(message, length, body, came, len(came))
+    def is_body_deferred(self) -> bool:
+        """The reader waits for `provide_body`."""
+        return self._deferred is not None
+
+    def provide_body(self, body: bytearray | memoryview | None) -> None:
+        """Provide the deferred buffer, or None to discard the body, and process the bytes received since.
+
+        Args:
+            body: The buffer.
+
+        Raises:
+            ProtocolError: The bytes received since break the protocol.
+        """
+        assert self._deferred is not None
+        (message, length), self._deferred = self._deferred, None
+        received = memoryview(self._remainder)
+        at = self._begin_body(message, length, body, received, len(received))
         if self._message is None:
-            self._cut(came[at:], len(came) - at)
+            self._split(received[at:], len(received) - at)
 
-    def _begin(
-        self, message: Any, length: int, body: bytearray | memoryview | None, came: memoryview, end: int
+    def _begin_body(
+        self, message: Any, length: int, body: bytearray | memoryview | None, received: memoryview, end: int
     ) -> int:
-        """A body begins with what has come of it. Gives where that ends; a whole body is taken."""
-        here = min(length, end)
+        """Start a body with the bytes that were received of it.
+
+        Returns:
+            The position in `received` up to which bytes were used.
+        """
+        available = min(length, end)
         view = None if body is None else memoryview(body)
         if view is not None:
-            view[:here] = came[:here]
-        self._message, self._body, self._body_view = message or _PASSED, body, view
-        self._wanted, self._got = length, here
-        if here == length:
-            self._whole()
+            view[:available] = received[:available]
+        self._message, self._body, self._body_view = message or _SKIPPED, body, view
+        self._body_length, self._received = length, available
+        if available == length:
+            self._complete()
         else:
-            self._rest, self.idle = b"", False
-        return here
+            self._remainder, self.idle = b"", False
+        return available
 
-    def _whole(self) -> None:
+    def _complete(self) -> None:
         message, body = self._message, self._body
         self._message = self._body = self._body_view = None
         self.idle = True
-        self._taker(message, body)
+        self._on_frame(message, body)
 
-    def _cut(self, page: memoryview, end: int) -> None:
+    def _split(self, buffer: memoryview, end: int) -> None:
+        """Process the bytes of `buffer` before `end`, up to a frame that is incomplete."""
         start = 0
         while end - start >= HEAD.size:
-            kind, flags, header_length, body_length = HEAD.unpack_from(page, start)
-            if header_length > MOST_HEADER:
-                raise ProtocolError(f"a header of {header_length} bytes; at most {MOST_HEADER}")
+            kind, flags, header_length, body_length = HEAD.unpack_from(buffer, start)
+            if header_length > MAX_HEADER_BYTES:
+                raise ProtocolError(
+                    f"a header of {header_length} bytes exceeds the maximum of {MAX_HEADER_BYTES} bytes"
+                )
             if body_length > self.most_body:
-                raise ProtocolError(f"a body of {body_length} bytes; at most {self.most_body}")
+                raise ProtocolError(
+                    f"a body of {body_length} bytes exceeds the maximum of {self.most_body} bytes"
+                )
             body_at = start + HEAD.size + header_length
             if body_at > end:
                 break
-            message = self._decode(kind, flags, page[start + HEAD.size : body_at])
+            message = self._decode(kind, flags, buffer[start + HEAD.size : body_at])
             start = body_at
             if not body_length:
                 if message is not None:
-                    self._taker(message, None)
+                    self._on_frame(message, None)
                 continue
-            body = None if message is None else self._room(message, body_length)
+            body = None if message is None else self._body_buffer(message, body_length)
             if isinstance(body, BodyDeferred):
-                self._later, self._rest, self.idle = (message, body_length), bytes(page[start:end]), False
+                self._deferred, self._remainder, self.idle = (
+                    (message, body_length),
+                    bytes(buffer[start:end]),
+                    False,
+                )
                 return
-            start += self._begin(message, body_length, body, page[start:end], end - start)
+            start += self._begin_body(message, body_length, body, buffer[start:end], end - start)
             if self._message is not None:
                 return
-        self._rest = bytes(page[start:end]) if start < end else b""
+        self._remainder = bytes(buffer[start:end]) if start < end else b""
         self.idle = start == end
 
     def _decode(self, kind: int, flags: int, header: memoryview) -> Any:
+        """Return the message; None if its kind is unknown and the frame may be skipped."""
         decoder = _decoders.get(kind)
         if decoder is None:
             if flags & SKIP_IF_UNKNOWN:
@@ -164,12 +226,12 @@
             raise ProtocolError(f"unknown kind of frame {kind}")
         try:
             return decoder.decode(header)
-        except msgspec.MsgspecError as trouble:
-            raise ProtocolError(f"header of kind {kind}: {trouble}") from trouble
+        except msgspec.MsgspecError as error:
+            raise ProtocolError(f"invalid header of kind {kind}: {error}") from error
 
 
-class _Passed:
-    """Stands for a message of an unknown kind while its body is read off."""
+class _Skipped:
+    """Stands for a message of an unknown kind while its body is discarded."""
 
 
-_PASSED = _Passed()
+_SKIPPED = _Skipped()
--- a/cherrygrade/wire/messages.py
+++ b/cherrygrade/wire/messages.py
@@ -1,7 +1,8 @@
-"""The messages of our native protocol, one type a kind (docs/protocol.md).
+"""The messages of the native protocol, one type for each kind of frame (docs/protocol.md).
 
-Every header is a MessagePack array: fields are told by their place, new ones come at the end with a default,
-and a reader passes over what it does not know. Times are durations in milliseconds, never clock times.
+Each header is a MessagePack array, so fields are identified by position. New fields are added at the end with
+a default, and readers skip fields that they do not know. Times are durations in milliseconds, never clock
+times.
 """
 
 from __future__ import annotations
@@ -11,7 +12,9 @@
 from msgspec import Meta, Struct
 
 VERSION = 1
+"""Version of the protocol that this program speaks."""
 MOST_WORD = 256
+"""Maximum size of the payload of a `Word`, bytes."""
 
 Id = Annotated[int, Meta(ge=0, le=2**63 - 1)]
 Name = Annotated[str, Meta(max_length=200)]
@@ -23,11 +26,18 @@
 
 
 class Message(Struct, array_like=True, gc=False):
-    """Any header."""
+    """The header of a frame."""
 
 
 class Hello(Message):
-    """First of whoever connects."""
+    """The first message of the side that connects.
+
+    Attributes:
+        version: Highest version of the protocol that the sender speaks.
+        role: What the sender is, for example "client".
+        name: Name of the sender.
+        features: Optional features that the sender supports.
+    """
 
     version: int
     role: Name
@@ -36,7 +46,15 @@
 
 
 class Welcome(Message):
-    """The answer to a hello: the version both speak, the features both have, and what may be sent."""
+    """The answer to a Hello.
+
+    Attributes:
+        version: Version of the protocol that both sides speak.
+        name: Name of the sender.
+        features: Optional features that both sides support.
+        most_body: Maximum size of a body that may be sent, bytes.
+        most_open: Maximum number of RPCs without an answer.
+    """
 
     version: int
     name: Name
@@ -46,16 +64,25 @@
 
 
 class Bye(Message):
-    """Last of whoever closes, with the reason and when to come back."""
+    """The last message of the side that closes the connection.
+
+    Attributes:
+        reason: Why the connection is closed.
+        come_back_ms: Delay before connecting again, ms; 0 if none is given.
+    """
 
     reason: Text
     come_back_ms: Ms = 0.0
 
 
 class Leaving(Message):
-    """The dispatcher is about to close: no more RPCs on this connection; what is open is answered.
+    """The dispatcher is about to close the connection: it takes no more RPCs and still answers the open ones.
+
+    The receiver closes the connection once no RPC is open, so that no answer is lost in between.
 
-    Whoever hears it closes the connection itself once nothing is open, so that nothing is lost in between.
+    Attributes:
+        reason: Why the dispatcher leaves.
+        come_back_ms: Delay before connecting again, ms; 0 if none is given.
     """
 
     reason: Text
@@ -63,21 +90,42 @@
 
 
 class Word(Message):
-    """A word of one dispatcher's module to another's."""
+    """A message between the schedulers of two dispatchers.
+
+    Attributes:
+        payload: The message, as the scheduler encodes it.
+    """
 
     payload: Annotated[bytes, Meta(max_length=MOST_WORD)]
 
 
 class Members(Message):
-    """Part of a member's roll, as `fleet/` writes it, or of what a person asked for; `last`: nothing
-    follows."""
+    """A part of a message that is encoded by `fleet`, for example of a member table or an admin answer.
+
+    Attributes:
+        payload: The encoded bytes.
+        last: No further part follows.
+    """
 
     payload: Annotated[bytes, Meta(max_length=16000)]
     last: bool
 
 
 class ReadRpc(Message):
-    """A client's read."""
+    """A client's read.
+
+    Attributes:
+        id: Identifies the RPC within the connection.
+        workload: Name of the workload.
+        volume: Name of the volume.
+        key: Key of the object; "" for a byte range of the volume.
+        shard: Shard of the object; -1 if it is not given.
+        offset: First byte to read.
+        length: Number of bytes to read.
+        left_ms: Time until the client's deadline, ms.
+        repeat: The client has sent this RPC before.
+        at_ms: Time since the connection's Hello by the client's clock, ms; 0 if it is not given.
+    """
 
     id: Id
     workload: Name
@@ -89,11 +137,24 @@
     left_ms: float
     repeat: bool = False
     at_ms: float = 0.0
-    """Since this connection's hello, by the client's clock; 0: not told."""
 
 
 class WriteRpc(Message):
-    """A client's write; the body is what to write. Shard -1: a new object; append: behind what is there."""
+    """A client's write; the body of the frame has the bytes to write.
+
+    Attributes:
+        id: Identifies the RPC within the connection.
+        workload: Name of the workload.
+        volume: Name of the volume.
+        key: Key of the object; "" for a byte range of the volume.
+        shard: Shard of the object; -1 creates a new object.
+        offset: Position of the first byte to write.
+        left_ms: Time until the client's deadline, ms.
+        repeat: The client has sent this RPC before.
+        token: Idempotency key; b"" if there is none.
+        append: Write at the end of the object.
+        at_ms: Time since the connection's Hello by the client's clock, ms; 0 if it is not given.
+    """
 
     id: Id
     workload: Name
@@ -109,20 +170,36 @@
 
 
 class Leave(Message):
-    """The client does not want this RPC's answer any more."""
+    """The client cancels an RPC: it does not need the answer.
+
+    Attributes:
+        id: The RPC.
+    """
 
     id: Id
 
 
 class Ok(Message):
+    """The RPC succeeded; for a read that was not answered in parts, the body of the frame has its bytes.
+
+    Attributes:
+        id: The RPC.
+        shard: The shard that stored or held the bytes; -1 if it is not given.
+    """
+
     id: Id
     shard: Shard = -1
 
 
 class Part(Message):
-    """Bytes of a read whose answer is to come: the body stands at this place of what was asked for.
+    """A part of the bytes of a read, sent before its answer.
+
+    The same position may be sent again with other bytes. The bytes sent last before the Ok are the valid
+    ones.
 
-    A place may come again, with other bytes: the last before the Ok hold.
+    Attributes:
+        id: The RPC.
+        at: Position of the body within the bytes that were asked for.
     """
 
     id: Id
@@ -130,7 +207,13 @@
 
 
 class Rejected(Message):
-    """Trying again is harmless; 0 where no come-back time may be given."""
+    """The RPC was not carried out; a retry is safe, whether or not a part of a read has run.
+
+    Attributes:
+        id: The RPC.
+        come_back_ms: Delay before a retry, ms; 0 if none is given.
+        reason: Why the RPC was rejected.
+    """
 
     id: Id
     come_back_ms: Ms = 0.0
@@ -138,14 +221,34 @@
 
 
 class Errored(Message):
-    """Promises nothing: the RPC may have run."""
+    """The RPC failed, and may have taken effect.
+
+    Attributes:
+        id: The RPC.
+        reason: How the RPC failed.
+    """
 
     id: Id
     reason: Text = ""
 
 
 class ReadSend(Message):
-    """A dispatcher's send of a read to a storage node. Origin tells the client's RPC, for records only."""
+    """A dispatcher's read from a storage node.
+
+    Attributes:
+        id: Identifies the send within the connection.
+        origin: Identifies the client's RPC; used only in records.
+        volume: Name of the volume.
+        key: Key of the object.
+        offset: First byte to read.
+        length: Number of bytes to read.
+        units: Work of the send, by which quotas are charged.
+        limit_ms: Time until the send is of no more use, ms.
+        number: Number of this attempt of the RPC, from 0.
+        hosts: Number of dispatchers that the volume's quota is divided among.
+        version: Version of the extent by the dispatcher's map; -1 if the object is no extent.
+        others: Origin and attempt number of the sends that are coalesced into this one; used only in records.
+    """
 
     id: Id
     origin: Name
@@ -158,12 +261,29 @@
     number: int
     hosts: int = 1
     version: int = -1
-    """Of the extent that the dispatcher believes in; -1: no extent."""
     others: list[tuple[Name, int]] = []
-    """Origin and number of the sends that this one carries too, for records only."""
 
 
 class WriteSend(Message):
+    """A dispatcher's write to a storage node; the body of the frame has the bytes to write.
+
+    Attributes:
+        id: Identifies the send within the connection.
+        origin: Identifies the client's RPC; used only in records.
+        volume: Name of the volume.
+        key: Key of the object.
+        offset: Position of the first byte to write.
+        units: Work of the send, by which quotas are charged.
+        limit_ms: Time until the send is of no more use, ms.
+        number: Number of this attempt of the RPC, from 0.
+        hosts: Number of dispatchers that the volume's quota is divided among.
+        token: Idempotency key; b"" if there is none.
+        token_ms: How long the node drops repeats with this key, ms.
+        append: Write at the end of the object.
+        version: Version of the extent by the dispatcher's map; -1 if the object is no extent.
+        others: Origin and attempt number of the sends that are coalesced into this one; used only in records.
+    """
+
     id: Id
     origin: Name
     volume: Name
@@ -181,14 +301,29 @@
 
 
 class Withdraw(Message):
-    """The dispatcher has no use for this send's answer any more; it may run all the same."""
+    """The dispatcher does not need the answer to a send, which may run nevertheless.
+
+    Attributes:
+        id: The send.
+    """
 
     id: Id
 
 
 class Answer(Message):
-    """A node's answer to a send. Code: 0 ok, 1 errored; of those that never ran 2 full, 3 not here, and
-    4 held at a newer version. Failed: ranges, start and length, that an ok answer does not vouch for."""
+    """A storage node's answer to a send.
+
+    Attributes:
+        id: The send.
+        code: 0: ok; 1: errored. The send did not run: 2: the node is full; 3: the node does not have the
+            extent;
+            4: the node has a newer version of the extent.
+        load: Load figures of the node, by name.
+        used: Use of the volume over all nodes, as a fraction of its plan's usual rate; -1 if it is not given.
+        elsewhere: Units that the node did for the volume through other dispatchers since its previous answer.
+        failed: Start and length of the ranges that an ok answer does not cover.
+        version: Version of the extent that the node has; -1 if it is not given.
+    """
 
     id: Id
     code: int = 0
@@ -200,7 +335,18 @@
 
 
 class Entry(Message):
-    """One node as the register lists it. Start counts its starts; its age is told as of this message."""
+    """A storage node in the register's list.
+
+    Attributes:
+        address: host:port of the node.
+        zone: Zone of the node.
+        kind: Hardware kind of the node.
+        shard: Shard of the node.
+        standing: State of the node, by the values of `NodeState`.
+        size: Relative capacity of the node.
+        start: Number of starts of the node, by which a restart is recognized.
+        age_ms: Time since the last start, when the message was sent, ms.
+    """
 
     address: Name
     zone: Name
@@ -213,14 +359,26 @@
 
 
 class Follow(Message):
-    """Ask the register: for changes pushed from now on, and for the full list where `full`."""
+    """Query the register for the list of nodes.
+
+    Attributes:
+        push: Send changes from now on.
+        full: Send the full list.
+    """
 
     push: bool
     full: bool = True
 
 
 class Roster(Message):
-    """The list, whole (base -1), or what changed after version `base`; an epoch is a register's life."""
+    """The list of nodes, or the changes of it.
+
+    Attributes:
+        epoch: Incarnation of the register.
+        version: Version of the list that results.
+        base: Version that the entries are changes of; -1 if they are the full list.
+        entries: The nodes.
+    """
 
     epoch: int
     version: int
@@ -229,11 +387,18 @@
 
     @property
     def full(self) -> bool:
+        """The entries are the full list."""
         return self.base < 0
 
 
 class AskMap(Message):
-    """Ask the register for a volume's extents from `first` on; changes are pushed to followers."""
+    """Query the register for the extents of a volume; changes of them are pushed to followers.
+
+    Attributes:
+        volume: Name of the volume.
+        first: Number of the first extent.
+        count: Maximum number of extents.
+    """
 
     volume: Name
     first: int = 0
@@ -241,7 +406,16 @@
 
 
 class MapPart(Message):
-    """Where extents from `first` on lie: shard and version each."""
+    """The locations of some extents of a volume.
+
+    Attributes:
+        volume: Name of the volume.
+        epoch: Incarnation of the register.
+        size: Size of the volume, bytes.
+        extent_bytes: Size of an extent, bytes.
+        first: Number of the first extent in `homes`.
+        homes: Shard and version by extent.
+    """
 
     volume: Name
     epoch: int
@@ -252,13 +426,24 @@
 
 
 class Control(Message):
-    """The laboratory's word to a stand-in."""
+    """A command of the laboratory to a stand-in.
+
+    Attributes:
+        command: Name of the command.
+        values: Arguments by name.
+    """
 
     command: Name
     values: dict[str, float | str]
 
 
 class Done(Message):
+    """A stand-in's answer to a Control.
+
+    Attributes:
+        text: The result; "" if there is none.
+    """
+
     text: Text = ""
 
 
