--- a/cherrygrade/client/__init__.py
+++ b/cherrygrade/client/__init__.py
@@ -1,4 +1,4 @@
-"""The client library for our native protocol, on asyncio."""
+"""The asyncio client library for the native protocol."""
 
 from cherrygrade.client.library import Answer, Client, Errored, Ok, Rejected
 
--- a/cherrygrade/client/library.py
+++ b/cherrygrade/client/library.py
@@ -1,8 +1,8 @@
-"""`Client`: reads and writes through one dispatcher, each with one answer inside its deadline.
+"""`Client`: reads and writes through one dispatcher, each with one answer within its deadline.
 
-An answer is `Ok`, `Rejected` (trying again is harmless; not before `come_back_ms`) or `Errored` (promises
-nothing: it may have run). The library sends an RPC once; whether to try again is its caller's, who knows
-what a second run would do. Lost connections are made anew with growing waits, spread by chance.
+The library sends each RPC once. Whether to retry is decided by the caller, who knows the effect of a second
+run. After a connection was lost, the delay before the next one grows, and is spread so that clients do not
+reconnect at once.
 """
 
 from __future__ import annotations
@@ -18,11 +18,17 @@
 from cherrygrade.wire import messages as wire
 
 CONNECT_MS = 1000.0
+"""Time limit for connecting, including the Welcome of the dispatcher."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ok:
-    """Shard: which took or held the bytes; -1 where the service did not tell."""
+    """The RPC succeeded.
+
+    Attributes:
+        body: The bytes of a read; b"" for a write.
+        shard: The shard that stored or held the bytes; -1 if the service did not tell.
+    """
 
     body: bytes | bytearray | memoryview = b""
     shard: int = -1
@@ -30,12 +36,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
+    """The RPC was not carried out, so that a retry is safe.
+
+    Attributes:
+        come_back_ms: Delay before a retry, ms; 0 if none is given.
+        reason: Why the RPC was rejected.
+    """
+
     come_back_ms: float = 0.0
     reason: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Errored:
+    """The RPC failed, and may have taken effect.
+
+    Attributes:
+        reason: How the RPC failed.
+    """
+
     reason: str = ""
 
 
@@ -43,9 +62,17 @@
 
 
 class Client:
-    """`async with Client("127.0.0.1:7400", "ticketing-1") as client: await client.read(...)`.
+    """A client of one dispatcher, which connects when the first RPC is sent.
+
+    Use it as a context manager::
 
-    `told(event, id, **facts)` is called for each RPC sent and each answer got: the laboratory's record.
+        async with Client("127.0.0.1:7400", "ticketing-1") as client:
+            answer = await client.read(...)
+
+    Attributes:
+        address: host:port of the dispatcher.
+        name: Name of the client.
+        most_body: Maximum size of a received body, bytes.
     """
 
     def __init__(
@@ -55,27 +82,38 @@
         most_body: int = 16 * 1024 * 1024,
         told: Callable[..., None] | None = None,
     ) -> None:
+        """Set up a client without connecting.
+
+        Args:
+            address: host:port of the dispatcher.
+            name: Name of the client, by which the dispatcher knows it.
+            most_body: Maximum size of a received body, bytes.
+            told: Called as `told(event, id, **facts)` for each RPC that is sent, answered, late or lost, so
+                that
+                the laboratory can record them.
+        """
         self.address, self.name, self.most_body = address, name, most_body
         self._told = told
         self._ids = itertools.count(1)
-        self._open: dict[
-            int, tuple[asyncio.Future[Answer], Connection]
-        ] = {}  # emptied by answers, deadlines, lost lines
-        self._lengths: dict[int, int] = {}  # of open reads; emptied with them
-        self._parts: dict[int, bytearray] = {}  # what came of them so far; emptied with them
+        # By id, RPCs without an answer; an entry is removed by the answer, the deadline or a lost connection.
+        self._open: dict[int, tuple[asyncio.Future[Answer], Connection]] = {}
+        # By id, the length of open reads, and the bytes of those that are answered in parts.
+        self._lengths: dict[int, int] = {}
+        self._parts: dict[int, bytearray] = {}
         self._conn: Connection | None = None
-        self._retired: set[Connection] = set()  # told to leave; closed once nothing is open there
+        # Connections that the dispatcher is about to close; they are closed here once no RPC is open on them.
+        self._retired: set[Connection] = set()
         self._ready: asyncio.Future[None] | None = None
         self._task: asyncio.Task[None] | None = None
         self._backoff = Backoff(f"{name}>{address}")
-        self._come_from = 0.0
-        self._greeted = 0.0  # when the connection said hello, by the event loop
+        self._connect_from_ms = 0.0
+        self._hello_at_s = 0.0  # when the Hello was sent, by the clock of the event loop
         self._closed = False
 
     async def __aenter__(self) -> Client:
         return self
 
-    async def __aexit__(self, *trouble: object) -> None:
+    async def __aexit__(self, *exc_info: object) -> None:
         self.close()
 
     async def read(
@@ -90,13 +128,28 @@
         deadline_ms: float,
         repeat: bool = False,
     ) -> Answer:
-        """`length` bytes from `offset`, within `deadline_ms` from now: of the volume as a byte range, or of
-        the object `key` on `shard`."""
-
-        def ask(id_: int, left: float, at: float) -> wire.Message:
-            return wire.ReadRpc(id_, workload, volume, key, shard, offset, length, left, repeat, at)
+        """Read a byte range of a volume, or of the object `key` on `shard`.
+
+        Args:
+            workload: Name of the workload.
+            volume: Name of the volume.
+            key: Key of the object; "" to read from the volume.
+            shard: Shard of the object; -1 if there is no key.
+            offset: First byte to read.
+            length: Number of bytes to read.
+            deadline_ms: Time until an answer is of no more use, from now, ms.
+            repeat: The caller has sent this read before.
+
+        Returns:
+            The answer.
+        """
+
+        def make_message(id_: int, remaining_ms: float, since_hello_ms: float) -> wire.Message:
+            return wire.ReadRpc(
+                id_, workload, volume, key, shard, offset, length, remaining_ms, repeat, since_hello_ms
+            )
 
-        return await self._run(ask, None, deadline_ms, length)
+        return await self._run(make_message, None, deadline_ms, length)
 
     async def write(
         self,
@@ -112,15 +165,33 @@
         deadline_ms: float,
         repeat: bool = False,
     ) -> Answer:
-        """Write at `offset`, or behind what is there; shard -1 makes a new object, the answer tells where."""
-
-        def ask(id_: int, left: float, at: float) -> wire.Message:
-            return wire.WriteRpc(id_, workload, volume, key, shard, offset, left, repeat, token, append, at)
+        """Write to a byte range of a volume, or to an object.
+
+        Args:
+            workload: Name of the workload.
+            volume: Name of the volume.
+            key: Key of the object; "" to write to the volume.
+            body: The bytes to write.
+            shard: Shard of the object; -1 creates a new object, whose shard is in the answer.
+            offset: Position of the first byte to write.
+            append: Write at the end of the object instead.
+            token: Idempotency key; b"" if there is none.
+            deadline_ms: Time until an answer is of no more use, from now, ms.
+            repeat: The caller has sent this write before.
+
+        Returns:
+            The answer.
+        """
+
+        def make_message(id_: int, remaining_ms: float, since_hello_ms: float) -> wire.Message:
+            return wire.WriteRpc(
+                id_, workload, volume, key, shard, offset, remaining_ms, repeat, token, append, since_hello_ms
+            )
 
-        return await self._run(ask, body, deadline_ms)
+        return await self._run(make_message, body, deadline_ms)
 
     def close(self) -> None:
-        """Close the connection; what is open is errored."""
+        """Close the connection; open RPCs are answered `Errored`."""
         self._closed = True
         if self._task is not None:
             self._task.cancel()
@@ -129,39 +200,54 @@
             self._lose(conn, "client closed")
 
     async def _run(
-        self, ask: Callable[[int, float, float], wire.Message], body: Any, deadline_ms: float, length: int = 0
+        self,
+        make_message: Callable[[int, float, float], wire.Message],
+        body: Any,
+        deadline_ms: float,
+        length: int = 0,
     ) -> Answer:
+        """Send an RPC and wait for its answer.
+
+        Args:
+            make_message: Makes the message from the id, the remaining time and the time since the Hello, ms.
+            body: The bytes to write; None for a read.
+            deadline_ms: Time until an answer is of no more use, from now, ms.
+            length: Number of bytes to read; 0 for a write.
+
+        Returns:
+            The answer.
+        """
         loop = asyncio.get_running_loop()
-        until = loop.time() + deadline_ms / 1000.0
+        deadline_s = loop.time() + deadline_ms / 1000.0
         try:
-            async with asyncio.timeout_at(until):
+            async with asyncio.timeout_at(deadline_s):
                 conn = await self._connected()
         except TimeoutError:
             return Rejected(0.0, "no connection within the deadline")
-        except ConnectionError as trouble:
-            return Rejected(0.0, str(trouble))
+        except ConnectionError as error:
+            return Rejected(0.0, str(error))
         id_ = next(self._ids)
         future: asyncio.Future[Answer] = loop.create_future()
         self._open[id_] = (future, conn)
         if length:
             self._lengths[id_] = length
-        left = (until - loop.time()) * 1000.0
-        message = ask(id_, left, (loop.time() - self._greeted) * 1000.0)
+        remaining_ms = (deadline_s - loop.time()) * 1000.0
+        message = make_message(id_, remaining_ms, (loop.time() - self._hello_at_s) * 1000.0)
         if self._told is not None:
-            self._told("sent", id_, until=until * 1000.0, message=message, body=body)
+            self._told("sent", id_, until=deadline_s * 1000.0, message=message, body=body)
         conn.send(message, body)
-        timer = loop.call_at(until, self._late, id_)
+        timer = loop.call_at(deadline_s, self._time_out, id_)
         try:
             return await future
         finally:
             timer.cancel()
             self._lengths.pop(id_, None)
             self._parts.pop(id_, None)
-            if self._open.pop(id_, None) is not None:  # the caller was cancelled
+            if self._open.pop(id_, None) is not None:  # the caller was canceled
                 conn.send(wire.Leave(id_))
                 self._close_retired(conn)
 
-    def _late(self, id_: int) -> None:
+    def _time_out(self, id_: int) -> None:
         future, conn = self._open.pop(id_, (None, None))
         if future is not None and conn is not None and not future.done():
             if self._told is not None:
@@ -186,7 +272,7 @@
         loop = asyncio.get_running_loop()
         host, _, port = self.address.rpartition(":")
         while True:
-            await asyncio.sleep(max(0.0, self._come_from - loop.time() * 1000.0) / 1000.0)
+            await asyncio.sleep(max(0.0, self._connect_from_ms - loop.time() * 1000.0) / 1000.0)
             conn = Connection(self, self.most_body)
             try:
                 async with asyncio.timeout(CONNECT_MS / 1000.0):
@@ -196,26 +282,29 @@
                 return
             except OSError:
                 conn.abort("no welcome in time")
-                self._come_from = self._backoff.record_failure(loop.time() * 1000.0)
+                self._connect_from_ms = self._backoff.record_failure(loop.time() * 1000.0)
 
-    # What the connection tells.
+    # Methods that the connection calls.
 
     def connected(self, conn: Connection) -> None:
-        self._greeted = asyncio.get_running_loop().time() - 0.001
+        """Greet the dispatcher."""
+        self._hello_at_s = asyncio.get_running_loop().time() - 0.001
         conn.send(wire.Hello(wire.VERSION, "client", self.name, ["parts"]))
 
     def body_buffer(self, conn: Connection, message: Any, length: int) -> bytearray | memoryview | None:
+        """Return the buffer for the bytes of an open read; None to discard them."""
         if isinstance(message, wire.Ok) and message.id in self._open:
             return bytearray(length)
         if isinstance(message, wire.Part) and message.id in self._lengths:
-            whole = self._parts.get(message.id)
-            if whole is None:
-                whole = self._parts[message.id] = bytearray(self._lengths[message.id])
-            if message.at + length <= len(whole):
-                return memoryview(whole)[message.at : message.at + length]
+            buffer = self._parts.get(message.id)
+            if buffer is None:
+                buffer = self._parts[message.id] = bytearray(self._lengths[message.id])
+            if message.at + length <= len(buffer):
+                return memoryview(buffer)[message.at : message.at + length]
         return None
 
     def on_frame(self, conn: Connection, message: Any, body: Any) -> None:
+        """Handle a message of the dispatcher."""
         if isinstance(message, wire.Welcome):
             self._conn = conn
             self._backoff.record_connected(asyncio.get_running_loop().time() * 1000.0)
@@ -223,24 +312,24 @@
                 self._ready.set_result(None)
             return
         if isinstance(message, wire.Leaving):
-            # Nothing new goes this way; what is open gets its answers, then we close.
+            # No new RPC is sent on this connection; it is closed once the open ones are answered.
             if conn is self._conn:
                 self._conn = self._ready = None
-            self._come_from = max(
-                self._come_from, asyncio.get_running_loop().time() * 1000.0 + message.come_back_ms
+            self._connect_from_ms = max(
+                self._connect_from_ms, asyncio.get_running_loop().time() * 1000.0 + message.come_back_ms
             )
             self._retired.add(conn)
             self._close_retired(conn)
             return
         if isinstance(message, wire.Bye):
-            self._come_from = max(
-                self._come_from, asyncio.get_running_loop().time() * 1000.0 + message.come_back_ms
+            self._connect_from_ms = max(
+                self._connect_from_ms, asyncio.get_running_loop().time() * 1000.0 + message.come_back_ms
             )
             return
         if isinstance(message, wire.Part):
-            return  # its bytes are where they belong
+            return  # its bytes were received into the buffer of the read
         if not isinstance(message, wire.Ok | wire.Rejected | wire.Errored):
-            conn.close(f"unexpected {type(message).__name__}")
+            conn.close(f"unexpected {type(message).__name__} from a dispatcher")
             return
         if self._told is not None:
             self._told("answer", message.id, message=message, body=body)
@@ -258,23 +347,24 @@
             future.set_result(Errored(message.reason))
 
     def writable(self, conn: Connection) -> None:
-        pass
+        """Do nothing: RPCs are sent even if the connection is full."""
 
     def _close_retired(self, conn: Connection) -> None:
         if conn in self._retired and not any(one is conn for _, one in self._open.values()):
             self._retired.discard(conn)
-            conn.close("client leaves")
+            conn.close("client closes a connection that the dispatcher leaves")
 
     def closed(self, conn: Connection, why: str) -> None:
+        """Answer the open RPCs of a lost connection, and delay the next connection."""
         self._retired.discard(conn)
         if conn is self._conn:
             self._conn = self._ready = None
             now = asyncio.get_running_loop().time() * 1000.0
-            self._come_from = max(self._come_from, self._backoff.record_failure(now))
+            self._connect_from_ms = max(self._connect_from_ms, self._backoff.record_failure(now))
         self._lose(conn, f"connection lost: {why}")
 
     def _lose(self, conn: Connection, reason: str) -> None:
-        """What is open on it may have run, and no answer can come any more."""
+        """Answer `Errored` to the RPCs that are open on the connection: they may have run."""
         lost = [(id_, future) for id_, (future, one) in self._open.items() if one is conn]
         for id_, future in lost:
             del self._open[id_]
