--- a/cherrygrade/client/library.py
+++ b/cherrygrade/client/library.py
@@ -89,8 +89,7 @@
             name: Name of the client, by which the dispatcher knows it.
             most_body: Maximum size of a received body, bytes.
             told: Called as `told(event, id, **facts)` for each RPC that is sent, answered, late or lost, so
-                that
-                the laboratory can record them.
+                that the laboratory can record them.
         """
         self.address, self.name, self.most_body = address, name, most_body
         self._told = told
--- a/cherrygrade/extents/coalescing_predictor.py
+++ b/cherrygrade/extents/coalescing_predictor.py
@@ -1,8 +1,8 @@
-"""Decides whether a small RPC waits for others that it could be coalesced with. Uses no I/O or clock.
+"""Decides whether a small request waits for others that it could be coalesced with. Uses no I/O or clock.
 
-The decision is learned per extent from two measurements: how often an adjacent RPC followed within the
-waiting time, whether or not one did wait, and how often waiting led to a coalesced attempt. RPCs of the same
-extent that are not adjacent don't count, because they can't share an attempt. The waiting time is a
+The decision is learned per extent from two measurements: how often an adjacent request followed within the
+waiting time, whether or not one did wait, and how often waiting led to a coalesced attempt. Requests of the
+same extent that are not adjacent don't count, because they can't share an attempt. The waiting time is a
 configured fraction of the time until the latency objective, never more.
 """
 
@@ -14,13 +14,13 @@
 SMOOTHING = 0.2
 """Weight of each new sample in a moving average."""
 RARE_ADJACENCY = 0.1
-"""If adjacent RPCs are rarer than this, they are looked for during 32 ms of every 512 ms only."""
+"""If adjacent requests are rarer than this, they are looked for during 32 ms of every 512 ms only."""
 MIN_ADJACENCY = 0.5
-"""An RPC waits only if adjacent ones have followed more often than this."""
+"""A request waits only if adjacent ones have followed more often than this."""
 MIN_SUCCESS = 0.3
 """Waiting stops if fewer waits than this fraction led to a coalesced attempt."""
-RECENT_RPCS = 8
-"""Number of previous RPCs of an extent that a new one is compared with."""
+RECENT_REQUESTS = 8
+"""Number of previous requests of an extent that a new one is compared with."""
 BACKOFF_MS = 1000.0
 """Waiting is tried again after this time. The time doubles whenever waiting fails again."""
 MAX_BACKOFF_MS = 60_000.0
@@ -31,11 +31,11 @@
     """What was measured of one extent.
 
     Attributes:
-        recent: Arrival time, ms, start and end of the last RPCs, oldest first.
-        adjacency: Fraction of the RPCs that arrived within the waiting time after an adjacent one.
+        recent: Arrival time, ms, start and end of the last requests, oldest first.
+        adjacency: Fraction of the requests that arrived within the waiting time after an adjacent one.
         success: Fraction of the waits that led to a coalesced attempt.
         backoff_ms: Length of the next backoff, ms.
-        wait_from_ms: No RPC waits before this time, ms.
+        wait_from_ms: No request waits before this time, ms.
     """
 
     recent: deque[tuple[float, int, int]]
@@ -46,38 +46,37 @@
 
 
 class CoalescingPredictor:
-    """Predicts by extent whether an adjacent RPC follows soon.
+    """Predicts by extent whether an adjacent request follows soon.
 
     Attributes:
-        max_wait_fraction: Fraction of the time until the latency objective that an RPC may wait.
-        max_extents: Maximum number of extents that statistics are kept of. Beyond it the half that had no RPC
-            for
-            longest is dropped.
+        max_wait_fraction: Fraction of the time until the latency objective that a request may wait.
+        max_extents: Maximum number of extents that statistics are kept of. Beyond it the half that had no
+            request for longest is dropped.
     """
 
     def __init__(self, max_wait_fraction: float, max_extents: int = 4096) -> None:
         """Args: `max_wait_fraction`: of the time until the objective; `max_extents`: bound on memory."""
         self.max_wait_fraction, self.max_extents = max_wait_fraction, max_extents
         self._stats: dict[tuple[str, int], _ExtentStats] = {}
-        self._adjacent: set[tuple[str, int]] = set()  # extents where adjacent RPCs are not rare
+        self._adjacent: set[tuple[str, int]] = set()  # extents where adjacent requests are not rare
 
     def wait_ms(self, volume: str, extent: int, start: int, end: int, now: float, slack_ms: float) -> float:
-        """Return how long an RPC on a part of an extent may wait for others.
+        """Return how long a request on a part of an extent may wait for others.
 
         Args:
             volume: Name of the volume.
             extent: Number of the extent.
-            start: First byte of the RPC, within the extent.
-            end: End of the RPC, exclusive, within the extent.
+            start: First byte of the request, within the extent.
+            end: End of the request, exclusive, within the extent.
             now: The time, ms.
             slack_ms: Time until the latency objective, ms.
 
         Returns:
-            The waiting time, ms; 0 if no adjacent RPC is expected.
+            The waiting time, ms; 0 if no adjacent request is expected.
         """
         samples_all = not int(now) & 480
         if not (samples_all or self._adjacent) and self._stats:
-            return 0.0  # fast path: adjacent RPCs are rare in all extents
+            return 0.0  # fast path: adjacent requests are rare in all extents
         key = (volume, extent)
         stats = self._stats.get(key)
         if stats is not None and not (samples_all or key in self._adjacent):
@@ -89,7 +88,7 @@
                 for old in oldest_first[: max(1, self.max_extents // 2)]:
                     del self._stats[old]
                     self._adjacent.discard(old)
-            self._stats[key] = _ExtentStats(deque([(now, start, end)], RECENT_RPCS))
+            self._stats[key] = _ExtentStats(deque([(now, start, end)], RECENT_REQUESTS))
             return 0.0
         is_adjacent, since = False, now - max_wait
         for arrived, first, last in reversed(stats.recent):
@@ -110,8 +109,8 @@
             volume: Name of the volume.
             extent: Number of the extent.
             now: The time, ms.
-            adjacent_count: Number of waiting RPCs that could be coalesced; 1 if there were none beside the
-                first.
+            adjacent_count: Number of waiting requests that could be coalesced; 1 if there were none beside
+                the first.
         """
         stats = self._stats.get((volume, extent))
         if stats is None:
--- a/cherrygrade/extents/piece_tracker.py
+++ b/cherrygrade/extents/piece_tracker.py
@@ -1,4 +1,4 @@
-"""The pieces that one client RPC is split into: which to start when, and the result of the RPC. Uses no I/O.
+"""Decides which pieces of a split request to start, and the result of the request. Uses no I/O.
 
 A read succeeds only with all of its bytes, and those of one extent all of the same version: if an extent
 turns out to have moved during the read, its pieces are read again. A write that took effect in part is
@@ -17,7 +17,7 @@
 
 
 class Result(Enum):
-    """The result of an RPC that was split."""
+    """The result of a request that was split."""
 
     OK = "ok"
     REJECTED = "rejected"
@@ -42,21 +42,22 @@
 
 
 class PieceTracker:
-    """The pieces of one RPC.
+    """The pieces of one request.
 
-    A piece is created only when it is started, so that a large export that waits for memory occupies little.
-    Once the RPC has a result, no further piece is started, and `in_flight` has those that are still running.
+    A piece is created only when it is started, so that a large export that waits for memory
+    occupies little. Once the request has a result, no further piece is started, and `in_flight` has
+    those that are still running.
 
     Attributes:
-        writes: The RPC is a write.
+        writes: The request is a write.
         max_in_flight: Maximum number of pieces in flight.
         max_per_shard: Maximum number of pieces in flight for one shard.
         waiting: Pieces to be started again, or that had to wait for the limit of their shard.
         in_flight: Pieces that were started and have no outcome, in the order of their start.
         completed: Pieces that succeeded, by extent.
         remaining_bytes: Bytes that did not succeed yet.
-        result: The result of the RPC; None while it is open.
-        come_back_ms: Retry delay for the client if the RPC is rejected, ms; 0 if none may be given.
+        result: The result of the request; None while it is open.
+        come_back_ms: Retry delay for the client if the request is rejected, ms; 0 if none may be given.
         may_have_run: A piece may have taken effect.
     """
 
@@ -68,12 +69,12 @@
         max_in_flight: int,
         max_per_shard: int,
     ) -> None:
-        """Set up the pieces of an RPC.
+        """Set up the pieces of a request.
 
         Args:
             slices: The slices of the range, in order; consumed as pieces are started.
             length: Length of the range, bytes.
-            writes: The RPC is a write.
+            writes: The request is a write.
             max_in_flight: Maximum number of pieces in flight.
             max_per_shard: Maximum number of pieces in flight for one shard.
         """
--- a/cherrygrade/extents/range_service.py
+++ b/cherrygrade/extents/range_service.py
@@ -52,7 +52,7 @@
         """Return the time, ms."""
 
     def answer_deadline_ms(self, session: ClientSession, ask: ReadRpc | WriteRpc) -> float:
-        """Return the time by which the answer must be sent, ms; to be called once for an RPC."""
+        """Return the time by which the answer must be sent, ms; to be called once for a request."""
 
     def new_request(
         self,
@@ -68,7 +68,7 @@
         """Make a request for the scheduler on a part of the object `key`."""
 
     def submit_direct(self, session: ClientSession, ask: ReadRpc | WriteRpc, body: Body) -> InflightRequest:
-        """Submit an RPC that needs no extent map."""
+        """Submit a request that needs no extent map."""
 
     def admit(self, held: InflightRequest) -> None:
         """Submit a request to the scheduler as soon as there is memory for its bytes."""
@@ -98,22 +98,22 @@
 
 
 class SplitRequest:
-    """A client RPC that runs as several pieces, or that waits for the map.
+    """A client request that runs as several pieces, or that waits for the map.
 
     Attributes:
         service: The range service.
         session: The client.
-        rpc: The RPC.
+        rpc: The message of the client.
         deadline_ms: Time by which the answer must be sent, ms.
-        workload, volume: As they were when the RPC was taken; settings that come into force later may lack
-            them.
-        writes: The RPC is a write.
+        workload, volume: As they were when the request was taken; settings that come into force later may
+            lack them.
+        writes: The request is a write.
         length: Length of the range, bytes.
         streams: The client receives the bytes of the read piece by piece.
         buffer: The bytes to write, or the bytes of a read that is not streamed; None if there are none yet.
         claim: Memory for the buffer of a read; the pieces of a streamed read have reservations of their own.
         waiting_piece: The piece that waited for memory when pieces were last started.
-        requests: The requests of the pieces in flight; emptied as they finish, and by the end of the RPC.
+        requests: The requests of the pieces in flight; emptied as they finish, and by the end of the request.
         tracker: Decides which pieces to start.
     """
 
@@ -154,7 +154,7 @@
         self.service.locate(self)
 
     def reservation_timed_out(self, reservation: Reservation) -> None:
-        """Reject the RPC: no memory for the buffer became available in time."""
+        """Reject the request: no memory for the buffer became available in time."""
         self.drop()
         host = self.service.host
         host.send_final_answer(
@@ -298,20 +298,16 @@
         settings: How ranges are split and coalesced.
         query_map: Queries the register for the extents of a volume, from a number on and so many.
         map: The extent map.
-        predictor: Predicts whether RPCs can be coalesced.
+        predictor: Predicts whether requests can be coalesced.
         unlocated: By volume and extent, requests that wait until the extent is located; entries are removed
-            when
-            it is, and when the requests are finished.
+            when it is, and when the requests are finished.
         unmapped: By volume, requests that wait for the volume's map; entries are removed when it is received,
-            and
-            when the requests are finished.
+            and when the requests are finished.
         coalescing: By volume and extent, requests that wait to be coalesced; an entry is removed when the
-            waiting
-            time is over.
+            waiting time is over.
         coalesced_count, split_count, vain_wait_count, stale_entry_count: Since the last log line, attempts
-            that
-            shared a frame with another one, RPCs that were split, waits without another RPC to coalesce with,
-            and outdated map entries.
+            that shared a frame with another one, requests that were split, waits without another request to
+            coalesce with, and outdated map entries.
     """
 
     def __init__(
@@ -329,15 +325,15 @@
     def take(
         self, session: ClientSession, rpc: ReadRpc | WriteRpc, body: Any
     ) -> InflightRequest | SplitRequest | None:
-        """Take a client's RPC on a range.
+        """Take a client's request on a range.
 
         Args:
             session: The client.
-            rpc: The RPC.
+            rpc: The message of the client.
             body: The bytes to write.
 
         Returns:
-            The request; None if the RPC was answered at once.
+            The request; None if the request was answered at once.
         """
         host, volume = self.host, rpc.volume
         length = rpc.length if isinstance(rpc, ReadRpc) else len(body or b"")
@@ -453,7 +449,7 @@
     ) -> InflightRequest:
         """Make the scheduler's request for one slice; it waits if the extent is not located.
 
-        `workload` is given if the RPC was taken earlier, perhaps with other settings in force.
+        `workload` is given if the request was taken earlier, perhaps with other settings in force.
         """
         request = self.host.new_request(
             session, rpc, body, f"e{part.extent}", shard, part.start, part.length, deadline_ms
@@ -535,7 +531,7 @@
     def _immediate_answer(
         self, rpc: ReadRpc | WriteRpc, length: int, workload: Workload
     ) -> Ok | Errored | None:
-        """Return the final answer of an RPC that no node is needed for; None if nodes are needed."""
+        """Return the final answer of a request that no node is needed for; None if nodes are needed."""
         size = self.map.size(rpc.volume)
         if rpc.offset + length > size:
             return Errored(
--- a/cherrygrade/peers/memory_admission.py
+++ b/cherrygrade/peers/memory_admission.py
@@ -103,8 +103,8 @@
             traffic: Workloads and volumes from now on.
             utility: What work is worth from now on.
             is_pressed: Returns whether a workload is pressed work.
-            workloads: Workloads of RPCs in progress, which stay known even if `traffic` lacks them.
-            volumes: Volumes of RPCs in progress, which stay known even if `traffic` lacks them.
+            workloads: Workloads of requests in progress, which stay known even if `traffic` lacks them.
+            volumes: Volumes of requests in progress, which stay known even if `traffic` lacks them.
         """
         workload_terms = {name: terms for name, terms in self._workloads.items() if name in workloads}
         for name, workload in traffic.workloads.items():
--- a/cherrygrade/peers/memory_budget.py
+++ b/cherrygrade/peers/memory_budget.py
@@ -160,8 +160,7 @@
         max_peer_bytes: Limit of one peer.
         max_slow_bytes: Limit of all slow peers together.
         value_within_quota: Value of work, relative, while its volume is within its share of the memory.
-            Shares
-            go by weight among the volumes that use memory.
+            Shares go by weight among the volumes that use memory.
         value_beyond_quota: Value of work, relative, beyond this share.
         used_bytes, batch_bytes, slow_bytes: Granted memory in total, of batch work and of slow peers.
         waiting_count: Number of reservations that wait.
--- a/cherrygrade/peers/slow_peer_escalation.py
+++ b/cherrygrade/peers/slow_peer_escalation.py
@@ -5,13 +5,11 @@
 from enum import IntEnum
 
 RECOVERY_FACTOR = 1.5
-"""A peer recovers a step at this multiple of its minimum rate, so that one near the minimum can't
-oscillate."""
+"""A peer goes down a step at this multiple of its minimum rate, to avoid oscillation near the minimum."""
 NEAR_MINIMUM_WEIGHT = 0.25
 """Weight of time spent between the minimum rate and the recovery rate, towards recovering a step."""
 NETWORK_SLOW_FRACTION = 0.5
-"""If more than this fraction of the peers that data waits for is slow, the network is taken to be the
-cause."""
+"""If more than this fraction of the peers that data waits for is slow, the network is to blame."""
 MIN_PEERS_FOR_FRACTION = 8
 """With fewer peers that data waits for, the fraction of slow ones is not significant."""
 
@@ -22,7 +20,7 @@
     FREE = 0
     """Nothing: the peer is not slow."""
     HELD = 1
-    """No new RPCs are read from the peer."""
+    """No new requests are read from the peer."""
     NARROW = 2
     """No large transfer is started for the peer, and its memory limit is reduced."""
     CUT = 3
@@ -135,9 +133,9 @@
 ) -> bool:
     """Return whether a slow peer keeps its connection because the network is slow.
 
-    While the network is slow, no peer is cut unless memory is scarce. Then only the peer that occupies the
-    most memory is cut, one in each grace period, so that the other peers get memory without all of them being
-    cut.
+    While the network is slow, no peer is cut unless memory is scarce. Then only the peer that
+    occupies the most memory is cut, one in each grace period, so that the other peers get memory
+    without all of them being cut.
 
     Args:
         network_slow: The network is slow, as `is_network_slow` decides.
--- a/cherrygrade/peers/watch.py
+++ b/cherrygrade/peers/watch.py
@@ -109,7 +109,7 @@
 
     Attributes:
         pace: Rates, windows and grace periods.
-        rooms: Reservations of memory, whose limits depend on the steps.
+        memory: Reservations of memory, whose limits depend on the steps.
         come_back_ms: Retry delay that a client is given when it is cut, ms.
         recent_cuts: Clients that were cut recently.
     """
@@ -117,7 +117,7 @@
     def __init__(
         self,
         pace: FlowControlSettings,
-        rooms: MemoryAdmission,
+        memory: MemoryAdmission,
         clients: Callable[[], Iterable[Client]],
         nodes: Callable[[], Iterable[ConnectionOwner]],
         come_back_ms: float,
@@ -128,7 +128,7 @@
 
         Args:
             pace: Rates, windows and grace periods.
-            rooms: Reservations of memory.
+            memory: Reservations of memory.
             clients: Returns the clients that are connected now.
             nodes: Returns the connections to storage nodes that are open now.
             come_back_ms: Retry delay that a client is given when it is cut, ms.
@@ -136,7 +136,7 @@
             on_check: Called at each check with its lateness, ms, and the time, ms. As checks always run, they
                 serve to measure how late the event loop is.
         """
-        self.pace, self.rooms, self._clients, self._nodes = pace, rooms, clients, nodes
+        self.pace, self.memory, self._clients, self._nodes = pace, memory, clients, nodes
         self.come_back_ms, self._log, self._on_check = come_back_ms, log, on_check
         self.recent_cuts = RecentCuts(pace.remember_ms)
         self._records: dict[ConnectionOwner, PeerRecord] = {}  # rebuilt each cycle from the open connections
@@ -175,7 +175,7 @@
             self._unchecked[: self._batch_size],
             self._unchecked[self._batch_size :],
         )
-        pace, budget = self.pace, self.rooms.budget
+        pace, budget = self.pace, self.memory.budget
         self._scarcity = limit_scarcity_rise(
             self._scarcity, scarcity(budget.used_bytes, budget.capacity_bytes), elapsed, pace.long_ms
         )
@@ -255,10 +255,10 @@
             bytes_per_s=round(rate),
             least=round(least),
             waiting=conn.waiting,
-            used=self.rooms.budget.used_bytes,
+            used=self.memory.budget.used_bytes,
         )
         if client is not None:
-            self.rooms.set_step(client.account, step)
+            self.memory.set_step(client.account, step)
             client.read_on()
             if step < Step.NARROW:
                 client.feed_hungry()
--- a/cherrygrade/transport/connection.py
+++ b/cherrygrade/transport/connection.py
@@ -148,8 +148,8 @@
     def eof_received(self) -> bool:
         """Close the connection, because the peer sends nothing more.
 
-        The peer may still read our answers, or not; only closing would show that. RPCs of a half-closed peer
-        are not continued.
+        The peer may still read our answers, or not; only closing would show that. Requests of a half-closed
+        peer are not continued.
         """
         self._close_reason = self._close_reason or (
             "peer closed the connection" if self._reader.idle else "peer closed the connection within a frame"
--- a/cherrygrade/wire/frames.py
+++ b/cherrygrade/wire/frames.py
@@ -87,9 +87,8 @@
 
         Args:
             body_buffer: Called with a message and the size of its body, bytes. Returns a buffer of this size;
-                None
-                to discard the body; or BODY_DEFERRED, after which `provide_body` must be called before more
-                bytes are received.
+                None to discard the body; or BODY_DEFERRED, after which `provide_body` must be called before
+                more bytes are received.
             on_frame: Called with the message and the body of each complete frame.
             most_body: Maximum size of a body, bytes.
         """
--- a/cherrygrade/wire/messages.py
+++ b/cherrygrade/wire/messages.py
@@ -1,8 +1,8 @@
 """The messages of the native protocol, one type for each kind of frame (docs/protocol.md).
 
-Each header is a MessagePack array, so fields are identified by position. New fields are added at the end with
-a default, and readers skip fields that they do not know. Times are durations in milliseconds, never clock
-times.
+Each header is a MessagePack array, so fields are identified by position. New fields are added at the
+end with a default, and readers skip fields that they do not know. Times are durations in
+milliseconds, never clock times.
 """
 
 from __future__ import annotations
@@ -194,8 +194,8 @@
 class Part(Message):
     """A part of the bytes of a read, sent before its answer.
 
-    The same position may be sent again with other bytes. The bytes sent last before the Ok are the valid
-    ones.
+    The same position may be sent again with other bytes. The bytes sent last before
+    the Ok are the valid ones.
 
     Attributes:
         id: The RPC.
@@ -316,8 +316,7 @@
     Attributes:
         id: The send.
         code: 0: ok; 1: errored. The send did not run: 2: the node is full; 3: the node does not have the
-            extent;
-            4: the node has a newer version of the extent.
+            extent; 4: the node has a newer version of the extent.
         load: Load figures of the node, by name.
         used: Use of the volume over all nodes, as a fraction of its plan's usual rate; -1 if it is not given.
         elsewhere: Units that the node did for the volume through other dispatchers since its previous answer.
--- a/tests/extents/test_extents.py
+++ b/tests/extents/test_extents.py
@@ -1,8 +1,8 @@
 """Byte ranges that are coalesced, split, relocated or fail in part.
 
-Whatever happens to the attempts, each RPC must get one answer, and each successful read exactly the bytes
-that it asked for. Errors here would return bytes of the wrong place, or mix old and new contents of an
-extent.
+Whatever happens to the attempts, each request must get one answer, and each successful read
+exactly the bytes that it asked for. Errors here would return bytes of the wrong place, or mix old
+and new contents of an extent.
 """
 
 from __future__ import annotations
@@ -42,8 +42,7 @@
     extents: int = 8,
     **more,
 ) -> tuple[Client, bytes]:
-    """Start a site with a volume full of a pattern; the client's first read makes the gateway query the
-    map."""
+    """Start a site with a volume full of a pattern, and make the gateway query the map by a read."""
     for shard in range(nodes):
         await site.node(shard=shard, build=build)
     site.volume(extents=extents, extent_bytes=16 * K)
@@ -415,7 +414,7 @@
 def test_random_operations_and_faults_agree_with_a_simple_model(steps, merge, most_piece):
     """Compare with a model that lists the possible values of each byte; a failed write may have taken effect.
 
-    Each RPC must have exactly one answer.
+    Each request must have exactly one answer.
     """
 
     async def scenario(site: GatewaySite) -> None:
--- a/tests/peers/test_floods.py
+++ b/tests/peers/test_floods.py
@@ -1,7 +1,7 @@
 """Malformed and hostile clients of every kind at once against one process, beside well-behaved clients.
 
-A fault here lets a hostile client use up sockets or memory, or crash the process, so that others are not
-served.
+A fault here lets a hostile client use up sockets or memory, or crash the process, so
+that others are not served.
 """
 
 from __future__ import annotations
--- a/tests/peers/test_memory_budget.py
+++ b/tests/peers/test_memory_budget.py
@@ -1,8 +1,8 @@
 """The memory budget for bodies: limits hold, no memory leaks, and waiting work is granted by value.
 
-A counting error here would either stop the process from accepting bodies, once lost memory adds up, or let
-bodies take more memory than there is. Admission of connections that never identify themselves is tested here
-too.
+A counting error here would either stop the process from accepting bodies, once lost memory adds up,
+or let bodies take more memory than there is. Admission of connections that never identify
+themselves is tested here too.
 """
 
 from __future__ import annotations
