--- a/cherrygrade/peers/memory_budget.py
+++ b/cherrygrade/peers/memory_budget.py
@@ -46,7 +46,7 @@
 
 
 class ReservationState(Enum):
-    """The life of a reservation, in this order; it may skip WAITING, or GRANTED."""
+    """The states of a reservation, in order; WAITING is skipped if it is granted at once, GRANTED if canceled."""
 
     NEW = 0
     WAITING = 1
@@ -305,7 +305,7 @@
                     else Shortage.NONE
                 )
                 if shortage is Shortage.CAPACITY:
-                    return  # a reservation of a lower rank does not overtake this one
+                    return  # a reservation of less value does not overtake it
                 heappop(heap)
                 if shortage is Shortage.PEER:
                     reservation.account.waiting.append(reservation)
