--- a/cherrygrade/peers/memory_budget.py
+++ b/cherrygrade/peers/memory_budget.py
@@ -46,7 +46,10 @@
 
 
 class ReservationState(Enum):
-    """The states of a reservation, in order; WAITING is skipped if it is granted at once, GRANTED if canceled."""
+    """The states of a reservation, in order.
+
+    A reservation that is granted at once skips WAITING, and one that is canceled skips GRANTED.
+    """
 
     NEW = 0
     WAITING = 1
