--- a/cherrygrade/extents/range_service.py
+++ b/cherrygrade/extents/range_service.py
@@ -296,8 +296,8 @@
     Attributes:
         host: The dispatcher.
         settings: How ranges are split and coalesced.
-        query_map: Queries the register for extents; called with the volume, the number of the first extent and
-            the maximum number of extents.
+        query_map: Queries the register for extents; called with the volume, the number of the first extent
+            and the maximum number of extents.
         map: The extent map.
         predictor: Predicts whether requests can be coalesced.
         unlocated: By volume and extent, requests that wait until the extent is located; entries are removed
