--- a/benchmarks/fleet_config.py
+++ b/benchmarks/fleet_config.py
@@ -40,7 +40,7 @@
 from cherrygrade.fleet.runtime.voter_store import create_founding_store
 from cherrygrade.lab.rig.run import Child, free_places
 from cherrygrade.standin.control import Controller
-from cherrygrade.standin.ways import BOUND, ENTRY, FLEET, TOLD, host
+from cherrygrade.standin.emulated_network import ANNOUNCED_NET, BOUND_NET, ENTRY_HEADER, FLEET, host
 
 WORST_MS, P99_MS, HEAL_MS, AT_REST, SERVICE = 6000.0, 3000.0, 6000.0, 0.05, 0.01
 VOTERS = [f"d{at}" for at in range(5)]
@@ -122,9 +122,9 @@
             "volumes": {"open": {"plan": PLAN, "hosts": self.count}},
             "fleet": {
                 "name": FLEET,
-                "place": f"{host(TOLD, number)}:{self.told}",
+                "place": f"{host(ANNOUNCED_NET, number)}:{self.told}",
                 "bind": self.at(number),
-                "contacts": [f"{host(TOLD, at)}:{self.told}" for at in range(3)],
+                "contacts": [f"{host(ANNOUNCED_NET, at)}:{self.told}" for at in range(3)],
                 "zone": f"z{number % 6}",
                 "config_file": str(self.folder / f"d{number}" / "kept"),
                 "council": {"voters": VOTERS, "folder": str(self.folder / f"d{number}")},
@@ -136,7 +136,7 @@
         self.dead.discard(number)
 
     def at(self, number: int) -> str:
-        return f"{host(BOUND, number)}:{self.bound}"
+        return f"{host(BOUND_NET, number)}:{self.bound}"
 
     async def close(self) -> None:
         await asyncio.gather(*(one.end(9) for one in [*self.members, self.register, self.node]))
@@ -147,8 +147,8 @@
         data, at = (self.folder / "ways.log").read_bytes(), 0
         lengths: dict[bytes, list[int]] = {b"p": [], b"a": []}
         while at < len(data):
-            when, _, _, _, length = ENTRY.unpack_from(data, at)
-            at += ENTRY.size + length
+            when, _, _, _, length = ENTRY_HEADER.unpack_from(data, at)
+            at += ENTRY_HEADER.size + length
             kind = message_tag(data[at - length : at])
             if begun <= when < ended and kind in lengths:
                 lengths[kind].append(length)
--- a/benchmarks/fleet_leases.py
+++ b/benchmarks/fleet_leases.py
@@ -22,7 +22,7 @@
 from cherrygrade.fleet.leases.lease_client import RECENT_CHANGE_MS
 from cherrygrade.fleet.runtime.status_query import query_status
 from cherrygrade.fleet.runtime.voter_store import create_founding_store
-from cherrygrade.standin.receiver import judge
+from cherrygrade.standin.receiver import find_conflicting_orders
 
 LEASE_MS = 2000.0
 TAKE_OVER_MS = LEASE_MS + 1000.0  # worst, from the kill to the first order of another for the last task
@@ -170,7 +170,7 @@
                     first.setdefault(task, at - killed)
             worst.append(max((first.get(task, 1e9) for task in lost), default=0.0))
             fleet.start(victim)
-        return worst, judge(fleet.record)
+        return worst, find_conflicting_orders(fleet.record)
     finally:
         fleet.close()
 
--- a/benchmarks/platform_door.py
+++ b/benchmarks/platform_door.py
@@ -73,7 +73,7 @@
 
     total = 0
 
-    def got(self, peer: Peer, message: Message) -> None:
+    def message_received(self, peer: Peer, message: Message) -> None:
         Quick.total += 1
         peer.write(encode_response(200, b"b" * 1024))
 
@@ -84,7 +84,7 @@
     await discovery.open()
     for node in made:
         await node.open()
-        discovery.tell(node.entry())
+        discovery.publish(node.entry())
     print("listening", discovery.address, *(node.address for node in made), flush=True)
     lines = asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
@@ -93,9 +93,9 @@
             old = made.pop(0)
             new = Quick(f"s-{id(old)}-{Quick.total}", old.shard)
             await new.open()
-            discovery.tell(new.entry(), old.entry("terminating"))
+            discovery.publish(new.entry(), old.entry("terminating"))
             await asyncio.sleep(0.05)
-            discovery.tell(old.entry("terminated"))
+            discovery.publish(old.entry("terminated"))
             del discovery.hosts[old.host]
             old.close()
             made.append(new)
--- a/cherrygrade/lab/audits/fleetaudit.py
+++ b/cherrygrade/lab/audits/fleetaudit.py
@@ -18,9 +18,8 @@
 from cherrygrade.fleet.membership.messages import IndirectProbeRequest, MessageCodec
 from cherrygrade.fleet.membership.table import Member, MemberInfo, MemberRecord, MemberState
 from cherrygrade.lab.audits.audit import Verdict, lines
-from cherrygrade.standin.receiver import carried_out
-from cherrygrade.standin.receiver import judge as one_holder
-from cherrygrade.standin.ways import ENTRY, FLEET
+from cherrygrade.standin.emulated_network import ENTRY_HEADER, FLEET
+from cherrygrade.standin.receiver import find_conflicting_orders, read_executed_orders
 
 KNOWN_MS = 5000.0  # from a death to all that live knowing it
 MANY, MANY_KNOWN_MS = 5, 10000.0  # where so many and more than a tenth die at once
@@ -149,9 +148,9 @@
 
 def datagrams(file: Path) -> Iterator[tuple[float, int, int, bool, bytes]]:
     data, at = file.read_bytes() if file.exists() else b"", 0
-    while at + ENTRY.size <= len(data):
-        when, source, to, lost, length = ENTRY.unpack_from(data, at)
-        at += ENTRY.size + length
+    while at + ENTRY_HEADER.size <= len(data):
+        when, source, to, lost, length = ENTRY_HEADER.unpack_from(data, at)
+        at += ENTRY_HEADER.size + length
         yield when, source, to, lost, data[at - length : at]
 
 
@@ -230,8 +229,8 @@
 def _alone(record: Path) -> Verdict:
     """By the receiver's record alone."""
     verdict = Verdict(18)
-    verdict.judged = len(carried_out(record))
-    for wrong in one_holder(record):
+    verdict.judged = len(read_executed_orders(record))
+    for wrong in find_conflicting_orders(record):
         verdict.convict(wrong)
     return verdict
 
@@ -241,7 +240,7 @@
     verdict, tasks, late = Verdict(19), set[str](), set[str]()
     if any(at > story.end - 2.0 * QUIET_MS for at in story.changes):
         return verdict
-    for at, task, *_ in carried_out(record):
+    for at, task, *_ in read_executed_orders(record):
         tasks.add(task)
         if at > story.end - QUIET_MS:
             late.add(task)
--- a/cherrygrade/lab/rig/roles.py
+++ b/cherrygrade/lab/rig/roles.py
@@ -9,10 +9,10 @@
 import zlib
 from pathlib import Path
 
+from cherrygrade.standin.emulated_network import EmulatedNetwork
 from cherrygrade.standin.node import Build, Node
 from cherrygrade.standin.record import Record
 from cherrygrade.standin.register import Register
-from cherrygrade.standin.ways import Ways
 
 
 async def _until_told() -> None:
@@ -52,7 +52,7 @@
 
 
 async def run_ways(count: int, port: int, bound: int, fleet: str, seed: int, record: Path | None) -> None:
-    ways = Ways(count, port, bound, fleet, seed, record)
+    ways = EmulatedNetwork(count, port, bound, fleet, seed, record)
     control = await ways.start("127.0.0.1:0")
     print(f"listening {control}", flush=True)
     await _until_told()
--- a/cherrygrade/lab/rig/run.py
+++ b/cherrygrade/lab/rig/run.py
@@ -19,20 +19,20 @@
 from cherrygrade.fleet.runtime.voter_store import create_founding_store
 from cherrygrade.lab.rig.scenario import Scenario, Trouble, read_scenario, write_site
 from cherrygrade.standin.control import Controller
-from cherrygrade.standin.record import Record
-from cherrygrade.standin.ways import (
-    BOUND,
-    CLIENT,
-    CLIENTS,
+from cherrygrade.standin.emulated_network import (
+    ANNOUNCED_NET,
+    BOUND_NET,
+    CLIENT_NET,
+    CLIENTS_NUMBER,
+    FIRST_NODE_NUMBER,
     FLEET,
-    NODE,
-    NODES,
-    REGISTER,
-    THE_REGISTER,
-    TOLD,
-    far_number,
+    NODE_NET,
+    REGISTER_HOST,
+    REGISTER_NUMBER,
     host,
+    numbers_of_far_end,
 )
+from cherrygrade.standin.record import Record
 
 ON_NODES = frozenset(
     {"crash", "silent", "refuse", "resets", "slow", "still", "errors", "untold", "trickle", "drain", "move"}
@@ -155,7 +155,9 @@
                 loads.append(Child(f"load-{index}", self.folder))
             addresses = [f"127.0.0.1:{child.ports[0]}" for child in self.dispatchers]
             if self.far_port:
-                addresses = [f"{host(CLIENT, number)}:{self.far_port}" for number in range(len(addresses))]
+                addresses = [
+                    f"{host(CLIENT_NET, number)}:{self.far_port}" for number in range(len(addresses))
+                ]
             await asyncio.gather(
                 *(
                     child.start(
@@ -272,7 +274,7 @@
         await self.wayed.connect()
         if self.scenario.ways:
             self.far_port = await self.wayed.say("port")
-            await self._place(REGISTER, THE_REGISTER, f"127.0.0.1:{self.register.ports[0]}")
+            await self._place(REGISTER_HOST, REGISTER_NUMBER, f"127.0.0.1:{self.register.ports[0]}")
             self.told_places = ["" for _ in self.nodes]
             for index in range(len(self.nodes)):
                 await self._place_node(index)
@@ -284,8 +286,8 @@
     async def _place_node(self, index: int) -> None:
         """At another told host for each address that it had."""
         self.moves[index] = self.moves.get(index, -1) + 1
-        at = f"{NODE}.{self.moves[index]}.{index + 1}"
-        await self._place(at, NODES + index, self.addresses[index])
+        at = f"{NODE_NET}.{self.moves[index]}.{index + 1}"
+        await self._place(at, FIRST_NODE_NUMBER + index, self.addresses[index])
         self.told_places[index] = f"{at}:{self.far_port}"
         self.note.note("placed", index, self.addresses[index], self.told_places[index])
 
@@ -297,11 +299,11 @@
         if not self.scenario.fleet:
             return None
         told, bound = self.fleet_ports
-        contacts = [f"{host(TOLD, at)}:{told}" for at in range(min(3, self.scenario.dispatchers))]
+        contacts = [f"{host(ANNOUNCED_NET, at)}:{told}" for at in range(min(3, self.scenario.dispatchers))]
         return {
             "name": FLEET,
-            "place": f"{host(TOLD, number)}:{told}",
-            "bind": f"{host(BOUND, number)}:{bound}",
+            "place": f"{host(ANNOUNCED_NET, number)}:{told}",
+            "bind": f"{host(BOUND_NET, number)}:{bound}",
             "contacts": contacts,
             "zone": f"z{number % 3}",
             **self._council(number),
@@ -340,14 +342,14 @@
             number,
             self.lives[number],
             listen,
-            f"{REGISTER}:{self.far_port}" if self.far_port else f"127.0.0.1:{self.register.ports[0]}",
+            f"{REGISTER_HOST}:{self.far_port}" if self.far_port else f"127.0.0.1:{self.register.ports[0]}",
             self.places,
             self._fleet(number),
-            host(BOUND, number) if self.far_port else "",
+            host(BOUND_NET, number) if self.far_port else "",
         )
         await child.start(*self.program, str(file))
         if self.far_port:
-            await self._place(host(CLIENT, number), number, f"127.0.0.1:{child.ports[0]}")
+            await self._place(host(CLIENT_NET, number), number, f"127.0.0.1:{child.ports[0]}")
         self.note.note("life", number, self.lives[number])
 
     async def _list(self, index: int, standing: str, age_ms: float = 0.0, address: str = "") -> None:
@@ -402,7 +404,7 @@
     async def _way_trouble(self, trouble: Trouble) -> None:
         """On ways between these dispatchers and the others, or on all ways."""
         on, command = " ".join(str(number) for number in trouble.on), ON_WAYS[trouble.kind]
-        numbers = [number for name in trouble.far for number in far_number(name, len(self.nodes))]
+        numbers = [number for name in trouble.far for number in numbers_of_far_end(name, len(self.nodes))]
         if trouble.far and not self.far_port:
             return
         far, shuts, here = " ".join(map(str, numbers)), command in ("cut", "deafen"), not trouble.far
@@ -410,7 +412,7 @@
             self.note.note("shut", trouble.on or [*range(self.scenario.dispatchers)], 0.0)
         if shuts and here:
             self.note.note("cut", trouble.on)
-        elif shuts and CLIENTS in numbers:
+        elif shuts and CLIENTS_NUMBER in numbers:
             self.note.note("shut", trouble.on, trouble.for_ms)
         elif trouble.for_ms and here:
             self.note.note("rough", trouble.for_ms, trouble.kind, trouble.size)
--- a/cherrygrade/lab/scale/holdback.py
+++ b/cherrygrade/lab/scale/holdback.py
@@ -17,7 +17,7 @@
 from cherrygrade.fleet.membership.messages import message_tag
 from cherrygrade.lab.scale.plan import Ways, number_of
 from cherrygrade.lab.scale.watch import Watch
-from cherrygrade.standin.ways import ENTRY
+from cherrygrade.standin.emulated_network import ENTRY_HEADER
 
 SHUT_S = 0.05  # a stream that is cut is looked at again after this
 COUNTS = (
@@ -47,7 +47,7 @@
             return
         begun = perf_counter()
         if self.watch.passed(at, source, data):
-            self._log.write(ENTRY.pack(at, source, to, lost, len(data)) + data)
+            self._log.write(ENTRY_HEADER.pack(at, source, to, lost, len(data)) + data)
         self.machinery_s += perf_counter() - begun
 
 
--- a/cherrygrade/lab/scale/judge.py
+++ b/cherrygrade/lab/scale/judge.py
@@ -18,9 +18,8 @@
 from cherrygrade.lab.scale import changes
 from cherrygrade.lab.scale.plan import Scale, Seat, Step, seats
 from cherrygrade.lab.scale.sums import NEVER, TASKS, Phase, Promise
-from cherrygrade.standin.receiver import carried_out
-from cherrygrade.standin.receiver import judge as one_holder
-from cherrygrade.standin.ways import ENTRY
+from cherrygrade.standin.emulated_network import ENTRY_HEADER
+from cherrygrade.standin.receiver import find_conflicting_orders, read_executed_orders
 
 CUT = "half cut"
 CUTS = {CUT, changes.MISSED}
@@ -32,7 +31,7 @@
     streams = [fleetaudit.datagrams(one) for one in logs]
     with (folder / "ways.log").open("wb") as out:
         for at, source, to, lost, data in heapq.merge(*streams, key=lambda one: one[0]):
-            out.write(ENTRY.pack(at, source, to, lost, len(data)) + data)
+            out.write(ENTRY_HEADER.pack(at, source, to, lost, len(data)) + data)
 
 
 def judge(folder: Path, scale: Scale, steps: Iterable[Step], phases: dict[str, Phase]) -> list[Promise]:
@@ -89,9 +88,15 @@
 def leases(record: Path, drills: int, phases: dict[str, Phase]) -> list[Promise]:
     """Two never act for one task; and each is done at the end of each part in which the most can speak."""
     found = [
-        Promise("orders that no single holder could have given", "", 0, len(one_holder(record)), "orders")
+        Promise(
+            "orders that no single holder could have given",
+            "",
+            0,
+            len(find_conflicting_orders(record)),
+            "orders",
+        )
     ]
-    orders = carried_out(record)
+    orders = read_executed_orders(record)
     for when, phase in phases.items():
         if when not in CUTS:
             done = {task for at, task, *_ in orders if phase.ended - EDGE_MS < at <= phase.ended}
--- a/cherrygrade/lab/scale/stands.py
+++ b/cherrygrade/lab/scale/stands.py
@@ -49,7 +49,7 @@
     def act(line: dict[str, Any]) -> Any:
         return {
             "received": [node.received for node in held],
-            "connections": [len(node.doors) for node in held],
+            "connections": [len(node.connections) for node in held],
         }
 
     await lines(act)
@@ -69,7 +69,10 @@
     print(json.dumps(port), flush=True)
 
     def act(line: dict[str, Any]) -> Any:
-        return {"followers": len(made.doors), "moved": sum(door.conn.moved for door in made.doors)}
+        return {
+            "followers": len(made.connections),
+            "moved": sum(door.conn.moved for door in made.connections),
+        }
 
     await lines(act)
     made.close()
--- a/cherrygrade/standin/control.py
+++ b/cherrygrade/standin/control.py
@@ -10,7 +10,7 @@
 from cherrygrade.wire.messages import VERSION, Control, Done, Hello, Welcome
 
 
-class ControlDoor:
+class ControlConnection:
     """Owner of one control connection; `act(command, values)` gives the text of Done."""
 
     def __init__(self, act: Callable[[str, dict[str, Any]], str | None]) -> None:
@@ -41,7 +41,9 @@
 
 async def open_control(address: str, act: Callable[[str, dict[str, Any]], str | None]) -> asyncio.Server:
     host, _, port = address.rpartition(":")
-    return await asyncio.get_running_loop().create_server(lambda: ControlDoor(act).conn, host, int(port))
+    return await asyncio.get_running_loop().create_server(
+        lambda: ControlConnection(act).conn, host, int(port)
+    )
 
 
 def port_of(server: asyncio.Server | None) -> int:
--- a/cherrygrade/standin/ways.py
+++ b/cherrygrade/standin/emulated_network.py
@@ -22,25 +22,33 @@
 from cherrygrade.fleet.membership.table import MemberRecord, MemberState
 from cherrygrade.standin.control import open_control, port_of
 
-ENTRY = struct.Struct(">dHH?H")  # of the log: when, from, to, whether it was lost, bytes that follow
+ENTRY_HEADER = struct.Struct(">dHH?H")  # of the log: when, from, to, whether it was lost, bytes that follow
 PKTINFO = 8  # of Linux: which local address a datagram came to, or goes from
 BATCH = 64
 FLEET = "lab"
-TOLD, BOUND = "127.64", "127.32"
-NODE, REGISTER, CLIENT = "127.96", "127.97.0.1", "127.98"
-NODES, THE_REGISTER, CLIENTS = 1000, 900, 901  # numbers of those that are no dispatchers
+ANNOUNCED_NET, BOUND_NET = "127.64", "127.32"
+NODE_NET, REGISTER_HOST, CLIENT_NET = "127.96", "127.97.0.1", "127.98"
+FIRST_NODE_NUMBER, REGISTER_NUMBER, CLIENTS_NUMBER = (
+    1000,
+    900,
+    901,
+)  # numbers of those that are no dispatchers
 
 
 def host(net: str, number: int) -> str:
     return f"{net}.{number // 250}.{number % 250 + 1}"
 
 
-def far_number(name: str, count: int) -> list[int]:
+def numbers_of_far_end(name: str, count: int) -> list[int]:
     """Of 'node 3', 'nodes', 'register', 'clients'; `count`: how many nodes there are."""
     if name == "nodes":
-        return [NODES + at for at in range(count)]
+        return [FIRST_NODE_NUMBER + at for at in range(count)]
     kind, _, at = name.partition(" ")
-    return [{"node": NODES + int(at or 0), "register": THE_REGISTER, "clients": CLIENTS}[kind]]
+    return [
+        {"node": FIRST_NODE_NUMBER + int(at or 0), "register": REGISTER_NUMBER, "clients": CLIENTS_NUMBER}[
+            kind
+        ]
+    ]
 
 
 def number_of(address: str) -> int:
@@ -58,7 +66,7 @@
         self.lost = self.doubled = self.delay_ms = self.jitter_ms = 0.0
 
 
-class Ways:
+class EmulatedNetwork:
     """`ways` holds those that something was said of; `streams` end with either side."""
 
     def __init__(self, count: int, port: int, bound: int, fleet: str, seed: int, log: Path | None) -> None:
@@ -184,7 +192,7 @@
             except (BlockingIOError, ConnectionError):
                 return
             to = next((info[8:12] for level, kind, info in more if kind == PKTINFO), b"")
-            if not to or not source[0].startswith(BOUND):
+            if not to or not source[0].startswith(BOUND_NET):
                 continue
             self._came(data, number_of(source[0]), number_of(socket.inet_ntoa(to)))
 
@@ -208,10 +216,10 @@
     def _forward(self, data: bytes, source: int, to: int) -> None:
         if self._socket is None:
             return
-        info = struct.pack("I4s4s", 0, socket.inet_aton(host(TOLD, source)), bytes(4))
+        info = struct.pack("I4s4s", 0, socket.inet_aton(host(ANNOUNCED_NET, source)), bytes(4))
         try:
             self._socket.sendmsg(
-                [data], [(socket.IPPROTO_IP, PKTINFO, info)], 0, (host(BOUND, to), self.bound)
+                [data], [(socket.IPPROTO_IP, PKTINFO, info)], 0, (host(BOUND_NET, to), self.bound)
             )
             self.passed += 1
         except OSError:
@@ -226,17 +234,21 @@
         """As it is: it is read by the audit, not here, so that the ways keep up with a fleet of hundreds."""
         if self._log is not None:
             now = asyncio.get_running_loop().time() * 1000.0
-            self._log.write(ENTRY.pack(now, source, to, lost, len(data)) + data)
+            self._log.write(ENTRY_HEADER.pack(now, source, to, lost, len(data)) + data)
 
     # Streams.
 
     async def _stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         peer, mine = writer.get_extra_info("peername")[0], writer.get_extra_info("sockname")[0]
-        if not (peer.startswith(BOUND) and mine.startswith(TOLD)):
+        if not (peer.startswith(BOUND_NET) and mine.startswith(ANNOUNCED_NET)):
             writer.close()
             return
         await self._pass(
-            reader, writer, number_of(peer), number_of(mine), f"{host(BOUND, number_of(mine))}:{self.bound}"
+            reader,
+            writer,
+            number_of(peer),
+            number_of(mine),
+            f"{host(BOUND_NET, number_of(mine))}:{self.bound}",
         )
 
     async def _far_stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -246,7 +258,7 @@
         if number < 0:
             writer.transport.abort()
             return
-        source = number_of(peer) if peer.startswith(BOUND) else CLIENTS
+        source = number_of(peer) if peer.startswith(BOUND_NET) else CLIENTS_NUMBER
         await self._pass(reader, writer, source, number, place)
 
     async def _pass(
@@ -276,7 +288,9 @@
 class Pipe:
     """One stream that passes."""
 
-    def __init__(self, ways: Ways, source: int, to: int, ends: tuple[asyncio.StreamWriter, ...]) -> None:
+    def __init__(
+        self, ways: EmulatedNetwork, source: int, to: int, ends: tuple[asyncio.StreamWriter, ...]
+    ) -> None:
         self.ways, self.source, self.to, self.ends = ways, source, to, ends
 
     async def pump(
--- a/cherrygrade/standin/node.py
+++ b/cherrygrade/standin/node.py
@@ -40,26 +40,26 @@
 class Work:
     """One send in hand; `done` once it was answered or dropped."""
 
-    door: NodeDoor | None
+    door: NodeConnection | None
     send: ReadSend | WriteSend | None
     body: Any
     left_ms: float
     done: bool = False
 
 
-class NodeDoor:
+class NodeConnection:
     """One dispatcher's connection."""
 
     def __init__(self, node: Node) -> None:
         self.node = node
         self.name = ""
-        self.works: dict[int, Work] = {}  # emptied by answers, withdrawals and the connection's end
+        self.open_requests: dict[int, Work] = {}  # emptied by answers, withdrawals and the connection's end
         self.drips = bytearray()
         self.cut = False  # broke off within a frame: nothing may follow it
         self.conn = Connection(self, node.most_body)
 
     def connected(self, conn: Connection) -> None:
-        self.node.doors[self] = None
+        self.node.connections[self] = None
 
     def room(self, conn: Connection, message: Any, length: int) -> bytearray:
         return bytearray(length)
@@ -69,7 +69,7 @@
         if isinstance(message, ReadSend | WriteSend):
             node.receive(self, message, body)
         elif isinstance(message, Withdraw):
-            work = self.works.pop(message.id, None)
+            work = self.open_requests.pop(message.id, None)
             if work is not None and work.send is not None:
                 node.record.note("withdraw", self.name, work.send.origin, work.send.number)
                 node.drop(work)
@@ -94,12 +94,12 @@
         pass
 
     def closed(self, conn: Connection, why: str) -> None:
-        self.node.doors.pop(self, None)
-        for work in self.works.values():
+        self.node.connections.pop(self, None)
+        for work in self.open_requests.values():
             assert work.send is not None
             self.node.record.note("lost", self.name, work.send.origin, work.send.number)
             self.node.drop(work)
-        self.works.clear()
+        self.open_requests.clear()
 
 
 class Node:
@@ -116,9 +116,9 @@
         self.chance = random.Random(seed)
         self.bytes: dict[tuple[str, str], bytearray] = {}
         self.versions: dict[tuple[str, str], int] = {}  # of the extents that it holds
-        self.bad: list[tuple[str, str, int, int]] = []  # ranges that cannot be read nor written
+        self.failing_ranges: list[tuple[str, str, int, int]] = []  # ranges that cannot be read nor written
         self.tokens: dict[bytes, float] = {}  # until when a repeat is known; cleared as they run out
-        self.doors: dict[NodeDoor, None] = {}
+        self.connections: dict[NodeConnection, None] = {}
         self.starts = self.received = 0
         self._server: asyncio.Server | None = None
         self._control: asyncio.Server | None = None
@@ -162,7 +162,7 @@
         self._fresh()
         self.starts += 1
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: NodeDoor(self).conn, host, int(port), backlog=512
+            lambda: NodeConnection(self).conn, host, int(port), backlog=512
         )
         self.address = f"{host}:{self._server.sockets[0].getsockname()[1]}"
         self.record.note("start", self.starts, self.address)
@@ -173,7 +173,7 @@
         if self._server is not None:
             self._server.close()
             self._server = None
-        for door in [*self.doors]:
+        for door in [*self.connections]:
             door.conn.abort("node crashed")
         self._fresh()
 
@@ -241,7 +241,7 @@
             if self._server is None:
                 host, _, port = self.address.rpartition(":")
                 self._server = await asyncio.get_running_loop().create_server(
-                    lambda: NodeDoor(self).conn, host, int(port), backlog=512
+                    lambda: NodeConnection(self).conn, host, int(port), backlog=512
                 )
 
         asyncio.get_running_loop().create_task(again())
@@ -266,7 +266,7 @@
         borne = max(build.fall_units, build.fall_multiple * capacity)
         return sum(one for _, one in self.arrived) > borne
 
-    def receive(self, door: NodeDoor, send: ReadSend | WriteSend, body: Any) -> None:
+    def receive(self, door: NodeConnection, send: ReadSend | WriteSend, body: Any) -> None:
         now = self.now()
         self.received += 1
         kind = "write" if isinstance(send, WriteSend) else "read"
@@ -296,7 +296,7 @@
                 1.0,
             )
         work = Work(door, send, body, send.units * self.build.unit_ms)
-        door.works[send.id] = work
+        door.open_requests[send.id] = work
         if self._pushed_over(send.units, now):
             self.record.note("fell", self.starts)
             self.crash()
@@ -383,7 +383,7 @@
     def _answer(self, work: Work, code: int, body: bytes | None = None) -> None:
         work.done = True
         door, send = work.door, work.send
-        if send is None or door is None or door.works.pop(send.id, None) is None:
+        if send is None or door is None or door.open_requests.pop(send.id, None) is None:
             return
         if code == OK:
             self.volumes[send.volume] = self.volumes.get(send.volume, 0.0) + send.units
@@ -391,7 +391,7 @@
             self.by[ours] = self.by.get(ours, 0.0) + send.units
         if self.silent:
             self.record.note("silent", door.name, send.origin, send.number)
-            door.works[send.id] = work  # out for good, until withdrawn or the line ends
+            door.open_requests[send.id] = work  # out for good, until withdrawn or the line ends
             return
         others = self.volumes.get(send.volume, 0.0) - self.by.get((door.name, send.volume), 0.0)
         elsewhere = others - self.seen.get((door.name, send.volume), 0.0)
@@ -404,7 +404,7 @@
         length = send.length if isinstance(send, ReadSend) else len(work.body or b"")
         failed = [
             (first, last - first)
-            for volume, key, first, last in self.bad
+            for volume, key, first, last in self.failing_ranges
             if (volume, key) == (send.volume, send.key)
             and first < send.offset + length
             and send.offset < last
--- a/cherrygrade/standin/receiver.py
+++ b/cherrygrade/standin/receiver.py
@@ -56,16 +56,16 @@
             writer.close()
 
 
-def carried_out(record: Path) -> list[list[Any]]:
+def read_executed_orders(record: Path) -> list[list[Any]]:
     """Each order that was: ms of the monotonic clock, task, number, holder, birth, the holder's count."""
     lines = record.read_text().splitlines()
     return [told[:6] for line in lines if line.endswith("]") and (told := json.loads(line))[6]]
 
 
-def judge(record: Path) -> list[str]:
+def find_conflicting_orders(record: Path) -> list[str]:
     """What no single holder could have done: from the receiver's record alone."""
     wrong, last, owners = [], dict[str, int](), dict[tuple[str, int], tuple[str, int]]()
-    for at, task, number, holder, birth, _ in carried_out(record):
+    for at, task, number, holder, birth, _ in read_executed_orders(record):
         if number < last.get(task, 0):
             wrong.append(f"{task}: number {number} of {holder} at {at:.0f} behind {last[task]}")
         last[task] = max(number, last.get(task, 0))
--- a/cherrygrade/standin/register.py
+++ b/cherrygrade/standin/register.py
@@ -19,7 +19,7 @@
     homes: list[tuple[int, int]]  # shard and version
 
 
-class RegisterDoor:
+class RegisterConnection:
     """One follower."""
 
     def __init__(self, register: Register) -> None:
@@ -28,7 +28,7 @@
         self.conn = Connection(self, 0)
 
     def connected(self, conn: Connection) -> None:
-        self.register.doors[self] = None
+        self.register.connections[self] = None
 
     def room(self, conn: Connection, message: Any, length: int) -> None:
         return None
@@ -41,13 +41,13 @@
             self.register.tell_map(self, message.volume, message.first, message.count)
         elif isinstance(message, Follow) and not self.register.silent:
             self.push = message.push
-            self.register.tell_whole(self)
+            self.register.send_full_list(self)
 
     def writable(self, conn: Connection) -> None:
         pass
 
     def closed(self, conn: Connection, why: str) -> None:
-        self.register.doors.pop(self, None)
+        self.register.connections.pop(self, None)
 
 
 class Register:
@@ -56,19 +56,19 @@
     def __init__(self, address: str, epoch: int = 1, record: Record | None = None) -> None:
         self.address, self.epoch, self.record = address, epoch, record or Record()
         self.lag_ms, self.silent, self.past = 0.0, False, 0
-        self.doors: dict[RegisterDoor, None] = {}
+        self.connections: dict[RegisterConnection, None] = {}
         self.born: dict[tuple[str, int], float] = {}
         self.lists: list[dict[str, Entry]] = [{}]  # each published version; the laboratory's days are short
         self.true: dict[str, Entry] = {}
         self.volumes: dict[str, Volume] = {}
-        self.asked = 0  # how often it was asked for a map
+        self.map_requests = 0  # how often it was asked for a map
         self._server: asyncio.Server | None = None
         self._control: asyncio.Server | None = None
 
     async def start(self, control: str = "") -> int:
         loop = asyncio.get_running_loop()
         host, _, port = self.address.rpartition(":")
-        self._server = await loop.create_server(lambda: RegisterDoor(self).conn, host, int(port))
+        self._server = await loop.create_server(lambda: RegisterConnection(self).conn, host, int(port))
         self.address = f"{host}:{self._server.sockets[0].getsockname()[1]}"
         if control:
             self._control = await open_control(control, self.act)
@@ -82,7 +82,7 @@
         for server in (self._server, self._control):
             if server is not None:
                 server.close()
-        for door in [*self.doors]:
+        for door in [*self.connections]:
             door.conn.abort("register gone")
 
     def act(self, command: str, values: dict[str, Any]) -> str:
@@ -104,15 +104,15 @@
                 loop.call_later(lasting, setattr, self, "lag_ms", float(values.get("usual", 0.0)))
         elif command == "past":
             self.past = int(values["value"])
-            for door in self.doors:
-                self.tell_whole(door)
+            for door in self.connections:
+                self.send_full_list(door)
             loop.call_later(lasting, setattr, self, "past", 0)
         elif command == "silent":
             self.silent = True
             if lasting:
                 loop.call_later(lasting, setattr, self, "silent", False)
         elif command == "drop":
-            for door in [*self.doors]:
+            for door in [*self.connections]:
                 door.conn.abort("register dropped the line")
         elif command == "volume":
             extent_bytes, size, shards = (int(values[name]) for name in ("extent_bytes", "size", "shards"))
@@ -141,22 +141,22 @@
         """A volume whose extents lie on these shards, each at version 1."""
         self.volumes[name] = Volume(size, extent_bytes, [(shard, 1) for shard in shards])
 
-    def move(self, name: str, extent: int, shard: int, *, told: bool = True) -> int:
+    def move(self, name: str, extent: int, shard: int, *, notify: bool = True) -> int:
         """The extent lies elsewhere now; gives its new version. Followers hear of it `lag_ms` later."""
         volume = self.volumes[name]
         volume.homes[extent] = (shard, volume.homes[extent][1] + 1)
-        if told:
+        if notify:
             loop = asyncio.get_running_loop()
             loop.call_later(self.lag_ms / 1000.0, self._tell_move, name, extent)
         return volume.homes[extent][1]
 
     def _tell_move(self, name: str, extent: int) -> None:
-        for door in [*self.doors]:
+        for door in [*self.connections]:
             if door.push and not self.silent:
                 self.tell_map(door, name, extent, 1)
 
-    def tell_map(self, door: RegisterDoor, name: str, first: int, count: int) -> None:
-        self.asked += 1
+    def tell_map(self, door: RegisterConnection, name: str, first: int, count: int) -> None:
+        self.map_requests += 1
         volume = self.volumes.get(name)
         if volume is not None:
             homes = volume.homes[first : first + count]
@@ -167,11 +167,11 @@
     def publish(self, changed: dict[str, Entry]) -> None:
         base = len(self.lists) - 1
         self.lists.append({**self.lists[-1], **changed})
-        for door in [*self.doors]:
+        for door in [*self.connections]:
             if door.push and not self.silent:
                 self._tell(door, Roster(self.epoch, base + 1, base, self._aged(changed)))
 
-    def tell_whole(self, door: RegisterDoor) -> None:
+    def send_full_list(self, door: RegisterConnection) -> None:
         version = max(0, len(self.lists) - 1 - self.past)
         self._tell(door, Roster(self.epoch, version, -1, self._aged(self.lists[version])))
 
@@ -191,7 +191,7 @@
             for e in entries.values()
         ]
 
-    def _tell(self, door: RegisterDoor, roster: Roster) -> None:
+    def _tell(self, door: RegisterConnection, roster: Roster) -> None:
         self.record.note(
             "told",
             door.name,
--- a/cherrygrade/standin/web.py
+++ b/cherrygrade/standin/web.py
@@ -27,7 +27,7 @@
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.owner.peers.append(self)
-        self.owner.made += 1
+        self.owner.connections_made += 1
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return self._buffer
@@ -35,7 +35,7 @@
     def buffer_updated(self, nbytes: int) -> None:
         self._reader.feed(bytes(self._buffer[:nbytes]))
         for message in self._reader.messages:
-            self.owner.got(self, message)
+            self.owner.message_received(self, message)
             self._room.release(message)
         self._reader.messages.clear()
 
@@ -58,7 +58,7 @@
     def __init__(self, address: str = "127.0.0.1:0") -> None:
         self.address = address
         self.peers: list[Peer] = []
-        self.made = 0
+        self.connections_made = 0
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
@@ -81,13 +81,13 @@
     def __init__(self, host: str, shard: int, work_ms: float = 2.0, address: str = "127.0.0.1:0") -> None:
         super().__init__(address)
         self.host, self.shard, self.work_ms = host, shard, work_ms
-        self.came: list[Message] = []
-        self.came_at: list[float] = []  # s, of the event loop's clock
+        self.received: list[Message] = []
+        self.received_at_s: list[float] = []  # s, of the event loop's clock
         self.script: deque[bytes | bool | None] = deque()
 
-    def got(self, peer: Peer, message: Message) -> None:
-        self.came.append(message)
-        self.came_at.append(asyncio.get_running_loop().time())
+    def message_received(self, peer: Peer, message: Message) -> None:
+        self.received.append(message)
+        self.received_at_s.append(asyncio.get_running_loop().time())
         asyncio.get_running_loop().call_later(self.work_ms / 1000.0, self._answer, peer, message)
 
     def _answer(self, peer: Peer, message: Message) -> None:
@@ -117,21 +117,21 @@
     """Tells the whole list to whoever watches, and each change after it, with a sign of life in between.
 
     `indent`: lists come over several lines. `down`: whoever asks hears nothing, and nothing is told.
-    `told_at`: when a node's standing counts as told, whether or not it arrived.
+    `effective_at`: when a node's standing counts as told, whether or not it arrived.
     """
 
-    def __init__(self, address: str = "127.0.0.1:0", breath_s: float = 2.0) -> None:
+    def __init__(self, address: str = "127.0.0.1:0", keepalive_interval_s: float = 2.0) -> None:
         super().__init__(address)
         self.version, self.hosts = 1, dict[str, dict[str, Any]]()
-        self.asked: list[bytes] = []
-        self.told_at: dict[str, float] = {}
+        self.watch_targets: list[bytes] = []
+        self.effective_at: dict[str, float] = {}
         self.indent: int | None = None
         self.down = False
         self._silent: dict[Peer, float] = {}  # watches that fell silent, and when; emptied as they close
-        self._breath_s = breath_s
+        self._breath_s = keepalive_interval_s
 
-    def got(self, peer: Peer, message: Message) -> None:
-        self.asked.append(message.target)
+    def message_received(self, peer: Peer, message: Message) -> None:
+        self.watch_targets.append(message.target)
         if self.down:
             self._silent[peer] = asyncio.get_running_loop().time()
             return
@@ -144,7 +144,7 @@
             self.raw(peer, b"\n")
             asyncio.get_running_loop().call_later(self._breath_s, self._breathe, peer)
 
-    def hush(self) -> None:
+    def silence_watches(self) -> None:
         """All open watches fall silent; a new one is answered, unless discovery is down."""
         now = asyncio.get_running_loop().time()
         self._silent = {peer: self._silent.get(peer, now) for peer in self.peers}
@@ -156,23 +156,23 @@
     def raw(self, peer: Peer, line: bytes) -> None:
         peer.write(b"%x\r\n%b\r\n" % (len(line), line))
 
-    def tell(self, *entries: dict[str, Any]) -> None:
+    def publish(self, *entries: dict[str, Any]) -> None:
         self.version += 1
         now = asyncio.get_running_loop().time()
         missed = [at for peer, at in self._silent.items() if peer.transport is not None]
         for entry in entries:
             self.hosts[entry["host"]] = entry
-            self.told_at[entry["host"]] = max(now, min(missed) + TOLD_S) if missed else now
+            self.effective_at[entry["host"]] = max(now, min(missed) + TOLD_S) if missed else now
         for peer in self.peers:
             if peer not in self._silent:
                 self.write(peer, self.version, False, [*entries])
 
-    def late(self, node: WebNode) -> list[float]:
+    def late_requests_s(self, node: WebNode) -> list[float]:
         """How late, in s, each send was that came past the grace after the node's order to leave counts."""
         if self.hosts[node.host]["health"] == "in_service":
             return []
-        told = self.told_at[node.host] + GRACE_S
-        return [at - told for at in node.came_at if at > told]
+        told = self.effective_at[node.host] + GRACE_S
+        return [at - told for at in node.received_at_s if at > told]
 
 
 async def run_platform(address: str, count: int, indent: int | None = None, hush_s: float = 0.0) -> None:
@@ -184,17 +184,17 @@
     nodes = [WebNode(f"s-{n}", n, work_ms=20.0) for n in range(count)]
     for node in nodes:
         await node.open()
-        discovery.tell(node.entry())
+        discovery.publish(node.entry())
     print(f"discovery {discovery.address}, {count} nodes", flush=True)
     turn = 0
     while hush_s > 0.0:
         await asyncio.sleep(hush_s)
         node = nodes[turn % count]
-        discovery.hush()
-        discovery.tell(node.entry("terminating"))
+        discovery.silence_watches()
+        discovery.publish(node.entry("terminating"))
         await asyncio.sleep(TOLD_S + 2.0)
-        late = len(discovery.late(node))
+        late = len(discovery.late_requests_s(node))
         print(f"{node.host} drained under silent watches: {late} sends came too late", flush=True)
-        discovery.tell(node.entry())
+        discovery.publish(node.entry())
         turn += 1
     await asyncio.get_running_loop().create_future()
--- a/tests/extents/test_extents.py
+++ b/tests/extents/test_extents.py
@@ -156,7 +156,7 @@
 def test_a_shared_send_of_which_one_part_fails_errs_that_part_alone():
     async def story(house: GatewaySite) -> None:
         client, data = await filled(house, build=Build(cores=1, unit_ms=20.0, put_off=0.0), nodes=1)
-        house.nodes[0].bad = [("v", "e0", 2048, 2100)]
+        house.nodes[0].failing_ranges = [("v", "e0", 2048, 2100)]
         ranges = [(at * 1024, 1024) for at in range(8)]
         answers = await reads(client, ranges)
         bad = [n for n, answer in enumerate(answers) if not isinstance(answer, Ok)]
@@ -213,7 +213,7 @@
         client, data = await filled(house, nodes=4, cuts=cuts, build=Build(cores=4, unit_ms=3.0, put_off=0.0))
         task = asyncio.create_task(reads(client, [(0, 8 * 16 * K)], "export", 4000.0))
         while not task.done():
-            out = [len(door.works) for node in house.nodes for door in node.doors]
+            out = [len(door.open_requests) for node in house.nodes for door in node.connections]
             most["all"], most["one"] = max(most["all"], sum(out)), max(most["one"], *out)
             await asyncio.sleep(0.001)
         assert right(await task, [(0, 8 * 16 * K)], data)
@@ -265,11 +265,11 @@
 def test_many_that_wait_for_one_stale_entry_ask_once():
     async def story(house: GatewaySite) -> None:
         client, data = await filled(house)
-        asked = house.register.asked
+        asked = house.register.map_requests
         house.move(0, 1, told=False)
         ranges = [(at * 100, 50) for at in range(40)]
         assert right(await reads(client, ranges), ranges, data)
-        assert house.register.asked - asked <= 3
+        assert house.register.map_requests - asked <= 3
 
     run(story)
 
@@ -307,10 +307,10 @@
 def test_a_split_write_of_which_a_piece_fails_is_errored():
     async def story(house: GatewaySite) -> None:
         client, data = await filled(house, cuts=ExtentSettings(most_piece=4096))
-        house.nodes[1].bad = [("v", "e1", 0, 10)]
+        house.nodes[1].failing_ranges = [("v", "e1", 0, 10)]
         answer = await client.write("write", "v", "", bytes(40 * K), offset=0, deadline_ms=1400)
         assert isinstance(answer, Errored) and "new bytes or old" in answer.reason
-        house.nodes[1].bad = []
+        house.nodes[1].failing_ranges = []
         assert isinstance(
             await client.write("write", "v", "", data[: 40 * K], offset=0, deadline_ms=1400), Ok
         )
@@ -328,9 +328,9 @@
         assert isinstance(never, Rejected)
         house.register.silent = False
         house.volume()
-        for door in [*house.register.doors]:
+        for door in [*house.register.connections]:
             door.push = True
-            house.register.tell_whole(door)
+            house.register.send_full_list(door)
         answer = await client.read("read", "v", offset=0, length=10, deadline_ms=1400)
         assert isinstance(answer, Ok)
 
@@ -350,9 +350,9 @@
             await asyncio.sleep(0.005)
         house.register.silent = False
         house.volume()
-        for door in [*house.register.doors]:
+        for door in [*house.register.connections]:
             door.push = True
-            house.register.tell_whole(door)
+            house.register.send_full_list(door)
         answer = await write
         assert isinstance(answer, Errored) and "keeps an order" in answer.reason
         assert not [line for line in node.record.lines if line[1] == "recv"]
@@ -443,7 +443,7 @@
             elif step[0] == "move":
                 house.move(step[1], step[2], told=step[3])
             elif step[0] == "bad":
-                house.nodes[step[1]].bad = [("v", f"e{step[2]}", step[3], step[3] + 20)]
+                house.nodes[step[1]].failing_ranges = [("v", f"e{step[2]}", step[3], step[3] + 20)]
             else:
                 house.nodes[step[1]].resets = 1
         await asyncio.sleep(0.02)
--- a/tests/fleet/runtime/test_council_processes.py
+++ b/tests/fleet/runtime/test_council_processes.py
@@ -19,7 +19,7 @@
 from support.gateway_site import GatewaySite, run
 
 from cherrygrade.fleet.runtime.voter_store import create_founding_store
-from cherrygrade.standin.receiver import judge
+from cherrygrade.standin.receiver import find_conflicting_orders
 
 pytestmark = pytest.mark.alone
 
@@ -117,7 +117,7 @@
             await processes.open()
             await processes.wait_for_all_tasks(0.0, 10.0)
             await scenario(processes)
-            assert not judge(processes.record)
+            assert not find_conflicting_orders(processes.record)
         finally:
             await processes.close()
 
--- a/tests/gateway/test_gateway_failures.py
+++ b/tests/gateway/test_gateway_failures.py
@@ -419,7 +419,7 @@
         gateway = await house.gateway(permits=permits)
         assert not gateway.register_watch._asked
         asked = [line for line in house.register.record.lines if line[1] == "told"]
-        for door in [*house.register.doors]:
+        for door in [*house.register.connections]:
             door.conn.abort("cut")
         for _ in range(300):
             await asyncio.sleep(0.01)
--- a/tests/golden/test_http_bytes.py
+++ b/tests/golden/test_http_bytes.py
@@ -81,13 +81,13 @@
         node = RawNode("s-0", 0)
         await node.open()
         site.nodes.append(node)
-        site.discovery.tell(node.entry())
+        site.discovery.publish(node.entry())
         await site.start()
         for case in cases:
             request, reply = case["request"].encode("latin-1"), case["reply"].encode("latin-1")
             found.append(await exchange(site, node, request, reply))
             await asyncio.sleep(0.03)
-        found.append({"discovery": site.discovery.asked[0].decode()})  # type: ignore[dict-item]
+        found.append({"discovery": site.discovery.watch_targets[0].decode()})  # type: ignore[dict-item]
 
     run_case(folder, scenario)
     return found
--- a/tests/http/test_http_forms.py
+++ b/tests/http/test_http_forms.py
@@ -160,7 +160,7 @@
         await write(client.writer, expected.wire, piece_bytes)
         answer = await client.read_answer()
         assert answer is not None and answer.status == 200
-        (request,) = node.came
+        (request,) = node.received
         assert (request.target, request.fields[b"x-call-id"], request.body) == (
             expected.target,
             CALL_ID,
@@ -210,7 +210,7 @@
         assert answer is not None and answer.status in (400, 404)
         # The connection closes, as the bytes after a refused request cannot be told apart from it.
         assert await client.read_answer() is None
-        assert not node.came and dispatcher.refused == 1
+        assert not node.received and dispatcher.refused == 1
 
     run_case(tmp_path, case)
 
@@ -228,7 +228,7 @@
         await write(client.writer, wire + b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n", piece_bytes)
         assert [(await client.read_answer()).body for _ in targets] == [b"of " + target for target in targets]
         assert (await client.read_answer()).status == 200
-        assert [message.target for message in node.came] == targets
+        assert [message.target for message in node.received] == targets
 
     run_case(tmp_path, case)
 
@@ -252,7 +252,7 @@
         assert (answer.status, answer.fields[b"connection"]) == (200, b"close")
         client.writer.write(client_request())  # RFC 9112, 9.6: nothing more is read after Connection: close
         assert await client.read_answer() is None
-        assert len(node.came) == 1 and dispatcher.refused == 0
+        assert len(node.received) == 1 and dispatcher.refused == 0
 
     run_case(tmp_path, case)
 
@@ -267,12 +267,12 @@
         assert (await client.read_answer()).status == 200
         node.script.append(None)
         client.writer.write(client_request())
-        await site.wait_until(lambda: len(node.came) == 2)
+        await site.wait_until(lambda: len(node.received) == 2)
         await write(
             node.peers[0], OK + b"Connection: not-close\r\nContent-Length: 4\r\n\r\nmine", piece_bytes
         )
         assert (await client.read_answer()).body == b"mine"
-        assert (await client.exchange(client_request())).status == 200 and node.made == 1
+        assert (await client.exchange(client_request())).status == 200 and node.connections_made == 1
 
     run_case(tmp_path, case)
 
@@ -291,11 +291,13 @@
                 client, client_request() + plain(b"Expect: 100-Continue \r\n" + framing, b""), piece_bytes
             )
             data = await receive_until(client, ending=CONTINUE)
-            assert data.startswith(b"HTTP/1.1 200") and data.count(b"HTTP/1.1") == 2 and len(node.came) == 1
+            assert (
+                data.startswith(b"HTTP/1.1 200") and data.count(b"HTTP/1.1") == 2 and len(node.received) == 1
+            )
             await send(client, b"z" if framing is not CHUNKED else b"1\r\nz\r\n0\r\n\r\n", piece_bytes)
             data = await receive_until(client, ending=b"of " + TARGET)
             assert data.startswith(b"HTTP/1.1 200") and data.count(b"HTTP/1.1") == 1
-            assert node.came[1].body == b"z"
+            assert node.received[1].body == b"z"
 
     run_case(tmp_path, case)
 
@@ -307,7 +309,7 @@
         client = await site.connect_client()
         data = plain(b"Expect: 100-continue\r\nContent-Length: 90000000\r\n", b"")
         assert (await client.exchange(data)).status == 413
-        assert not node.came
+        assert not node.received
 
     run_case(tmp_path, case)
 
@@ -414,7 +416,7 @@
         node.script.append(None)
         client = await site.connect_client()
         client.writer.write(client_request())
-        await site.wait_until(lambda: node.came)
+        await site.wait_until(lambda: node.received)
         await write(node.peers[0], expected.wire, piece_bytes)
         answer = await client.read_answer()
         assert answer is not None and answer.status == 200
@@ -426,6 +428,6 @@
         )
         # The next request uses the same connection, unless this response closed it.
         assert (await client.exchange(client_request())).status == 200
-        assert node.made == (2 if expected.closes else 1)
+        assert node.connections_made == (2 if expected.closes else 1)
 
     run_case(tmp_path, case)
--- a/tests/lab/test_lab_fleet.py
+++ b/tests/lab/test_lab_fleet.py
@@ -12,7 +12,7 @@
 from cherrygrade.fleet.membership.messages import GossipPush, MessageCodec, Probe, SchedulerMessage
 from cherrygrade.fleet.membership.table import Member, MemberInfo, MemberRecord, MemberState
 from cherrygrade.lab.audits import fleetaudit
-from cherrygrade.standin.ways import ENTRY, FLEET
+from cherrygrade.standin.emulated_network import ENTRY_HEADER, FLEET
 
 ROOT = Path(__file__).parents[2]
 FACTS = [MemberInfo(f"127.64.0.{n + 1}:7", f"z{n}", "1", "s", n) for n in range(4)]
@@ -41,7 +41,7 @@
 
     def say(self, at: float, source: int, to: int, page: object) -> None:
         data = self.book.write(page)  # type: ignore[arg-type]
-        self.entries.append((at, ENTRY.pack(at, source, to, False, len(data)) + data))
+        self.entries.append((at, ENTRY_HEADER.pack(at, source, to, False, len(data)) + data))
 
     def probe(self, at: float, source: int, to: int, digest: int, *news: MemberRecord) -> None:
         self.say(at, source, to, Probe(f"d{source}", 100 + source, 1, digest, [*news]))
--- a/tests/platform/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -112,7 +112,7 @@
             close(connect_and_send(site, client_request()))
             await site.wait_until(lambda count=abandoned: dispatcher.round_carrier.counts.abandoned == count)
         await wait_for_round_trip(site)
-        assert len(node.came) == 2 and not dispatcher.round_carrier.open_requests
+        assert len(node.received) == 2 and not dispatcher.round_carrier.open_requests
         await site.wait_until(lambda: not dispatcher.rounds.scheduler.requests)
 
     run_case(tmp_path, case)
@@ -142,7 +142,7 @@
         assert not any(pool.waiting for pool in dispatcher.round_carrier.pools.values())
         released.set()
         await wait_for_round_trip(site)
-        assert len(node.came) == 1
+        assert len(node.received) == 1
 
     run_case(tmp_path, case)
 
@@ -163,7 +163,7 @@
         finally:
             connection_pool.ConnectionPool.connected = connected
         await wait_for_round_trip(site)
-        assert len(node.came) == 1
+        assert len(node.received) == 1
 
     run_case(tmp_path, case)
 
@@ -193,7 +193,7 @@
         finally:
             connection_pool.ConnectionPool.finish = finish
         await wait_for_round_trip(site)
-        assert len(node.came) == 4
+        assert len(node.received) == 4
 
     run_case(tmp_path, case)
 
@@ -206,15 +206,15 @@
         dispatcher = await site.start()
         node.script.append(None)
         client = connect_and_send(site, b"".join(client_request(X_Budget_Ms="2000") for _ in range(300)))
-        await site.wait_until(lambda: node.came)
+        await site.wait_until(lambda: node.received)
         connection = next(iter(dispatcher.client_registry.connections))
         await site.wait_until(lambda: not connection._transport.is_reading())
         close(client)
-        assert len(node.came) == 1
-        node._answer(node.peers[0], node.came[0])
+        assert len(node.received) == 1
+        node._answer(node.peers[0], node.received[0])
         await site.wait_until(lambda: connection not in dispatcher.client_registry.connections)
         await wait_for_round_trip(site)
-        assert len(node.came) == 2 and not dispatcher.round_carrier.open_requests
+        assert len(node.received) == 2 and not dispatcher.round_carrier.open_requests
 
     run_case(tmp_path, case)
 
@@ -228,12 +228,12 @@
         dispatcher = await site.start()
         scheduler = dispatcher.rounds.scheduler
         clients = [connect_and_send(site, client_request(X_Budget_Ms="2000")) for _ in range(40)]
-        await site.wait_until(lambda: node.came and len(scheduler.requests) == 40)
+        await site.wait_until(lambda: node.received and len(scheduler.requests) == 40)
         decide, received_before = scheduler.decide, []
 
         def close_clients_and_decide(now, writer, **inputs):
             if inputs["outcomes"] and not received_before:
-                received_before.append(len(node.came))
+                received_before.append(len(node.received))
                 for client in clients:
                     client.close()
             decide(now, writer, **inputs)
@@ -241,7 +241,7 @@
         scheduler.decide = close_clients_and_decide
         await site.wait_until(lambda: received_before and not dispatcher.round_carrier.open_requests)
         await wait_for_round_trip(site)
-        assert len(node.came) == received_before[0] + 1
+        assert len(node.received) == received_before[0] + 1
 
     run_case(tmp_path, case)
 
@@ -258,7 +258,7 @@
         connection = next(iter(dispatcher.client_registry.connections))
         connection._writing_paused = False
         client.sendall(client_request(X_Budget_Ms="2000"))
-        await site.wait_until(lambda: dispatcher.round_carrier.open_requests and len(node.came) == 2)
+        await site.wait_until(lambda: dispatcher.round_carrier.open_requests and len(node.received) == 2)
         client.shutdown(socket.SHUT_WR)
         await site.wait_until(lambda: not dispatcher.round_carrier.open_requests)
         assert connection.unsent_bytes and dispatcher.round_carrier.counts.abandoned == 1
@@ -360,13 +360,13 @@
         if idle == "answered":
             assert (await client.exchange(client_request())).status == 200
         await site.wait_until(lambda: dispatcher.client_registry.connections)
-        received_before = len(node.came)
+        received_before = len(node.received)
         for connection in [*dispatcher.client_registry.connections]:
             connection.close_idle()
         client.writer.write(client_request())  # the dispatcher's close is on its way to the client
         assert await client.read_answer() is None
         await wait_for_round_trip(site)
-        assert len(node.came) == received_before + 1 and not dispatcher.round_carrier.open_requests
+        assert len(node.received) == received_before + 1 and not dispatcher.round_carrier.open_requests
 
     run_case(tmp_path, case)
 
@@ -470,7 +470,7 @@
         for data, orderly in await asyncio.gather(*map(read_to_end, clients)):
             assert statuses(data) == [503] and orderly
         await asyncio.wait_for(dispatcher.done, 1.0)
-        assert len(node.came) == 1 and not dispatcher.round_carrier.open_requests
+        assert len(node.received) == 1 and not dispatcher.round_carrier.open_requests
 
     run_case(tmp_path, case)
 
@@ -482,7 +482,7 @@
         dispatcher = await site.start()
         reader = connect_and_send(site, client_request() + client_request())
         writer = connect_and_send(site, client_request(X_Call_Class="once", **PUT_ONCE))
-        await site.wait_until(lambda: len(node.came) == 2)
+        await site.wait_until(lambda: len(node.received) == 2)
         os.kill(os.getpid(), signal.SIGHUP)
         dispatcher.leave()
         dispatcher.leave()
@@ -491,7 +491,7 @@
             statuses(data) for data, _ in await asyncio.gather(read_to_end(reader), read_to_end(writer))
         ] == [[503], [502]]
         await asyncio.wait_for(dispatcher.done, 1.0)
-        assert not dispatcher.round_carrier.open_requests and len(node.came) == 2
+        assert not dispatcher.round_carrier.open_requests and len(node.received) == 2
 
     run_case(tmp_path, case)
 
@@ -502,13 +502,13 @@
         node.script.append(None)
         dispatcher = await site.start()
         client = connect_and_send(site, b"".join(client_request(X_Budget_Ms="2000") for _ in range(300)))
-        await site.wait_until(lambda: node.came)
+        await site.wait_until(lambda: node.received)
         connection = next(iter(dispatcher.client_registry.connections))
         await site.wait_until(lambda: not connection._transport.is_reading())
         dispatcher.leave()
         dispatcher.leave()
         data, orderly = await read_to_end(client)
-        assert statuses(data) == [503] and orderly and len(node.came) == 1
+        assert statuses(data) == [503] and orderly and len(node.received) == 1
         await asyncio.wait_for(dispatcher.done, 1.0)
 
     run_case(tmp_path, case)
@@ -551,7 +551,7 @@
         node.script.append(None)
         dispatcher = await site.start()
         client, outcome = connect_and_send(site, client_request()), dispatcher.rounds.record_outcome
-        await site.wait_until(lambda: node.came)
+        await site.wait_until(lambda: node.received)
 
         def report_outcome_and_end(*args):
             outcome(*args)
@@ -559,7 +559,7 @@
             dispatcher.leave()
 
         dispatcher.rounds.record_outcome = report_outcome_and_end
-        node._answer(node.peers[0], node.came[0])
+        node._answer(node.peers[0], node.received[0])
         data, orderly = await read_to_end(client)
         assert statuses(data) == [200] and orderly
         await asyncio.wait_for(dispatcher.done, 1.0)
@@ -599,12 +599,12 @@
         data, _ = await read_to_end(client)
         assert statuses(data) == [503]
         assert await asyncio.wait_for(dispatcher.done, 2.0) == EXIT_CLEAN
-        watches_before, new_discovery = len(site.discovery.asked), type(site.discovery)()
+        watches_before, new_discovery = len(site.discovery.watch_targets), type(site.discovery)()
         await new_discovery.open()
         site.write_config(discovery=new_discovery.address)
         dispatcher.reload()
         await asyncio.sleep(0.05)
-        assert not new_discovery.made and len(site.discovery.asked) == watches_before
+        assert not new_discovery.connections_made and len(site.discovery.watch_targets) == watches_before
         new_discovery.close()
 
     run_case(tmp_path, case)
@@ -624,13 +624,13 @@
         pending_answer = asyncio.create_task(
             (await site.connect_client()).exchange(client_request(X_Call_Class="once", **PUT_ONCE))
         )
-        await site.wait_until(lambda: node.came)
+        await site.wait_until(lambda: node.received)
         peer = node.peers[0]
         for byte in head + b"made for it":
             peer.write(bytes([byte]))
             await asyncio.sleep(0.001)
         if drains:
-            site.discovery.tell(node.entry("terminating"))
+            site.discovery.publish(node.entry("terminating"))
             await site.wait_until(
                 lambda: next(iter(dispatcher.endpoint_list.addresses)).state is NodeState.DRAINING
             )
@@ -665,7 +665,7 @@
         pending_answer = asyncio.create_task(
             (await site.connect_client()).exchange(client_request(X_Call_Class="once", **PUT_ONCE))
         )
-        await site.wait_until(lambda: node.came)
+        await site.wait_until(lambda: node.received)
         node.peers[0].write(partial_response)
         node.peers[0].transport.close()
         assert (await pending_answer).status == 502 and dispatcher.rounds.scheduler.outcomes == [
@@ -684,7 +684,7 @@
         pending_answer = asyncio.create_task(
             client.exchange(client_request(X_Call_Class="once", X_Budget_Ms="200", **PUT_ONCE))
         )
-        await site.wait_until(lambda: node.came)
+        await site.wait_until(lambda: node.received)
         peer = node.peers[0]
         peer.write(OK + b"\r\nmade for it")
         assert (await pending_answer).status == 502 and dispatcher.rounds.scheduler.outcomes == [
@@ -712,7 +712,7 @@
         await site.wait_until(lambda: pool.waiting)
         node.peers[0].write(encode_response(200, b"somebody else's"))
         assert (await client.read_answer()).body == b"of " + TARGET
-        assert node.made == 2 and len(node.came) == 2
+        assert node.connections_made == 2 and len(node.received) == 2
 
     run_case(tmp_path, case)
 
@@ -729,7 +729,7 @@
         pending_answer = asyncio.create_task(
             client.exchange(client_request(method="PUT", body=b"x", X_Budget_Ms="1500"))
         )
-        await site.wait_until(lambda: node.came)
+        await site.wait_until(lambda: node.received)
         sent_ms = dispatcher.rounds.clock()
         released = delay_node_connects(site)
         node.peers[0].cut()
@@ -738,7 +738,7 @@
         await asyncio.sleep(0.45)
         released.set()  # the retry was decided within the window, and could be sent only after its end
         assert (await pending_answer).status == 503  # nodes drop repeats, so the client may retry
-        assert len(node.came) == 1 and dispatcher.rounds.scheduler.outcomes == [
+        assert len(node.received) == 1 and dispatcher.rounds.scheduler.outcomes == [
             Outcome.RESET,
             Outcome.NOT_SENT,
         ]
@@ -756,7 +756,7 @@
         known_node = next(iter(dispatcher.endpoint_list.addresses))
         known_node.state = NodeState.DRAINING  # the pool has not been notified yet
         released.set()
-        assert (await pending_answer).status == 503 and not node.came
+        assert (await pending_answer).status == 503 and not node.received
 
     run_case(tmp_path, case)
 
@@ -805,7 +805,7 @@
 
     def pause_reading_first(peer, transport):
         node_connected(peer, transport)
-        if isinstance(peer.owner, web.WebNode) and peer.owner.made == 1:
+        if isinstance(peer.owner, web.WebNode) and peer.owner.connections_made == 1:
             transport.pause_reading()
 
     monkeypatch.setattr(node_connection.NodeConnection, "connection_made", connect_with_small_buffer)
@@ -829,7 +829,7 @@
         await site.wait_until(lambda: not dispatcher.round_carrier.open_requests)
         node.peers[0].transport.resume_reading()
         await site.wait_until(lambda: not node.peers)
-        assert not node.came
+        assert not node.received
 
     run_case(tmp_path, case)
 
@@ -855,7 +855,10 @@
         assert not connection.is_fully_sent
         node.peers[0].write(encode_response(503, fields=b"X-Rejected: 1\r\n"))
         assert (await pending_answer).status == 200  # a rejected request did not run, so it is retried
-        assert dispatcher.rounds.scheduler.outcomes == [Outcome.REJECTED, Outcome.OK] and node.made == 2
+        assert (
+            dispatcher.rounds.scheduler.outcomes == [Outcome.REJECTED, Outcome.OK]
+            and node.connections_made == 2
+        )
 
     run_case(tmp_path, case)
 
@@ -874,7 +877,7 @@
         pool.close_idle(dispatcher.rounds.clock() + 1e6)
         assert not pool.idle and not pool.connections
         assert (await client.exchange(client_request())).body == b"of " + TARGET
-        assert node.made == 2 and dispatcher.rounds.scheduler.outcomes == [Outcome.OK, Outcome.OK]
+        assert node.connections_made == 2 and dispatcher.rounds.scheduler.outcomes == [Outcome.OK, Outcome.OK]
         assert dispatcher.socket_budget.used == 1
 
     run_case(tmp_path, case)
--- a/tests/platform/test_deploy.py
+++ b/tests/platform/test_deploy.py
@@ -84,7 +84,7 @@
     node, discovery, report = WebNode("s-0", 0), WebDiscovery(), ProcessReport()
     await node.open()
     await discovery.open()
-    discovery.tell(node.entry())
+    discovery.publish(node.entry())
     address = reserve(1)[0]
     port = int(address.rpartition(":")[2])
     config = {"name": "n0", "listen": address, "discovery": discovery.address, "seed": "8c"}
@@ -175,7 +175,7 @@
     discovery.down = True
     await node.open()
     await discovery.open()
-    discovery.tell(node.entry())
+    discovery.publish(node.entry())
     port_holder = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
     port = port_holder.sockets[0].getsockname()[1]
     port_holder.close()
@@ -206,7 +206,7 @@
             rejection is not None
             and rejection.status == 503
             and rejection.fields[b"retry-after"]
-            and not node.came
+            and not node.received
         )
         client.writer.close()
         return real_s, sum(map(int, times)) / os.sysconf("SC_CLK_TCK"), answers
--- a/tests/platform/test_descriptors.py
+++ b/tests/platform/test_descriptors.py
@@ -20,7 +20,7 @@
         await process.start()
         try:
             process.discovery.down = True
-            process.discovery.hush()
+            process.discovery.silence_watches()
             max_descriptors = 0
             for number in range(3 * SOCKETS):
                 try:
@@ -44,17 +44,20 @@
             process.discovery.down = False
 
             async def has_new_watch() -> bool:
-                return len(process.discovery.asked) > watches_before and len(process.discovery.peers) == 1
+                return (
+                    len(process.discovery.watch_targets) > watches_before
+                    and len(process.discovery.peers) == 1
+                )
 
-            watches_before = len(process.discovery.asked)
+            watches_before = len(process.discovery.watch_targets)
             await process.wait_until(has_new_watch, 4.0)
-            process.discovery.tell(process.node.entry("terminating"))
+            process.discovery.publish(process.node.entry("terminating"))
 
             async def is_drained() -> bool:
                 return await process.status_on_new_connection() == 503
 
             await process.wait_until(is_drained, 6.0)
-            assert not process.discovery.late(process.node)
+            assert not process.discovery.late_requests_s(process.node)
             log = process.read_log()
             assert "Traceback" not in log and "Too many open files" not in log
             assert "out of system resource" not in log
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -50,7 +50,7 @@
         assert (read.status, read.body) == (200, b"of " + TARGET + b"?v=1")
         write = await client.exchange(client_request(method="PUT", body=b"\x00\xff" * 30000))
         assert write.status == 200
-        first, second = node.came
+        first, second = node.received
         assert (first.method, first.target) == (b"GET", TARGET + b"?v=1")
         assert first.fields[b"x-call-id"] == b"00000000000000ab"
         assert 900 < int(first.fields[b"x-budget-ms"]) <= 1000
@@ -74,7 +74,7 @@
                 client_request(method="PUT", body=b"x", X_Again="1", **end_to_end_args, **hop_args)
             )
         ).status == 200
-        fields = node.came[0].fields
+        fields = node.received[0].fields
         assert (fields[b"idempotency-key"], fields[b"traceparent"]) == (b"01f1e0746ca2b6ec", b"00-ab-cd-01")
         assert not {name.lower().encode() for name in hop_by_hop} & set(fields) and b"x-again" not in fields
         assert fields[b"content-length"] == b"1" and b"," not in fields[b"x-budget-ms"]
@@ -117,7 +117,7 @@
         answer = await (await site.connect_client()).exchange(data)
         assert answer is None or 400 <= answer.status < 500
         assert (await other.exchange(client_request())).status == 200
-        assert len(node.came) == 1
+        assert len(node.received) == 1
 
     run_case(tmp_path, case)
 
@@ -129,9 +129,9 @@
         one, two = await site.connect_client(), await site.connect_client()
         data = client_request()
         one.writer.write(data)
-        await site.wait_until(lambda: node.came)
+        await site.wait_until(lambda: node.received)
         assert (await two.exchange(data)).status == 409
-        assert (await one.read_answer()).status == 200 and len(node.came) == 1
+        assert (await one.read_answer()).status == 200 and len(node.received) == 1
 
     run_case(tmp_path, case)
 
@@ -181,7 +181,7 @@
         client = await site.connect_client()
         assert (await client.exchange(client_request())).body == b"mine"
         assert (await client.exchange(client_request())).body == b"of " + TARGET
-        assert len(node.came) == 2  # the second request was not sent on the faulty connection first
+        assert len(node.received) == 2  # the second request was not sent on the faulty connection first
 
     run_case(tmp_path, case)
 
@@ -202,7 +202,7 @@
 
         site.dispatcher.rounds.scheduler.decide = decide_after_late_bytes
         assert (await client.exchange(client_request())).body == b"of " + TARGET
-        assert len(node.came) == 2
+        assert len(node.received) == 2
 
     run_case(tmp_path, case)
 
@@ -236,7 +236,7 @@
         answer = await (await site.connect_client()).exchange(client_request(**once))
         assert dispatcher.rounds.scheduler.outcomes[0] is outcome
         # A request that may have run and must not run twice is answered with an error and not sent again.
-        assert (answer.status, len(node.came)) == ((200, 2) if outcome is Outcome.REJECTED else (502, 1))
+        assert (answer.status, len(node.received)) == ((200, 2) if outcome is Outcome.REJECTED else (502, 1))
 
     run_case(tmp_path, case)
 
@@ -308,8 +308,10 @@
         await site.wait_until(lambda: site.discovery.peers)
         delay_connects(site, [1.2])
         assert (await client.exchange(client_request(X_Budget_Ms="1100"))).status == 200
-        assert dispatcher.rounds.scheduler.outcomes == [Outcome.OK] and node.made == 1
-        await site.wait_until(lambda: node.made == 2)  # the slow connection becomes idle for later attempts
+        assert dispatcher.rounds.scheduler.outcomes == [Outcome.OK] and node.connections_made == 1
+        await site.wait_until(
+            lambda: node.connections_made == 2
+        )  # the slow connection becomes idle for later attempts
         (pool,) = dispatcher.round_carrier.pools.values()
         assert (len(pool.idle), pool.connecting, dispatcher.socket_budget.used) == (2, 0, 2)
 
@@ -326,7 +328,7 @@
         (node_queue,) = dispatcher.rounds.scheduler.node_queues.values()
         node_queue.limit.window = 6.0
         calls = [asyncio.create_task(clients[0].exchange(client_request(X_Budget_Ms="5000")))]
-        await site.wait_until(lambda: node.came)
+        await site.wait_until(lambda: node.received)
         delay_connects(site, [9.0, 9.0])
         # One of the two requests is sent on the first connection once that is idle, the other waits longer.
         node.work_ms = 1100.0
@@ -354,7 +356,7 @@
         scheduler = dispatcher.rounds.scheduler
         await site.wait_until(lambda: getattr(scheduler, "outcomes", []))
         assert scheduler.outcomes[0] is Outcome.CONNECT_FAILED and time.monotonic() - started_s >= 0.25
-        assert (await answering).status == 503 and not node.made
+        assert (await answering).status == 503 and not node.connections_made
         await site.wait_until(lambda: not dispatcher.socket_budget.used)
         (pool,) = dispatcher.round_carrier.pools.values()
         assert not (pool.connections or pool.waiting or pool.connecting)
@@ -370,7 +372,10 @@
         dispatcher = await site.start(OutcomeRecorder)
         one, two = await site.connect_client(), await site.connect_client()
         exchanges = [asyncio.create_task(client.exchange(client_request())) for client in (one, two)]
-        assert [answer.status for answer in await asyncio.gather(*exchanges)] == [200, 200] and node.made == 2
+        assert [answer.status for answer in await asyncio.gather(*exchanges)] == [
+            200,
+            200,
+        ] and node.connections_made == 2
         pool = next(iter(dispatcher.round_carrier.pools.values()))
         await asyncio.sleep(0.01)
         older, newer = pool.idle
@@ -380,7 +385,7 @@
         assert pool._reusable_connection(now) is older
         older.idle_since_ms = now
         assert pool._reusable_connection(now) is None  # a timer was started that tries again
-        assert (await one.exchange(client_request())).status == 200 and node.made == 2
+        assert (await one.exchange(client_request())).status == 200 and node.connections_made == 2
 
     run_case(tmp_path, case)
 
@@ -459,7 +464,7 @@
             + client_request(method="PUT", body=LONG_BODY)
         )
         assert [(await one.read_answer()).status for _ in range(3)] == [200] * 3
-        assert [message.body for message in node.came] == [
+        assert [message.body for message in node.received] == [
             b"",
             LONG_BODY,
             LONG_BODY,
@@ -467,10 +472,12 @@
         # The budget fits exactly one long request, including its copy that is sent to the node.
         budget.max_bytes = 2 * (len(LONG_BODY) - MAX_BODY_BYTES)
         one.writer.write(client_request(method="PUT", body=LONG_BODY))
-        await site.wait_until(lambda: len(node.came) == 4)
+        await site.wait_until(lambda: len(node.received) == 4)
         refused = await two.exchange(client_request(method="PUT", body=LONG_BODY))
         assert (refused.status, refused.fields[b"connection"]) == (503, b"close")
-        assert (await one.read_answer()).status == 200 and len(node.came) == 4 and budget.reserved_bytes == 0
+        assert (
+            (await one.read_answer()).status == 200 and len(node.received) == 4 and budget.reserved_bytes == 0
+        )
         assert (
             await one.exchange(client_request(method="PUT", body=LONG_BODY))
         ).status == 200 and budget.reserved_bytes == 0
@@ -495,7 +502,9 @@
         head = client_request(method="PUT", Content_Length=str(len(LONG_BODY)))
         client.writer.write(head + (LONG_BODY + client_request(method="PUT", body=LONG_BODY))[:written_bytes])
         await site.wait_until(
-            lambda: dispatcher.request_budget.reserved_bytes and (written_bytes < len(LONG_BODY) or node.came)
+            lambda: (
+                dispatcher.request_budget.reserved_bytes and (written_bytes < len(LONG_BODY) or node.received)
+            )
         )
         if reset:
             client.writer.transport.abort()
@@ -520,7 +529,7 @@
         assert dispatcher.request_budget.reserved_bytes
         client.writer.close()
         await site.wait_until(lambda: not dispatcher.client_registry.connections)
-        assert dispatcher.request_budget.reserved_bytes == 0 and not node.came
+        assert dispatcher.request_budget.reserved_bytes == 0 and not node.received
 
     run_case(tmp_path, case)
 
@@ -532,7 +541,7 @@
         for fields in ({"Content_Length": str(MAX_LONG_BODY_BYTES + 1)}, {"Content_Length": "61000000"}):
             answer = await (await site.connect_client()).exchange(client_request(method="PUT", **fields))
             assert answer.status == 413
-        assert not node.came and dispatcher.request_budget.reserved_bytes == 0
+        assert not node.received and dispatcher.request_budget.reserved_bytes == 0
 
     run_case(tmp_path, case)
 
@@ -577,7 +586,7 @@
         dispatcher = await site.start()
         client = await site.connect_client()
         client.writer.write(client_request())
-        await site.wait_until(lambda: node.came)
+        await site.wait_until(lambda: node.received)
         client.writer.close()
         await site.wait_until(lambda: not dispatcher.round_carrier.open_requests)
         await site.wait_until(lambda: not dispatcher.rounds.scheduler.requests)
@@ -717,7 +726,7 @@
 
         monkeypatch.setattr(connection_pool.ConnectionPool, "connected", stall_and_connect)
         assert (await client.exchange(client_request(X_Budget_Ms="300"))).status in (502, 503)
-        assert not node.came and not dispatcher.round_carrier.open_requests
+        assert not node.received and not dispatcher.round_carrier.open_requests
 
     run_case(tmp_path, case)
 
@@ -730,7 +739,7 @@
         dispatcher = await site.start(settings=long_deadline_settings(4.0))
         client, budgets = await site.connect_client(), BudgetRecorder(monkeypatch)
         client.writer.write(client_request(X_Budget_Ms="4000"))
-        await site.wait_until(lambda: node.came)
+        await site.wait_until(lambda: node.received)
         second = client_request(X_Budget_Ms="4000")
         client.writer.write(second[:50])
         await asyncio.sleep(0.1)
@@ -773,10 +782,10 @@
         client = await site.connect_client()
         client.writer.write(client_request())
         await site.wait_until(lambda: any(pool.waiting for pool in dispatcher.round_carrier.pools.values()))
-        site.discovery.tell(node.entry("terminating"))
+        site.discovery.publish(node.entry("terminating"))
         await site.wait_until(lambda: Outcome.NOT_SENT in dispatcher.rounds.scheduler.outcomes)
         dispatcher.socket_budget.max_sockets = 9
-        assert (await client.read_answer()).status == 503 and not node.came
+        assert (await client.read_answer()).status == 503 and not node.received
 
     run_case(tmp_path, case)
 
@@ -792,19 +801,19 @@
         node.address = "127.0.0.1:0"
         await node.open()
         started_unix_ms = int(time.time() * 1000.0) - 60000
-        site.discovery.tell(node.entry(born_ms=started_unix_ms))
+        site.discovery.publish(node.entry(born_ms=started_unix_ms))
         await site.wait_until(lambda: known.started_ms)
         assert abs(dispatcher.rounds.clock() - known.started_ms - 60000.0) < 2000.0
         await site.wait_until(
             lambda: not dispatcher.rounds.scheduler.node_queues[known].health.consecutive_failures
         )
         assert (await client.exchange(client_request())).status == 200
-        site.discovery.tell(node.entry("terminated"))
+        site.discovery.publish(node.entry("terminated"))
         await site.wait_until(
             lambda: not dispatcher.endpoint_list.addresses and not dispatcher.round_carrier.pools
         )
         assert not dispatcher.nodes.by_address
-        site.discovery.tell(node.entry())
+        site.discovery.publish(node.entry())
         await site.wait_until(lambda: dispatcher.endpoint_list.addresses)
         assert next(iter(dispatcher.endpoint_list.addresses)) is not known
         assert (await client.exchange(client_request())).status == 200
@@ -819,14 +828,14 @@
     async def case(site: PlatformSite) -> None:
         await site.add_node()
         dispatcher = await site.start()
-        await site.wait_until(lambda: site.discovery.asked)
+        await site.wait_until(lambda: site.discovery.watch_targets)
         await site.wait_until(lambda: site.discovery.peers)
         if line is None:
             site.discovery.peers[0].cut()
         else:
             site.discovery.raw(site.discovery.peers[0], line)
-        await site.wait_until(lambda: len(site.discovery.asked) > 1)
-        assert site.discovery.asked[1].endswith(b"since=2")
+        await site.wait_until(lambda: len(site.discovery.watch_targets) > 1)
+        assert site.discovery.watch_targets[1].endswith(b"since=2")
         site.discovery.write(site.discovery.peers[-1], 1, True, [])  # older than the known list
         await asyncio.sleep(0.05)
         assert [node.state for node in dispatcher.endpoint_list.addresses] == [NodeState.LIVE]
@@ -851,7 +860,7 @@
         await site.wait_until(
             lambda: next(iter(dispatcher.endpoint_list.addresses)).state is NodeState.DRAINING
         )
-        assert len(site.discovery.asked) == 1 and dispatcher.endpoint_list.version == 8
+        assert len(site.discovery.watch_targets) == 1 and dispatcher.endpoint_list.version == 8
 
     run_case(tmp_path, case)
 
@@ -860,15 +869,15 @@
     async def case(site: PlatformSite) -> None:
         node = await site.add_node()
         dispatcher = await site.start()
-        site.discovery.hush()
-        site.discovery.tell(node.entry("terminating"))
+        site.discovery.silence_watches()
+        site.discovery.publish(node.entry("terminating"))
         loop = asyncio.get_running_loop()
         await site.wait_until(
             lambda: next(iter(dispatcher.endpoint_list.addresses)).state is NodeState.DRAINING, 6000.0
         )
-        assert site.discovery.told_at[node.host] - loop.time() > 2.0
-        assert len(site.discovery.asked) == 2 and b"since" not in site.discovery.asked[1]
-        assert not site.discovery.late(node)
+        assert site.discovery.effective_at[node.host] - loop.time() > 2.0
+        assert len(site.discovery.watch_targets) == 2 and b"since" not in site.discovery.watch_targets[1]
+        assert not site.discovery.late_requests_s(node)
         await site.wait_until(lambda: len(site.discovery.peers) == 1)  # the silent watch was closed
 
     run_case(tmp_path, case)
@@ -879,16 +888,16 @@
     monkeypatch.setattr(watch_liveness, "FIRST_LIST_LIMIT_MS", 100.0)
 
     async def case(site: PlatformSite) -> None:
-        site.discovery = WebDiscovery(breath_s=0.1)
+        site.discovery = WebDiscovery(keepalive_interval_s=0.1)
         node = await site.add_node()
         dispatcher = await site.start()
         site.discovery.down = True
-        site.discovery.hush()
-        await site.wait_until(lambda: len(site.discovery.asked) > 5)
+        site.discovery.silence_watches()
+        await site.wait_until(lambda: len(site.discovery.watch_targets) > 5)
         assert len(site.discovery.peers) <= 2
         assert (await (await site.connect_client()).exchange(client_request())).status == 200
         site.discovery.down = False
-        site.discovery.tell(node.entry("terminating"))
+        site.discovery.publish(node.entry("terminating"))
         await site.wait_until(
             lambda: next(iter(dispatcher.endpoint_list.addresses)).state is NodeState.DRAINING, 250.0
         )
@@ -900,11 +909,11 @@
     monkeypatch.setattr(watch_liveness, "SILENCE_LIMIT_MS", 300.0)
 
     async def case(site: PlatformSite) -> None:
-        site.discovery = WebDiscovery(breath_s=0.1)
+        site.discovery = WebDiscovery(keepalive_interval_s=0.1)
         await site.add_node()
         await site.start()
         site.discovery.raw(site.discovery.peers[0], b'{"seq":9,"whole":true,"hosts":[')
-        await site.wait_until(lambda: len(site.discovery.asked) == 2, 800.0)
+        await site.wait_until(lambda: len(site.discovery.watch_targets) == 2, 800.0)
 
     run_case(tmp_path, case)
 
@@ -915,7 +924,7 @@
         old, new = await site.add_node(shard=0), await site.add_node(shard=0)
         site.write_config()
         known = json.loads((tmp_path / "config.json").read_text())["known"]
-        site.discovery.tell(old.entry("terminating"))
+        site.discovery.publish(old.entry("terminating"))
         site.discovery.down = True
         dispatcher = await site.start_before_endpoints(known=known)
         client = await site.connect_client()
@@ -927,7 +936,7 @@
         assert (await client.exchange(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")).status == 200
         assert (await early).status == 503  # a request from before the process was ready is answered in time
         assert (await client.exchange(client_request())).status == 200
-        assert not old.came and len(new.came) == 1 and not site.discovery.late(old)
+        assert not old.received and len(new.received) == 1 and not site.discovery.late_requests_s(old)
 
     run_case(tmp_path, case)
 
@@ -948,12 +957,12 @@
         await site.wait_until(lambda: dispatcher.ready)
         assert (await client.exchange(ready)).status == 200 and not dispatcher.endpoints_known
         answer = await client.exchange(client_request())
-        assert answer.status == 503 and answer.fields[b"retry-after"] and not node.came
-        site.discovery.tell(node.entry("terminating"))
+        assert answer.status == 503 and answer.fields[b"retry-after"] and not node.received
+        site.discovery.publish(node.entry("terminating"))
         site.discovery.down = False
         await site.wait_until(lambda: dispatcher.endpoints_known)
-        assert (await other.exchange(client_request())).status == 503 and not node.came
-        site.discovery.tell(node.entry())
+        assert (await other.exchange(client_request())).status == 503 and not node.received
+        site.discovery.publish(node.entry())
         await site.wait_until(lambda: next(iter(dispatcher.endpoint_list.addresses)).state is NodeState.LIVE)
         assert (await other.exchange(client_request())).status == 200
 
@@ -979,7 +988,7 @@
     async def case(site: PlatformSite) -> None:
         node = await site.add_node()
         dispatcher = await site.start()
-        await site.wait_until(lambda: site.discovery.asked)
+        await site.wait_until(lambda: site.discovery.watch_targets)
         (tmp_path / "config.json").write_text("{")
         os.kill(os.getpid(), signal.SIGHUP)
         await site.wait_until(lambda: any(event == "configuration reload refused" for event, _ in site.logs))
@@ -989,9 +998,9 @@
         await site.discovery.open()
         site.write_config()
         os.kill(os.getpid(), signal.SIGHUP)
-        await site.wait_until(lambda: site.discovery.asked and not old.peers)
+        await site.wait_until(lambda: site.discovery.watch_targets and not old.peers)
         old.close()
-        site.discovery.tell(node.entry("terminating"))
+        site.discovery.publish(node.entry("terminating"))
         await site.wait_until(
             lambda: next(iter(dispatcher.endpoint_list.addresses)).state is NodeState.DRAINING
         )
@@ -1020,7 +1029,7 @@
         node.work_ms = 10_000.0
         busy.writer.write(client_request())
         await site.wait_until(lambda: dispatcher.closing)
-        node._answer(node.peers[-1], node.came[-1])
+        node._answer(node.peers[-1], node.received[-1])
         answer = await busy.read_answer()
         assert (answer.status, answer.fields[b"connection"]) == (200, b"close")
         assert await idle.read_answer() is None
--- a/tests/support/configured_fleet.py
+++ b/tests/support/configured_fleet.py
@@ -26,7 +26,7 @@
 from cherrygrade.fleet.runtime.operator_commands import new_request_id
 from cherrygrade.fleet.runtime.status_query import query_status
 from cherrygrade.fleet.runtime.voter_store import create_founding_store
-from cherrygrade.standin.ways import BOUND, TOLD, Ways, host, number_of
+from cherrygrade.standin.emulated_network import ANNOUNCED_NET, BOUND_NET, EmulatedNetwork, host, number_of
 
 VOTERS = ["d0", "d1", "d2"]
 FLEET = "configured"
@@ -75,7 +75,7 @@
     return found
 
 
-class FaultyNetwork(Ways):
+class FaultyNetwork(EmulatedNetwork):
     """The network between the dispatchers, which are named by their numbers.
 
     Attributes:
@@ -145,14 +145,14 @@
 
     async def start(self, number: int) -> None:
         """Start a dispatcher, and wait until it listens."""
-        contacts = [f"{host(TOLD, at)}:{self.port}" for at in (0, 1)]
+        contacts = [f"{host(ANNOUNCED_NET, at)}:{self.port}" for at in (0, 1)]
         text = SITE.format(
             n=number,
             count=self.count,
             fleet=FLEET,
             register=self.register,
-            place=f"{host(TOLD, number)}:{self.port}",
-            bind=f"{host(BOUND, number)}:{self.bound}",
+            place=f"{host(ANNOUNCED_NET, number)}:{self.port}",
+            bind=f"{host(BOUND_NET, number)}:{self.bound}",
             contacts=json.dumps(contacts),
             voters=json.dumps(VOTERS),
             folder=self.folder / f"d{number}",
@@ -193,7 +193,7 @@
 
     def admin_address(self, number: int) -> str:
         """Return the address at which operators reach a dispatcher; it bypasses the test's network."""
-        return f"{host(BOUND, number)}:{self.bound}"
+        return f"{host(BOUND_NET, number)}:{self.bound}"
 
     async def put(self, text: str, via: int = 0, based_on: int = -1, within_s: float = 10.0) -> int:
         """Put a version, and return its number.
--- a/tests/support/gateway_site.py
+++ b/tests/support/gateway_site.py
@@ -98,7 +98,7 @@
         source = next(node for node in self.nodes if place in node.versions)
         del source.versions[place]
         self.nodes[to].bytes[place] = source.bytes.pop(place, bytearray())
-        self.nodes[to].versions[place] = self.register.move(name, extent, to, told=told)
+        self.nodes[to].versions[place] = self.register.move(name, extent, to, notify=told)
 
     def list(self, node: Node, standing: str) -> None:
         self.register.set(node.address, "", -1, standing, node.starts, 0.0)
--- a/tests/support/platform_process.py
+++ b/tests/support/platform_process.py
@@ -25,14 +25,14 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.discovery, self.node = WebDiscovery(breath_s=0.5), WebNode("s-0", 0)
+        self.discovery, self.node = WebDiscovery(keepalive_interval_s=0.5), WebNode("s-0", 0)
         self.clients: list[RawClient] = []
 
     async def start(self) -> None:
         """Start the process and wait until it is ready."""
         await self.discovery.open()
         await self.node.open()
-        self.discovery.tell(self.node.entry())
+        self.discovery.publish(self.node.entry())
         self.address = reserve(1)[0]
         self.port = int(self.address.rpartition(":")[2])
         config_path = self.folder / "config.json"
--- a/tests/support/platform_site.py
+++ b/tests/support/platform_site.py
@@ -108,7 +108,7 @@
         node = WebNode(f"s-{len(self.nodes)}", **build)
         await node.open()
         self.nodes.append(node)
-        self.discovery.tell(node.entry())
+        self.discovery.publish(node.entry())
         return node
 
     def write_config(self, **other: Any) -> None:
