--- a/cherrygrade/fleet/runtime/framed_connection.py
+++ b/cherrygrade/fleet/runtime/framed_connection.py
@@ -74,11 +74,11 @@
     def connected(self, conn: Connection) -> None:
         """Called by the connection once it is open; subclasses may send their first messages here."""
 
-    def room(self, conn: Connection, message: Any, length: int) -> None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> None:
         """Called by the connection for memory for a frame's body: `Members` frames have none."""
         return
 
-    def frame(self, conn: Connection, message: Any, body: object) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: object) -> None:
         """Called by the connection with each frame."""
         if isinstance(message, Members):
             self.frame_received(message)
--- a/tests/fleet/runtime/test_config_in_force.py
+++ b/tests/fleet/runtime/test_config_in_force.py
@@ -139,10 +139,10 @@
             queue.tightest_objective_ms for queue in [*scheduler.node_queues.values(), scheduler.unplaced]
         ],
         "rooms": (
-            dict(rooms._works),
-            {name: (share[0].weight, share[1]) for name, share in rooms._shares.items()},
+            dict(rooms._workloads),
+            {name: (share[0].weight, share[1]) for name, share in rooms._volumes.items()},
         ),
-        "store": (rooms.store.in_share, rooms.store.beyond),
+        "store": (rooms.budget.value_within_quota, rooms.budget.value_beyond_quota),
         "record": gateway.agent.membership.fleet_size,
         "stage": gateway._in_force[2],
     }
@@ -202,7 +202,7 @@
             monkeypatch.setattr(settings_in_force, "max", lambda *_, **__: 1 / 0, raising=False)
         else:
             text = "plans: gold: weight: 4"
-            monkeypatch.setattr("cherrygrade.peers.rooms.Share", lambda *_: 1 / 0)
+            monkeypatch.setattr("cherrygrade.peers.memory_admission.VolumeUsage", lambda *_: 1 / 0)
         with pytest.raises(ZeroDivisionError):
             await gateway.in_force(version(1, f"{text}\nvolumes: x: plan: plans.gold"), 3)
         assert applied_settings(gateway) == before
