--- a/cherrygrade/standin/__init__.py
+++ b/cherrygrade/standin/__init__.py
@@ -1,1 +1,4 @@
-"""Stand-ins for what a dispatcher meets: storage nodes and the register. They hold bytes and no rules."""
+"""Stand-ins of the services around dispatchers: storage nodes, register, discovery, lease receiver, network.
+
+They store bytes, answer and show faults on command; they contain none of the gateway's rules.
+"""
--- a/cherrygrade/standin/receiver.py
+++ b/cherrygrade/standin/receiver.py
@@ -1,6 +1,8 @@
-"""A receiver of orders: carries out what has no lower number than it has seen, and records each as it comes.
+"""Stand-in of a receiver of orders from lease holders, and checks of its record.
 
-The record is its memory over a restart too: an order is on disk before it is answered.
+The receiver executes an order unless it has executed one with a higher number for the same task, and records
+each order with the decision. An order is on disk before it is answered, because a restarted receiver learns
+the highest numbers from its record.
 """
 
 from __future__ import annotations
@@ -16,24 +18,45 @@
 
 
 class Receiver:
+    """A receiver of orders, which rejects those of a holder that has been replaced.
+
+    Attributes:
+        orders: The highest number executed for each task.
+        numbered: False if orders are executed whatever their number.
+    """
+
     def __init__(self, record: Path, numbered: bool = True) -> None:
-        """`numbered`: False carries out everything, as one that knows no numbers."""
-        seen: dict[str, int] = {}
+        """Read the highest numbers from an earlier record, and append to it from now on.
+
+        Args:
+            record: The file of the record; it need not exist.
+            numbered: False to execute every order, as a receiver does that does not know about numbers.
+        """
+        max_numbers: dict[str, int] = {}
         if record.exists():
             for line in record.read_text().splitlines():
                 _, task, number, *_, done = json.loads(line)
                 if done:
-                    seen[task] = max(number, seen.get(task, 0))
-        self.orders, self.numbered = FencingGuard(seen), numbered
+                    max_numbers[task] = max(number, max_numbers.get(task, 0))
+        self.orders, self.numbered = FencingGuard(max_numbers), numbered
         self._record = record.open("a")
         self._server: asyncio.Server | None = None
 
     async def start(self, listen: str) -> str:
+        """Listen for orders.
+
+        Args:
+            listen: Host and port; the port may be 0.
+
+        Returns:
+            Host and port that the receiver listens at.
+        """
         host, _, port = listen.rpartition(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
         return "{}:{}".format(*self._server.sockets[0].getsockname()[:2])
 
     def close(self) -> None:
+        """Stop listening, and close the record."""
         if self._server is not None:
             self._server.close()
         self._record.close()
@@ -44,9 +67,9 @@
                 order = json.loads(line)
                 task, number = str(order["task"]), int(order["number"])
                 done = self.orders.accept(task, number) or not self.numbered
-                who = [order["holder"], order["birth"], order["count"]]
-                told = [time.monotonic() * 1000.0, task, number, *who, done]
-                self._record.write(json.dumps(told) + "\n")
+                holder = [order["holder"], order["birth"], order["count"]]
+                entry = [time.monotonic() * 1000.0, task, number, *holder, done]
+                self._record.write(json.dumps(entry) + "\n")
                 self._record.flush()
                 os.fsync(self._record.fileno())
                 writer.write(json.dumps({"done": done}).encode() + b"\n")
@@ -57,26 +80,44 @@
 
 
 def read_executed_orders(record: Path) -> list[list[Any]]:
-    """Each order that was: ms of the monotonic clock, task, number, holder, birth, the holder's count."""
+    """Return the orders that were executed, in the order of their arrival.
+
+    Each is a list of the time in ms of the monotonic clock, the task, the number, the holder, the holder's
+    incarnation, and the holder's count of its orders. An incomplete last line is left out.
+    """
     lines = record.read_text().splitlines()
-    return [told[:6] for line in lines if line.endswith("]") and (told := json.loads(line))[6]]
+    return [order[:6] for line in lines if line.endswith("]") and (order := json.loads(line))[6]]
 
 
 def find_conflicting_orders(record: Path) -> list[str]:
-    """What no single holder could have done: from the receiver's record alone."""
-    wrong, last, owners = [], dict[str, int](), dict[tuple[str, int], tuple[str, int]]()
-    for at, task, number, holder, birth, _ in read_executed_orders(record):
+    """Return a description of each executed order that a single holder at a time cannot have sent.
+
+    Such an order has a lower number than an earlier one of its task, or a number under which another holder,
+    or another incarnation of the holder, has sent orders of the task. Only the receiver's record is used.
+    """
+    conflicts, last, owners = [], dict[str, int](), dict[tuple[str, int], tuple[str, int]]()
+    for at_ms, task, number, holder, incarnation, _ in read_executed_orders(record):
         if number < last.get(task, 0):
-            wrong.append(f"{task}: number {number} of {holder} at {at:.0f} behind {last[task]}")
+            conflicts.append(
+                f"task {task}: order number {number} of holder {holder} executed at {at_ms:.0f} ms"
+                f" after number {last[task]}"
+            )
         last[task] = max(number, last.get(task, 0))
-        owner = owners.setdefault((task, number), (holder, birth))
-        if owner != (holder, birth):
-            wrong.append(f"{task}: number {number} of {holder} and of {owner[0]}")
-    return wrong
+        owner = owners.setdefault((task, number), (holder, incarnation))
+        if owner != (holder, incarnation):
+            conflicts.append(f"task {task}: order number {number} of two holders, {holder} and {owner[0]}")
+    return conflicts
 
 
 async def run_receiver(listen: str, record: Path, numbered: bool) -> None:
+    """Run a receiver until the process ends; its address and its port are printed once it listens.
+
+    Args:
+        listen: Host and port to listen at; the port may be 0.
+        record: The file of the record.
+        numbered: False to execute every order, whatever its number.
+    """
     receiver = Receiver(record, numbered)
-    place = await receiver.start(listen)
-    print(f"receiver {place} {place.rpartition(':')[2]}", flush=True)
+    address = await receiver.start(listen)
+    print(f"receiver {address} {address.rpartition(':')[2]}", flush=True)
     await asyncio.get_running_loop().create_future()
--- a/tests/support/configured_fleet.py
+++ b/tests/support/configured_fleet.py
@@ -93,23 +93,23 @@
         self.advert_rewriters: dict[int, Callable[[ConfigAdvert], ConfigAdvert]] = {}
         self.bytes_of: dict[int, int] = {}
 
-    def _came(self, data: bytes, source: int, to: int) -> None:
+    def _datagram_received(self, data: bytes, source: int, to: int) -> None:
         self.bytes_of[source] = self.bytes_of.get(source, 0) + len(data)
         if source in self.datagrams_lost_from:
             return
         rewrite = self.advert_rewriters.get(source)
         if rewrite is not None:
-            message = self.book.read(data)
+            message = self.codec.read(data)
             config = getattr(message, "config", None)
             if message is not None and config is not None:
-                data = self.book.write(msgspec.structs.replace(message, config=rewrite(config)))
-        super()._came(data, source, to)
+                data = self.codec.write(msgspec.structs.replace(message, config=rewrite(config)))
+        super()._datagram_received(data, source, to)
 
-    async def _stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _dispatcher_stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if number_of(writer.get_extra_info("peername")[0]) in self.streams_refused_from:
             writer.transport.abort()
             return
-        await super()._stream(reader, writer)
+        await super()._dispatcher_stream(reader, writer)
 
 
 class Fleet:
