--- a/cherrygrade/standin/web.py
+++ b/cherrygrade/standin/web.py
@@ -1,4 +1,7 @@
-"""Stand-ins for the platform's storage nodes and discovery, on HTTP/1.1: they answer as they are told to."""
+"""Stand-ins of the platform's storage nodes and of its discovery service, which speak HTTP/1.1.
+
+They answer as tests and the command `standin platform` tell them to.
+"""
 
 from __future__ import annotations
 
@@ -11,49 +14,66 @@
 from cherrygrade.http.writer import encode_response
 from cherrygrade.transport.listening import listen
 
-ROOM = 16 * 1024 * 1024  # of bodies on one connection
+MAX_BODY_BYTES = 16 * 1024 * 1024  # of all bodies in memory for one connection
 
 
 class Peer(asyncio.BufferedProtocol):
-    """A connection that a dispatcher made."""
+    """A connection that a dispatcher has opened to a stand-in.
+
+    Attributes:
+        owner: The stand-in.
+        transport: The connection's transport; None before it is open and after it is closed.
+    """
 
     def __init__(self, owner: WebNode | WebDiscovery) -> None:
-        self.owner, self._room = owner, BodyBudget(ROOM)
-        self._reader = MessageReader(responses=False, budget=self._room)
+        self.owner, self._budget = owner, BodyBudget(MAX_BODY_BYTES)
+        self._reader = MessageReader(responses=False, budget=self._budget)
         self._buffer = memoryview(bytearray(16 * 1024))
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection with the stand-in."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.owner.peers.append(self)
         self.owner.connections_made += 1
 
     def get_buffer(self, sizehint: int) -> memoryview:
+        """Return the buffer for received bytes."""
         return self._buffer
 
     def buffer_updated(self, nbytes: int) -> None:
+        """Parse the received bytes, and pass each complete request to the stand-in."""
         self._reader.feed(bytes(self._buffer[:nbytes]))
         for message in self._reader.messages:
             self.owner.message_received(self, message)
-            self._room.release(message)
+            self._budget.release(message)
         self._reader.messages.clear()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Remove the connection from the stand-in."""
         self.transport = None
         self.owner.peers.remove(self)
 
     def write(self, data: bytes) -> None:
+        """Send bytes, unless the connection is closed."""
         if self.transport is not None:
             self.transport.write(data)
 
     def cut(self) -> None:
+        """Reset the connection, unless it is closed."""
         if self.transport is not None:
             self.transport.abort()
 
 
-class Web:
-    """A listener and the connections made to it."""
+class HttpStandIn:
+    """A server and the connections that are open to it.
+
+    Attributes:
+        address: Host and port; a port of 0 is replaced once the server listens.
+        peers: The open connections.
+        connections_made: The number of connections that were ever opened.
+    """
 
     def __init__(self, address: str = "127.0.0.1:0") -> None:
         self.address = address
@@ -62,42 +82,59 @@
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
+        """Listen for connections."""
         self._server = await listen(lambda: Peer(self), self.address, 64)  # type: ignore[arg-type]
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
     def close(self) -> None:
-        """As a process that dies."""
+        """Stop listening and reset all connections, as when the process is killed."""
         if self._server is not None:
             self._server.close()
         for peer in [*self.peers]:
             peer.cut()
 
 
-class WebNode(Web):
-    """Answers a read with bytes that name its target, `work_ms` later. `script` says what comes instead: raw
-    bytes, or None for silence, or False for a connection that is cut."""
+class WebNode(HttpStandIn):
+    """A storage node, which answers each request with bytes that name its target.
+
+    Attributes:
+        host: The node's name in the endpoint list.
+        shard: The shard that the node stores.
+        work_ms: The time from a request to its answer, in milliseconds.
+        received: The requests received.
+        received_at_s: The time of each request on the event loop's clock, in seconds.
+        script: What happens instead of the next answers: bytes are sent unchanged, None leaves a request
+            without answer, False resets the connection, and True is the usual answer.
+    """
 
     def __init__(self, host: str, shard: int, work_ms: float = 2.0, address: str = "127.0.0.1:0") -> None:
         super().__init__(address)
         self.host, self.shard, self.work_ms = host, shard, work_ms
         self.received: list[Message] = []
-        self.received_at_s: list[float] = []  # s, of the event loop's clock
+        self.received_at_s: list[float] = []
         self.script: deque[bytes | bool | None] = deque()
 
     def message_received(self, peer: Peer, message: Message) -> None:
+        """Record a request, and answer it after `work_ms`."""
         self.received.append(message)
         self.received_at_s.append(asyncio.get_running_loop().time())
         asyncio.get_running_loop().call_later(self.work_ms / 1000.0, self._answer, peer, message)
 
     def _answer(self, peer: Peer, message: Message) -> None:
-        told: bytes | bool | None = self.script.popleft() if self.script else True
-        if told is False:
+        reply: bytes | bool | None = self.script.popleft() if self.script else True
+        if reply is False:
             peer.cut()
-        elif told is not None:
-            peer.write(told if isinstance(told, bytes) else encode_response(200, b"of " + message.target))
+        elif reply is not None:
+            peer.write(reply if isinstance(reply, bytes) else encode_response(200, b"of " + message.target))
 
     def entry(self, health: str = "in_service", born_ms: int = 0) -> dict[str, Any]:
+        """Return the node's entry of the endpoint list.
+
+        Args:
+            health: The node's state, in the words of the platform.
+            born_ms: The time at which the node started, in ms of Unix time.
+        """
         return {
             "host": self.host,
             "dial": self.address,
@@ -110,14 +147,25 @@
         }
 
 
-TOLD_S, GRACE_S = 6.0, 0.3  # what a silent watch missed counts after that; grace of a drain, with its slack
+SILENT_WATCH_DETECTION_S = 6.0
+"""The time after which a dispatcher must have replaced a watch that fell silent, in seconds."""
+DRAIN_GRACE_S = 0.3
+"""The time, with tolerance, for which requests may still be sent to a node that drains, in seconds."""
+
 
+class WebDiscovery(HttpStandIn):
+    """A discovery service, which answers a watch with the full endpoint list and then with each change.
 
-class WebDiscovery(Web):
-    """Tells the whole list to whoever watches, and each change after it, with a sign of life in between.
+    Between the changes it sends an empty line every `keepalive_interval_s`.
 
-    `indent`: lists come over several lines. `down`: whoever asks hears nothing, and nothing is told.
-    `effective_at`: when a node's standing counts as told, whether or not it arrived.
+    Attributes:
+        version: The version of the endpoint list.
+        hosts: The entries of the endpoint list by host.
+        watch_targets: The request target of each watch received.
+        effective_at: By host, the time on the event loop's clock, in seconds, from which dispatchers must
+            know the last change of its entry, whether or not the change was received.
+        indent: The indent of lists that are sent over several lines; None for a list on one line.
+        down: True if new watches are not answered and receive no changes.
     """
 
     def __init__(self, address: str = "127.0.0.1:0", keepalive_interval_s: float = 2.0) -> None:
@@ -127,57 +175,81 @@
         self.effective_at: dict[str, float] = {}
         self.indent: int | None = None
         self.down = False
-        self._silent: dict[Peer, float] = {}  # watches that fell silent, and when; emptied as they close
-        self._breath_s = keepalive_interval_s
+        self._silent: dict[Peer, float] = {}  # since when each silent watch is silent
+        self._keepalive_interval_s = keepalive_interval_s
 
     def message_received(self, peer: Peer, message: Message) -> None:
+        """Answer a watch with the full list, or leave it silent while discovery is down."""
         self.watch_targets.append(message.target)
         if self.down:
             self._silent[peer] = asyncio.get_running_loop().time()
             return
         peer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.write(peer, self.version, True, [*self.hosts.values()])
-        self._breathe(peer)
+        self._send_keepalive(peer)
 
-    def _breathe(self, peer: Peer) -> None:
+    def _send_keepalive(self, peer: Peer) -> None:
         if peer.transport is not None and peer not in self._silent:
             self.raw(peer, b"\n")
-            asyncio.get_running_loop().call_later(self._breath_s, self._breathe, peer)
+            asyncio.get_running_loop().call_later(self._keepalive_interval_s, self._send_keepalive, peer)
 
     def silence_watches(self) -> None:
-        """All open watches fall silent; a new one is answered, unless discovery is down."""
+        """Send nothing more on all open watches; a new watch is answered, unless discovery is down."""
         now = asyncio.get_running_loop().time()
         self._silent = {peer: self._silent.get(peer, now) for peer in self.peers}
 
-    def write(self, peer: Peer, version: int, whole: bool, hosts: list[dict[str, Any]]) -> None:
-        told = {"seq": version, "whole": whole, "hosts": hosts}
-        self.raw(peer, json.dumps(told, indent=self.indent).encode() + b"\n")
+    def write(self, peer: Peer, version: int, full: bool, hosts: list[dict[str, Any]]) -> None:
+        """Send entries of the endpoint list on a watch.
+
+        Args:
+            peer: The watch.
+            version: The version of the list.
+            full: True if the entries are the full list, False if they are changes.
+            hosts: The entries.
+        """
+        update = {"seq": version, "whole": full, "hosts": hosts}
+        self.raw(peer, json.dumps(update, indent=self.indent).encode() + b"\n")
 
     def raw(self, peer: Peer, line: bytes) -> None:
+        """Send bytes on a watch as one chunk of the response."""
         peer.write(b"%x\r\n%b\r\n" % (len(line), line))
 
     def publish(self, *entries: dict[str, Any]) -> None:
+        """Add or replace entries of the endpoint list, and send them on all watches that are not silent."""
         self.version += 1
         now = asyncio.get_running_loop().time()
-        missed = [at for peer, at in self._silent.items() if peer.transport is not None]
+        silent_since_s = [since_s for peer, since_s in self._silent.items() if peer.transport is not None]
         for entry in entries:
             self.hosts[entry["host"]] = entry
-            self.effective_at[entry["host"]] = max(now, min(missed) + TOLD_S) if missed else now
+            self.effective_at[entry["host"]] = (
+                max(now, min(silent_since_s) + SILENT_WATCH_DETECTION_S) if silent_since_s else now
+            )
         for peer in self.peers:
             if peer not in self._silent:
                 self.write(peer, self.version, False, [*entries])
 
     def late_requests_s(self, node: WebNode) -> list[float]:
-        """How late, in s, each send was that came past the grace after the node's order to leave counts."""
+        """Return how late, in seconds, each request was that a node received after it had to be drained.
+
+        A request is late if it arrives more than DRAIN_GRACE_S after the time in `effective_at`.
+        """
         if self.hosts[node.host]["health"] == "in_service":
             return []
-        told = self.effective_at[node.host] + GRACE_S
-        return [at - told for at in node.received_at_s if at > told]
+        drained_at_s = self.effective_at[node.host] + DRAIN_GRACE_S
+        return [at_s - drained_at_s for at_s in node.received_at_s if at_s > drained_at_s]
 
 
 async def run_platform(address: str, count: int, indent: int | None = None, hush_s: float = 0.0) -> None:
-    """Until it is ended from outside. With `hush_s`, every so often all watches fall silent and a node is
-    told to drain; 2 s after that counts it is said how many sends still came to it, and it is back."""
+    """Run discovery and storage nodes until the process ends.
+
+    Args:
+        address: The address that discovery listens at.
+        count: The number of storage nodes.
+        indent: The indent of lists that are sent over several lines; None for lists on one line.
+        hush_s: The interval, in seconds, at which all watches fall silent while one node is drained. The
+            number of requests that still reached the node is printed 2 s after dispatchers must know of the
+            drain, and the node returns to service. With 0 no node is drained.
+    """
     discovery = WebDiscovery(address)
     discovery.indent = indent
     await discovery.open()
@@ -186,15 +258,15 @@
         await node.open()
         discovery.publish(node.entry())
     print(f"discovery {discovery.address}, {count} nodes", flush=True)
-    turn = 0
+    drains = 0
     while hush_s > 0.0:
         await asyncio.sleep(hush_s)
-        node = nodes[turn % count]
+        node = nodes[drains % count]
         discovery.silence_watches()
         discovery.publish(node.entry("terminating"))
-        await asyncio.sleep(TOLD_S + 2.0)
+        await asyncio.sleep(SILENT_WATCH_DETECTION_S + 2.0)
         late = len(discovery.late_requests_s(node))
-        print(f"{node.host} drained under silent watches: {late} sends came too late", flush=True)
+        print(f"{node.host} drained under silent watches: {late} requests arrived too late", flush=True)
         discovery.publish(node.entry())
-        turn += 1
+        drains += 1
     await asyncio.get_running_loop().create_future()
