--- a/cherrygrade/standin/emulated_network.py
+++ b/cherrygrade/standin/emulated_network.py
@@ -6,7 +6,7 @@
 from. Datagrams are logged unchanged, because the audit of the fleet reads them from the log.
 
 Storage nodes, the register and the dispatchers' listeners for clients may have announced addresses too, on a
-second port. Streams to them are forwarded in the same faults.
+second port. Streams to them are forwarded in the same way.
 
 The two ends of a connection are known by their numbers: dispatchers count from 0, storage nodes from
 FIRST_NODE_NUMBER; the register and all clients together have one number each.
@@ -34,9 +34,13 @@
 MAX_DATAGRAMS_AT_ONCE = 64
 """The number of datagrams that are read before the event loop continues with other work."""
 FLEET = "lab"
+"""The name of the laboratory's fleet."""
 ANNOUNCED_NET, BOUND_NET = "127.64", "127.32"
+"""The loopback nets of the addresses that dispatchers announce, and of those that they listen at."""
 NODE_NET, REGISTER_HOST, CLIENT_NET = "127.96", "127.97.0.1", "127.98"
+"""The announced addresses of storage nodes, the register, and the dispatchers' listeners for clients."""
 FIRST_NODE_NUMBER, REGISTER_NUMBER, CLIENTS_NUMBER = 1000, 900, 901
+"""The numbers of ends that are no dispatchers; storage nodes count on from the first."""
 
 
 def host(net: str, number: int) -> str:
@@ -65,7 +69,7 @@
 
 
 def number_of(address: str) -> int:
-    """Return the number that `host` turned into this address."""
+    """Return the number of an address that `host` returned."""
     _, _, high, low = address.split(".")
     return int(high) * 250 + int(low) - 1
 
--- a/cherrygrade/standin/node.py
+++ b/cherrygrade/standin/node.py
@@ -153,7 +153,7 @@
 class Node:
     """A storage node, which listens at one address for dispatchers.
 
-    Faults that can be switched on by a control command are attributes of the command's name.
+    The control commands silent, untold, errors, trickle, resets and speed set the attributes of these names.
 
     Attributes:
         address: Host and port that the node listens at.
--- a/cherrygrade/standin/register.py
+++ b/cherrygrade/standin/register.py
@@ -47,7 +47,7 @@
         self.conn = Connection(self, 0)
 
     def connected(self, conn: Connection) -> None:
-        """Add the connection to the register's."""
+        """Add the connection to the register's open connections."""
         self.register.connections[self] = None
 
     def body_buffer(self, conn: Connection, message: Any, length: int) -> None:
@@ -69,7 +69,7 @@
         """Do nothing: lists and maps are sent without regard to the connection's backlog."""
 
     def closed(self, conn: Connection, reason: str) -> None:
-        """Remove the connection from the register's."""
+        """Remove the connection from the register's open connections."""
         self.register.connections.pop(self, None)
 
 
@@ -87,7 +87,7 @@
         born: The time in ms at which a node started, on this process's event loop's clock, by the node's
             address and its number of starts.
         lists: The list of nodes in each published version; all are kept, because runs are short.
-        true: The entries of nodes as they are now, published or not.
+        true: The present entries of nodes, which may not be published yet.
         volumes: The volumes by name.
         map_requests: The number of times that a part of a map was sent or queried.
     """
--- a/cherrygrade/standin/web.py
+++ b/cherrygrade/standin/web.py
@@ -175,7 +175,7 @@
         self.effective_at: dict[str, float] = {}
         self.indent: int | None = None
         self.down = False
-        self._silent: dict[Peer, float] = {}  # since when each silent watch is silent
+        self._silent: dict[Peer, float] = {}  # the time at which each silent watch fell silent, s
         self._keepalive_interval_s = keepalive_interval_s
 
     def message_received(self, peer: Peer, message: Message) -> None:
@@ -215,7 +215,11 @@
         peer.write(b"%x\r\n%b\r\n" % (len(line), line))
 
     def publish(self, *entries: dict[str, Any]) -> None:
-        """Add or replace entries of the endpoint list, and send them on all watches that are not silent."""
+        """Add or replace entries of the endpoint list, and send them on all watches that are not silent.
+
+        Args:
+            entries: The entries; those that are published together have one version.
+        """
         self.version += 1
         now = asyncio.get_running_loop().time()
         silent_since_s = [since_s for peer, since_s in self._silent.items() if peer.transport is not None]
--- a/tests/peers/test_floods.py
+++ b/tests/peers/test_floods.py
@@ -127,7 +127,7 @@
             assert len(served) > 20 and 0 not in served and served.count(200) >= 0.9 * len(served)
             assert most <= SOCKETS - 8
             assert kept.memory_info().rss - before < 24 * 1024 * 1024
-            assert {message.fields[b"x-call-class"] for message in one.node.came} == {b"read"}
+            assert {message.fields[b"x-call-class"] for message in one.node.received} == {b"read"}
         finally:
             code = await one.stop()
         assert code == 0 and "Traceback" not in one.read_log()
