--- a/cherrygrade/lab/audits/fleetaudit.py
+++ b/cherrygrade/lab/audits/fleetaudit.py
@@ -18,9 +18,8 @@
 from cherrygrade.fleet.membership.messages import IndirectProbeRequest, MessageCodec
 from cherrygrade.fleet.membership.table import Member, MemberInfo, MemberRecord, MemberState
 from cherrygrade.lab.audits.audit import Verdict, lines
-from cherrygrade.standin.receiver import carried_out
-from cherrygrade.standin.receiver import judge as holder_conflicts
-from cherrygrade.standin.ways import ENTRY, FLEET
+from cherrygrade.standin.emulated_network import ENTRY_HEADER, FLEET
+from cherrygrade.standin.receiver import find_conflicting_orders, read_executed_orders
 
 MAX_DETECTION_MS = 5000.0  # from the end of a process until all running members have recorded its failure
 MASS_FAILURE_MEMBERS, MAX_MASS_FAILURE_DETECTION_MS = 5, 10000.0
@@ -212,9 +211,9 @@
 def datagrams(file: Path) -> Iterator[tuple[float, int, int, bool, bytes]]:
     """Yields the time (ms), sender, receiver, whether it was lost, and the bytes of each logged datagram."""
     data, at = file.read_bytes() if file.exists() else b"", 0
-    while at + ENTRY.size <= len(data):
-        when, source, to, lost, length = ENTRY.unpack_from(data, at)
-        at += ENTRY.size + length
+    while at + ENTRY_HEADER.size <= len(data):
+        when, source, to, lost, length = ENTRY_HEADER.unpack_from(data, at)
+        at += ENTRY_HEADER.size + length
         yield when, source, to, lost, data[at - length : at]
 
 
@@ -324,8 +323,8 @@
 def _single_holders(record: Path) -> Verdict:
     """No two holders act for one task at a time, by the receiver's record alone."""
     verdict = Verdict(18)
-    verdict.judged = len(carried_out(record))
-    for wrong in holder_conflicts(record):
+    verdict.judged = len(read_executed_orders(record))
+    for wrong in find_conflicting_orders(record):
         verdict.add_breach(wrong)
     return verdict
 
@@ -338,7 +337,7 @@
     verdict, tasks, late = Verdict(19), set[str](), set[str]()
     if any(at > history.end - 2.0 * QUIET_MS for at in history.changes):
         return verdict
-    for at, task, *_ in carried_out(record):
+    for at, task, *_ in read_executed_orders(record):
         tasks.add(task)
         if at > history.end - QUIET_MS:
             late.add(task)
--- a/cherrygrade/lab/rig/roles.py
+++ b/cherrygrade/lab/rig/roles.py
@@ -12,10 +12,10 @@
 import zlib
 from pathlib import Path
 
+from cherrygrade.standin.emulated_network import EmulatedNetwork
 from cherrygrade.standin.node import Build, Node
 from cherrygrade.standin.record import Record
 from cherrygrade.standin.register import Register
-from cherrygrade.standin.ways import Ways
 
 
 async def _wait_for_end_signal() -> None:
@@ -78,7 +78,7 @@
         seed: Seed of the random source of the faults.
         record: File for the log of datagrams; None logs nothing.
     """
-    ways = Ways(count, port, bound, fleet, seed, record)
+    ways = EmulatedNetwork(count, port, bound, fleet, seed, record)
     control = await ways.start("127.0.0.1:0")
     print(f"listening {control}", flush=True)
     await _wait_for_end_signal()
--- a/cherrygrade/lab/rig/run.py
+++ b/cherrygrade/lab/rig/run.py
@@ -20,20 +20,20 @@
 from cherrygrade.fleet.runtime.voter_store import create_founding_store
 from cherrygrade.lab.rig.scenario import Scenario, Trouble, read_scenario, write_site
 from cherrygrade.standin.control import Controller
-from cherrygrade.standin.record import Record
-from cherrygrade.standin.ways import (
-    BOUND,
-    CLIENT,
-    CLIENTS,
+from cherrygrade.standin.emulated_network import (
+    ANNOUNCED_NET,
+    BOUND_NET,
+    CLIENT_NET,
+    CLIENTS_NUMBER,
+    FIRST_NODE_NUMBER,
     FLEET,
-    NODE,
-    NODES,
-    REGISTER,
-    THE_REGISTER,
-    TOLD,
-    far_number,
+    NODE_NET,
+    REGISTER_HOST,
+    REGISTER_NUMBER,
     host,
+    numbers_of_far_end,
 )
+from cherrygrade.standin.record import Record
 
 # Kinds of faults by what they hit. Other kinds change the load and are applied by load processes.
 ON_NODES = frozenset(
@@ -218,7 +218,7 @@
             addresses = [f"127.0.0.1:{child.ports[0]}" for child in self.dispatchers]
             if self.forwarding_port:
                 addresses = [
-                    f"{host(CLIENT, number)}:{self.forwarding_port}" for number in range(len(addresses))
+                    f"{host(CLIENT_NET, number)}:{self.forwarding_port}" for number in range(len(addresses))
                 ]
             await asyncio.gather(
                 *(
@@ -344,7 +344,7 @@
         await self.network_control.connect()
         if self.scenario.ways:
             self.forwarding_port = await self.network_control.say("port")
-            await self._forward(REGISTER, THE_REGISTER, f"127.0.0.1:{self.register.ports[0]}")
+            await self._forward(REGISTER_HOST, REGISTER_NUMBER, f"127.0.0.1:{self.register.ports[0]}")
             self.listed_addresses = ["" for _ in self.nodes]
             for index in range(len(self.nodes)):
                 await self._forward_to_node(index)
@@ -354,7 +354,8 @@
 
         Args:
             at: Address that the other processes connect to.
-            number: Number of the target in the network, `NODES + index`, `THE_REGISTER` or a dispatcher's.
+            number: Number of the target in the network, `FIRST_NODE_NUMBER + index`, `REGISTER_NUMBER` or
+                a dispatcher's.
             to: host:port at which the target listens.
         """
         await self.network_control.say("place", host=at, number=float(number), to=to)
@@ -362,8 +363,8 @@
     async def _forward_to_node(self, index: int) -> None:
         """Gives the node, after each change of its address, a new address from which the network forwards."""
         self.moves[index] = self.moves.get(index, -1) + 1
-        at = f"{NODE}.{self.moves[index]}.{index + 1}"
-        await self._forward(at, NODES + index, self.addresses[index])
+        at = f"{NODE_NET}.{self.moves[index]}.{index + 1}"
+        await self._forward(at, FIRST_NODE_NUMBER + index, self.addresses[index])
         self.listed_addresses[index] = f"{at}:{self.forwarding_port}"
         self.note.note("placed", index, self.addresses[index], self.listed_addresses[index])
 
@@ -376,11 +377,13 @@
         if not self.scenario.fleet:
             return None
         announced, bound = self.fleet_ports
-        contacts = [f"{host(TOLD, at)}:{announced}" for at in range(min(3, self.scenario.dispatchers))]
+        contacts = [
+            f"{host(ANNOUNCED_NET, at)}:{announced}" for at in range(min(3, self.scenario.dispatchers))
+        ]
         return {
             "name": FLEET,
-            "place": f"{host(TOLD, number)}:{announced}",
-            "bind": f"{host(BOUND, number)}:{bound}",
+            "place": f"{host(ANNOUNCED_NET, number)}:{announced}",
+            "bind": f"{host(BOUND_NET, number)}:{bound}",
             "contacts": contacts,
             "zone": f"z{number % 3}",
             **self._council(number),
@@ -420,16 +423,16 @@
             number,
             self.lives[number],
             listen,
-            f"{REGISTER}:{self.forwarding_port}"
+            f"{REGISTER_HOST}:{self.forwarding_port}"
             if self.forwarding_port
             else f"127.0.0.1:{self.register.ports[0]}",
             self.places,
             self._fleet(number),
-            host(BOUND, number) if self.forwarding_port else "",
+            host(BOUND_NET, number) if self.forwarding_port else "",
         )
         await child.start(*self.program, str(file))
         if self.forwarding_port:
-            await self._forward(host(CLIENT, number), number, f"127.0.0.1:{child.ports[0]}")
+            await self._forward(host(CLIENT_NET, number), number, f"127.0.0.1:{child.ports[0]}")
         self.note.note("life", number, self.lives[number])
 
     async def _set_node_state(self, index: int, state: str, age_ms: float = 0.0, address: str = "") -> None:
@@ -489,7 +492,7 @@
         An empty `on` means all network paths.
         """
         on, command = " ".join(str(number) for number in trouble.on), ON_WAYS[trouble.kind]
-        numbers = [number for name in trouble.far for number in far_number(name, len(self.nodes))]
+        numbers = [number for name in trouble.far for number in numbers_of_far_end(name, len(self.nodes))]
         if trouble.far and not self.forwarding_port:
             return
         far, is_cut, among_dispatchers = (
@@ -502,7 +505,7 @@
             self.note.note("shut", trouble.on or [*range(self.scenario.dispatchers)], 0.0)
         if is_cut and among_dispatchers:
             self.note.note("cut", trouble.on)
-        elif is_cut and CLIENTS in numbers:
+        elif is_cut and CLIENTS_NUMBER in numbers:
             self.note.note("shut", trouble.on, trouble.for_ms)
         elif trouble.for_ms and among_dispatchers:
             self.note.note("rough", trouble.for_ms, trouble.kind, trouble.size)
--- a/tests/extents/test_extents.py
+++ b/tests/extents/test_extents.py
@@ -163,7 +163,7 @@
 def test_failed_part_of_a_coalesced_read_fails_only_its_own_rpc():
     async def scenario(site: GatewaySite) -> None:
         client, data = await start_filled_site(site, build=Build(cores=1, unit_ms=20.0, put_off=0.0), nodes=1)
-        site.nodes[0].bad = [("v", "e0", 2048, 2100)]
+        site.nodes[0].failing_ranges = [("v", "e0", 2048, 2100)]
         ranges = [(at * 1024, 1024) for at in range(8)]
         answers = await read_all(client, ranges)
         bad = [n for n, answer in enumerate(answers) if not isinstance(answer, Ok)]
@@ -222,7 +222,7 @@
         )
         task = asyncio.create_task(read_all(client, [(0, 8 * 16 * K)], "export", 4000.0))
         while not task.done():
-            out = [len(door.works) for node in site.nodes for door in node.doors]
+            out = [len(door.open_requests) for node in site.nodes for door in node.connections]
             most["all"], most["one"] = max(most["all"], sum(out)), max(most["one"], *out)
             await asyncio.sleep(0.001)
         assert are_correct(await task, [(0, 8 * 16 * K)], data)
@@ -276,11 +276,11 @@
 def test_reads_that_wait_for_the_same_outdated_entry_share_one_query():
     async def scenario(site: GatewaySite) -> None:
         client, data = await start_filled_site(site)
-        asked = site.register.asked
+        asked = site.register.map_requests
         site.move(0, 1, told=False)
         ranges = [(at * 100, 50) for at in range(40)]
         assert are_correct(await read_all(client, ranges), ranges, data)
-        assert site.register.asked - asked <= 3
+        assert site.register.map_requests - asked <= 3
 
     run(scenario)
 
@@ -318,10 +318,10 @@
 def test_split_write_of_which_a_piece_fails_is_errored():
     async def scenario(site: GatewaySite) -> None:
         client, data = await start_filled_site(site, cuts=ExtentSettings(most_piece=4096))
-        site.nodes[1].bad = [("v", "e1", 0, 10)]
+        site.nodes[1].failing_ranges = [("v", "e1", 0, 10)]
         answer = await client.write("write", "v", "", bytes(40 * K), offset=0, deadline_ms=1400)
         assert isinstance(answer, Errored) and "new bytes or old" in answer.reason
-        site.nodes[1].bad = []
+        site.nodes[1].failing_ranges = []
         assert isinstance(
             await client.write("write", "v", "", data[: 40 * K], offset=0, deadline_ms=1400), Ok
         )
@@ -339,9 +339,9 @@
         assert isinstance(never, Rejected)
         site.register.silent = False
         site.volume()
-        for door in [*site.register.doors]:
+        for door in [*site.register.connections]:
             door.push = True
-            site.register.tell_whole(door)
+            site.register.send_full_list(door)
         answer = await client.read("read", "v", offset=0, length=10, deadline_ms=1400)
         assert isinstance(answer, Ok)
 
@@ -361,9 +361,9 @@
             await asyncio.sleep(0.005)
         site.register.silent = False
         site.volume()
-        for door in [*site.register.doors]:
+        for door in [*site.register.connections]:
             door.push = True
-            site.register.tell_whole(door)
+            site.register.send_full_list(door)
         answer = await write
         assert isinstance(answer, Errored) and "ordered workload" in answer.reason
         assert not [line for line in node.record.lines if line[1] == "recv"]
@@ -457,7 +457,7 @@
             elif step[0] == "move":
                 site.move(step[1], step[2], told=step[3])
             elif step[0] == "bad":
-                site.nodes[step[1]].bad = [("v", f"e{step[2]}", step[3], step[3] + 20)]
+                site.nodes[step[1]].failing_ranges = [("v", f"e{step[2]}", step[3], step[3] + 20)]
             else:
                 site.nodes[step[1]].resets = 1
         await asyncio.sleep(0.02)
--- a/tests/lab/test_lab_fleet.py
+++ b/tests/lab/test_lab_fleet.py
@@ -16,7 +16,7 @@
 from cherrygrade.fleet.membership.messages import GossipPush, MessageCodec, Probe, SchedulerMessage
 from cherrygrade.fleet.membership.table import Member, MemberInfo, MemberRecord, MemberState
 from cherrygrade.lab.audits import fleetaudit
-from cherrygrade.standin.ways import ENTRY, FLEET
+from cherrygrade.standin.emulated_network import ENTRY_HEADER, FLEET
 
 ROOT = Path(__file__).parents[2]
 INFOS = [MemberInfo(f"127.64.0.{n + 1}:7", f"z{n}", "1", "s", n) for n in range(4)]
@@ -47,7 +47,7 @@
     def send(self, at: float, source: int, to: int, message: object) -> None:
         """Adds a datagram; `at` in ms."""
         data = self.codec.write(message)  # type: ignore[arg-type]
-        self.entries.append((at, ENTRY.pack(at, source, to, False, len(data)) + data))
+        self.entries.append((at, ENTRY_HEADER.pack(at, source, to, False, len(data)) + data))
 
     def probe(self, at: float, source: int, to: int, digest: int, *records: MemberRecord) -> None:
         """Adds a probe with the digest of the sender's table, and member records."""
--- a/tests/peers/test_floods.py
+++ b/tests/peers/test_floods.py
@@ -135,7 +135,7 @@
             assert len(served) > 20 and 0 not in served and served.count(200) >= 0.9 * len(served)
             assert max_fds <= SOCKETS - 8
             assert process.memory_info().rss - rss_before < 24 * 1024 * 1024
-            assert {message.fields[b"x-call-class"] for message in platform.node.came} == {b"read"}
+            assert {message.fields[b"x-call-class"] for message in platform.node.received} == {b"read"}
         finally:
             code = await platform.stop()
         assert code == 0 and "Traceback" not in platform.read_log()
--- a/tests/support/configured_fleet.py
+++ b/tests/support/configured_fleet.py
@@ -26,7 +26,7 @@
 from cherrygrade.fleet.runtime.operator_commands import new_request_id
 from cherrygrade.fleet.runtime.status_query import query_status
 from cherrygrade.fleet.runtime.voter_store import create_founding_store
-from cherrygrade.standin.ways import BOUND, TOLD, Ways, host, number_of
+from cherrygrade.standin.emulated_network import ANNOUNCED_NET, BOUND_NET, EmulatedNetwork, host, number_of
 
 VOTERS = ["d0", "d1", "d2"]
 FLEET = "configured"
@@ -75,7 +75,7 @@
     return found
 
 
-class FaultyNetwork(Ways):
+class FaultyNetwork(EmulatedNetwork):
     """The network between the dispatchers, which are named by their numbers.
 
     Attributes:
@@ -93,23 +93,23 @@
         self.advert_rewriters: dict[int, Callable[[ConfigAdvert], ConfigAdvert]] = {}
         self.bytes_of: dict[int, int] = {}
 
-    def _came(self, data: bytes, source: int, to: int) -> None:
+    def _datagram_received(self, data: bytes, source: int, to: int) -> None:
         self.bytes_of[source] = self.bytes_of.get(source, 0) + len(data)
         if source in self.datagrams_lost_from:
             return
         rewrite = self.advert_rewriters.get(source)
         if rewrite is not None:
-            message = self.book.read(data)
+            message = self.codec.read(data)
             config = getattr(message, "config", None)
             if message is not None and config is not None:
-                data = self.book.write(msgspec.structs.replace(message, config=rewrite(config)))
-        super()._came(data, source, to)
+                data = self.codec.write(msgspec.structs.replace(message, config=rewrite(config)))
+        super()._datagram_received(data, source, to)
 
-    async def _stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _dispatcher_stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if number_of(writer.get_extra_info("peername")[0]) in self.streams_refused_from:
             writer.transport.abort()
             return
-        await super()._stream(reader, writer)
+        await super()._dispatcher_stream(reader, writer)
 
 
 class Fleet:
@@ -145,14 +145,14 @@
 
     async def start(self, number: int) -> None:
         """Start a dispatcher, and wait until it listens."""
-        contacts = [f"{host(TOLD, at)}:{self.port}" for at in (0, 1)]
+        contacts = [f"{host(ANNOUNCED_NET, at)}:{self.port}" for at in (0, 1)]
         text = SITE.format(
             n=number,
             count=self.count,
             fleet=FLEET,
             register=self.register,
-            place=f"{host(TOLD, number)}:{self.port}",
-            bind=f"{host(BOUND, number)}:{self.bound}",
+            place=f"{host(ANNOUNCED_NET, number)}:{self.port}",
+            bind=f"{host(BOUND_NET, number)}:{self.bound}",
             contacts=json.dumps(contacts),
             voters=json.dumps(VOTERS),
             folder=self.folder / f"d{number}",
@@ -193,7 +193,7 @@
 
     def admin_address(self, number: int) -> str:
         """Return the address at which operators reach a dispatcher; it bypasses the test's network."""
-        return f"{host(BOUND, number)}:{self.bound}"
+        return f"{host(BOUND_NET, number)}:{self.bound}"
 
     async def put(self, text: str, via: int = 0, based_on: int = -1, within_s: float = 10.0) -> int:
         """Put a version, and return its number.
