--- a/cherrygrade/gateway/node_client.py
+++ b/cherrygrade/gateway/node_client.py
@@ -1,7 +1,8 @@
-"""Links to storage nodes: sends wait here until a connection takes them, and end here in one outcome each.
+"""Sends attempts to one storage node: queues frames, spreads them over connections, reports each outcome.
 
-What proves that a send never ran (unsent, unconnected, full) is told apart from what does not (timed out,
-reset, cancelled, errored): a send that has not begun to leave this process has never run.
+An attempt whose frame was not started on a connection has certainly not run and ends as not sent, connect
+failed or rejected. An attempt that was started may have run: it ends as timed out, reset, cancelled or
+failed.
 """
 
 from __future__ import annotations
@@ -31,118 +32,179 @@
     WriteSend,
 )
 
-CODES = {0: Outcome.OK, 1: Outcome.FAILED, 2: Outcome.REJECTED, 3: Outcome.NOT_SENT, 4: Outcome.NOT_SENT}
-STALE = (3, 4)
-
-
-class Flight:
-    """One frame to a node: a send, or several that share it. Parts leave it as they end."""
-
-    def __init__(self, parts: list[InflightAttempt]) -> None:
-        self.parts = parts
-        self.line: NodeConnection | None = None
-        self.stream = self.low = self.high = 0
-
-    def begin(self, line: NodeConnection, stream: int) -> None:
-        self.line, self.stream = line, stream
-        self.low = min(out.request.offset for out in self.parts)
-        self.high = max(out.request.offset + out.request.length for out in self.parts)
+# Outcomes by the code of a node's answer; any other code counts as failed.
+OUTCOMES_BY_CODE = {
+    0: Outcome.OK,
+    1: Outcome.FAILED,
+    2: Outcome.REJECTED,
+    3: Outcome.NOT_SENT,
+    4: Outcome.NOT_SENT,
+}
+# Codes of a node that does not hold the extent, or holds a newer version: the extent map is out of date.
+STALE_MAP_CODES = (3, 4)
+
+
+class AttemptFrame:
+    """One frame to a node, which carries one attempt or several coalesced ones.
+
+    Attributes:
+        attempts: those that have not ended, or the last one that ended.
+        connection: the one that carries the frame; None while it waits.
+        stream: number of the frame on its connection.
+        start, end: range of bytes that the frame covers in its extent or key.
+    """
+
+    def __init__(self, attempts: list[InflightAttempt]) -> None:
+        """`attempts`: at least one; all are reads, or all are writes."""
+        self.attempts = attempts
+        self.connection: NodeConnection | None = None
+        self.stream = self.start = self.end = 0
+
+    def assign(self, connection: NodeConnection, stream: int) -> None:
+        """Bind the frame to the connection that carries it; the range covers the attempts it has now."""
+        self.connection, self.stream = connection, stream
+        self.start = min(attempt.request.offset for attempt in self.attempts)
+        self.end = max(attempt.request.offset + attempt.request.length for attempt in self.attempts)
 
 
 class NodeConnection:
-    """One connection to a node: greets, carries sends, matches answers. Owner of its `Connection`."""
-
-    def __init__(self, link: NodeClient, line: PooledConnection) -> None:
-        self.link, self.line = link, line
-        self.conn = Connection(self, link.most_body, taken=link.unpin)
-        self.receiving: Flight | None = None  # whose body is coming in
-        self.keeps: list[Claim] = []  # room of what comes in, though its send is over; emptied by its end
-        self.flights: dict[int, Flight] = {}  # out on this line; emptied by outcomes and by the line's end
-        self.last = 0  # newest stream number given out
-        self.let_go = False  # it was we who closed it
-        self.greeting: asyncio.TimerHandle | None = None
+    """One connection to a storage node: greets it, sends frames and matches answers to them.
+
+    Attributes:
+        node_client: the owner of this connection.
+        pooled: the pool's record of this connection.
+        conn: the socket.
+        receiving: the frame whose answer's body is being received.
+        pinned_claims: memory of a body that is being received though its attempt has ended; released when the
+            body is complete or the connection closes.
+        frames: frames in flight by stream number; removed by answers, time-outs and the connection's end.
+        last_stream: the stream number that was given out last.
+        closed_here: this process closed the connection.
+        greeting_timer: aborts the connection if the node does not answer the greeting.
+    """
+
+    def __init__(self, node_client: NodeClient, pooled: PooledConnection) -> None:
+        """Create a connection that is yet to be opened."""
+        self.node_client, self.pooled = node_client, pooled
+        self.conn = Connection(self, node_client.max_body_bytes, taken=node_client.unpin)
+        self.receiving: AttemptFrame | None = None
+        self.pinned_claims: list[Claim] = []
+        self.frames: dict[int, AttemptFrame] = {}
+        self.last_stream = 0
+        self.closed_here = False
+        self.greeting_timer: asyncio.TimerHandle | None = None
 
     def connected(self, conn: Connection) -> None:
-        conn.send(Hello(VERSION, "dispatcher", self.link.name))
+        """Greet the node."""
+        conn.send(Hello(VERSION, "dispatcher", self.node_client.name))
 
     def room(self, conn: Connection, message: Any, length: int) -> bytearray | memoryview | None:
-        """A late answer to a send that was given up on has no room: it is read off and dropped."""
+        """Return the buffer for the body of an answer, or None to drop the body.
+
+        The body is dropped if nobody waits for it any more, or if its length is not the one requested.
+        """
         if not isinstance(message, Answer):
             return None
-        flight = self.flights.get(message.id)
-        if flight is None or message.code or length != flight.high - flight.low:
+        frame = self.frames.get(message.id)
+        if frame is None or message.code or length != frame.end - frame.start:
             return None
-        self.receiving = flight
-        held = flight.parts[0].request
-        if len(flight.parts) == 1 and isinstance(held, InflightRequest) and held.destination is not None:
-            return held.destination if held.length == length else None
+        self.receiving = frame
+        request = frame.attempts[0].request
+        if (
+            len(frame.attempts) == 1
+            and isinstance(request, InflightRequest)
+            and request.destination is not None
+        ):
+            return request.destination if request.length == length else None
         return bytearray(length)
 
     def frame(self, conn: Connection, message: Any, body: bytearray | memoryview | None) -> None:
-        self._received()
+        """Handle a message from the node."""
+        self._body_received()
         if isinstance(message, Answer):
             self._answer(message, body)
         elif isinstance(message, Welcome):
-            self.link.stands(self)
+            self.node_client.connection_ready(self)
         elif isinstance(message, Bye):
-            # The node closes: what is out may still be answered, nothing new goes here.
-            self.line.closing = True
+            # The node is closing: frames in flight may still be answered, but no new ones are sent here.
+            self.pooled.is_closing = True
         else:
             conn.close(f"unexpected {type(message).__name__} from a node")
 
-    def _received(self) -> None:
+    def _body_received(self) -> None:
+        """Release the memory that was pinned for the body that has been received."""
         self.receiving = None
-        while self.keeps:
-            self.link.unpin(self.keeps.pop())
+        while self.pinned_claims:
+            self.node_client.unpin(self.pinned_claims.pop())
 
     def _answer(self, answer: Answer, body: bytearray | memoryview | None) -> None:
-        flight = self.flights.pop(answer.id, None)
-        if flight is None:
-            if answer.id > self.last:
-                self.conn.close("an answer to a send that was never made")
+        """End all attempts of a frame by the node's answer."""
+        frame = self.frames.pop(answer.id, None)
+        if frame is None:
+            if answer.id > self.last_stream:
+                self.conn.close(
+                    f"answer to stream {answer.id}, but the last stream sent is {self.last_stream}"
+                )
             return
-        code = CODES.get(answer.code, Outcome.FAILED)
-        alone = len(flight.parts) == 1
-        for out in flight.parts:
-            held, outcome, mine = out.request, code, body
-            assert isinstance(held, InflightRequest)
-            first = held.offset - flight.low
-            if outcome is Outcome.OK and not held.is_write:
-                if (0 if body is None else len(body)) != flight.high - flight.low:
-                    outcome = Outcome.FAILED  # not the bytes that were asked for
-                elif body is not None and not (alone and held.length == len(body)):
-                    mine = memoryview(body)[first : first + held.length]
+        frame_outcome = OUTCOMES_BY_CODE.get(answer.code, Outcome.FAILED)
+        is_alone = len(frame.attempts) == 1
+        for attempt in frame.attempts:
+            request, outcome, own_body = attempt.request, frame_outcome, body
+            assert isinstance(request, InflightRequest)
+            start = request.offset - frame.start
+            if outcome is Outcome.OK and not request.is_write:
+                if (0 if body is None else len(body)) != frame.end - frame.start:
+                    outcome = Outcome.FAILED  # the body does not have the requested length
+                elif body is not None and not (is_alone and request.length == len(body)):
+                    own_body = memoryview(body)[start : start + request.length]
             if outcome is Outcome.OK and any(
-                at < held.offset + held.length and held.offset < at + length for at, length in answer.failed
+                at < request.offset + request.length and request.offset < at + length
+                for at, length in answer.failed
             ):
-                outcome = Outcome.FAILED  # its own bytes did not come; those of its mates did
-            elif answer.code in STALE:
-                if held.version < 0:
+                outcome = Outcome.FAILED  # part of this attempt's range failed; coalesced attempts may be OK
+            elif answer.code in STALE_MAP_CODES:
+                if request.version < 0:
                     outcome = Outcome.FAILED
                 else:
-                    self.link.stale(held)
-            out.load_report = answer.load
-            if out.carried_by is None:
-                out.units_elsewhere = max(0.0, answer.elsewhere)
-                out.plan_use = answer.used if answer.used >= 0.0 else None
-            self.link.part_ended(out, outcome, mine)
-        self.link.flight_over(self)
+                    self.node_client.report_stale_map(request)
+            attempt.load_report = answer.load
+            if attempt.carried_by is None:
+                attempt.units_elsewhere = max(0.0, answer.elsewhere)
+                attempt.plan_use = answer.used if answer.used >= 0.0 else None
+            self.node_client.attempt_ended(attempt, outcome, own_body)
+        self.node_client.frame_ended(self)
 
     def writable(self, conn: Connection) -> None:
-        self.line.full = False
-        self.link.pump()
+        """Start waiting frames: the write buffer has drained."""
+        self.pooled.is_full = False
+        self.node_client.start_frames()
 
     def closed(self, conn: Connection, why: str) -> None:
-        self._received()
-        self.link.lost(self, why)
+        """End the frames in flight: the connection has closed."""
+        self._body_received()
+        self.node_client.connection_lost(self, why)
 
 
-def _start_of(out: InflightAttempt) -> int:
-    return out.request.offset
+def _offset_of(attempt: InflightAttempt) -> int:
+    return attempt.request.offset
 
 
 class NodeClient:
-    """All that goes to one node from here. `waiting` is emptied by lines, failed connects and time-outs."""
+    """Sends attempts to one storage node.
+
+    Attributes:
+        node: the storage node.
+        name: this dispatcher's name, sent in the greeting.
+        rounds: receive the outcomes; their clock is used for all times.
+        wheel: time-outs of attempts, by `timer_slot`.
+        max_body_bytes: the longest body that a node may send.
+        connect_timeout_ms: time for a connect, and again for the node's answer to the greeting.
+        pool: decides which connection carries a frame.
+        waiting: frames that no connection has taken; emptied by connections, failed connects and time-outs.
+        report_stale_map: called for a request that a node refused because its extent has moved.
+        unpin: releases one pin of a claim.
+        connections: open ones, and those being opened, by the pool's record of them.
+    """
 
     def __init__(
         self,
@@ -151,247 +213,268 @@
         seed: str,
         rounds: Rounds,
         wheel: TimerWheel[InflightAttempt],
-        most_body: int,
-        lines: NodeConnectionSettings,
+        max_body_bytes: int,
+        settings: NodeConnectionSettings,
         log: Callable[..., None],
-        stale: Callable[[InflightRequest], None],
+        report_stale_map: Callable[[InflightRequest], None],
         unpin: Callable[[Claim], None],
     ) -> None:
+        """`seed`: spreads the backoff of connects. The other arguments are described as attributes."""
         self.node, self.name, self.rounds, self.wheel = node, name, rounds, wheel
-        self.most_body, self.log = most_body, log
-        self.connect_ms = lines.connect_ms
-        self._from = (lines.source, 0) if lines.source else None
-        self.pool = NodeConnectionPool(seed, lines.most, lines.streams, lines.idle_ms)
-        self.waiting: deque[Flight] = deque()
-        self.stale, self.unpin = stale, unpin
-        self.lines: dict[PooledConnection, NodeConnection] = {}
-        self._tasks: set[asyncio.Task[None]] = set()
-        self._again: asyncio.TimerHandle | None = None
-        self._sweep: asyncio.TimerHandle | None = None
-
-    def carry(self, outs: list[InflightAttempt]) -> None:
-        """One send, or several that share one frame."""
-        flight = Flight(outs)
-        for out in outs:
-            out.frame = flight
-        self.waiting.append(flight)
-        self.pump()
-
-    def pump(self) -> None:
-        """Give waiting sends to lines; begin connects where none takes them."""
+        self.max_body_bytes, self.log = max_body_bytes, log
+        self.connect_timeout_ms = settings.connect_ms
+        self._local_address = (settings.source, 0) if settings.source else None
+        self.pool = NodeConnectionPool(seed, settings.most, settings.streams, settings.idle_ms)
+        self.waiting: deque[AttemptFrame] = deque()
+        self.report_stale_map, self.unpin = report_stale_map, unpin
+        self.connections: dict[PooledConnection, NodeConnection] = {}
+        self._connect_tasks: set[asyncio.Task[None]] = set()
+        self._retry_timer: asyncio.TimerHandle | None = None
+        self._idle_timer: asyncio.TimerHandle | None = None
+
+    def send(self, attempts: list[InflightAttempt]) -> None:
+        """Send one attempt, or several coalesced ones in one frame."""
+        frame = AttemptFrame(attempts)
+        for attempt in attempts:
+            attempt.frame = frame
+        self.waiting.append(frame)
+        self.start_frames()
+
+    def start_frames(self) -> None:
+        """Start waiting frames on connections; open connections for those that none can take."""
         while self.waiting:
-            line = self.pool.pick()
-            if line is None:
+            pooled = self.pool.choose()
+            if pooled is None:
                 break
-            self._start(self.waiting.popleft(), self.lines[line])
+            self._start(self.waiting.popleft(), self.connections[pooled])
         if not self.waiting:
             return
         now = self.rounds.clock()
-        while self.pool.wants(len(self.waiting), now):
-            line = self.pool.begin(now)
-            carried = self.lines[line] = NodeConnection(self, line)
-            task = asyncio.get_running_loop().create_task(self._connect(carried))
-            self._tasks.add(task)
-            task.add_done_callback(self._tasks.discard)
-        if self.pool.connect_from > now and self._again is None:
-            wait = (self.pool.connect_from - now) / 1000.0
-            self._again = asyncio.get_running_loop().call_later(wait, self._pump_again)
-
-    def _pump_again(self) -> None:
-        self._again = None
-        self.pump()
-
-    def _start(self, flight: Flight, carried: NodeConnection) -> None:
-        carried.last += 1
-        flight.begin(carried, carried.last)
-        carried.flights[flight.stream] = flight
-        self.pool.took(carried.line)
-        lead, others = flight.parts[0], [(out.request.id, out.number) for out in flight.parts[1:]]
-        held, now = lead.request, self.rounds.clock()
-        assert isinstance(held, InflightRequest) and held.workload is not None
-        limit = max(out.request.deadline_ms for out in flight.parts) - now
-        length, units = flight.high - flight.low, lead.coalesced_units or held.units
-        if held.is_write:
-            ask = held.rpc
-            assert isinstance(ask, WriteRpc)
-            tokened = held.workload.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+        while self.pool.should_connect(len(self.waiting), now):
+            pooled = self.pool.add_connecting(now)
+            connection = self.connections[pooled] = NodeConnection(self, pooled)
+            task = asyncio.get_running_loop().create_task(self._connect(connection))
+            self._connect_tasks.add(task)
+            task.add_done_callback(self._connect_tasks.discard)
+        if self.pool.next_connect_ms > now and self._retry_timer is None:
+            wait_s = (self.pool.next_connect_ms - now) / 1000.0
+            self._retry_timer = asyncio.get_running_loop().call_later(wait_s, self._backoff_over)
+
+    def _backoff_over(self) -> None:
+        self._retry_timer = None
+        self.start_frames()
+
+    def _start(self, frame: AttemptFrame, connection: NodeConnection) -> None:
+        """Write a frame to a connection."""
+        connection.last_stream += 1
+        frame.assign(connection, connection.last_stream)
+        connection.frames[frame.stream] = frame
+        self.pool.frame_started(connection.pooled)
+        lead, others = (
+            frame.attempts[0],
+            [(attempt.request.id, attempt.number) for attempt in frame.attempts[1:]],
+        )
+        request, now = lead.request, self.rounds.clock()
+        assert isinstance(request, InflightRequest) and request.workload is not None
+        limit_ms = max(attempt.request.deadline_ms for attempt in frame.attempts) - now
+        length, units = frame.end - frame.start, lead.coalesced_units or request.units
+        if request.is_write:
+            rpc = request.rpc
+            assert isinstance(rpc, WriteRpc)
+            has_key = request.workload.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
             bodies = [
-                out.request.body
-                for out in sorted(flight.parts, key=_start_of)
-                if isinstance(out.request, InflightRequest)
+                attempt.request.body
+                for attempt in sorted(frame.attempts, key=_offset_of)
+                if isinstance(attempt.request, InflightRequest)
             ]
-            rooms = [
-                out.claim or out.request.memory_claim()
-                for out in flight.parts
-                if isinstance(out.request, InflightRequest)
+            claims = [
+                attempt.claim or attempt.request.memory_claim()
+                for attempt in frame.attempts
+                if isinstance(attempt.request, InflightRequest)
             ]
-            holds = [claim for claim in rooms if claim is not None]
-            for claim in holds:
-                claim.pin()  # until the socket has taken them
-            carried.conn.send(
+            pinned = [claim for claim in claims if claim is not None]
+            for claim in pinned:
+                claim.pin()  # released once the socket has taken the bodies
+            connection.conn.send(
                 WriteSend(
-                    flight.stream,
-                    held.id,
-                    held.volume,
-                    held.key,
-                    flight.low,
+                    frame.stream,
+                    request.id,
+                    request.volume,
+                    request.key,
+                    frame.start,
                     units,
-                    limit,
+                    limit_ms,
                     lead.number,
-                    held.dispatchers,
-                    ask.token if tokened else b"",
-                    held.workload.deduplication_window_ms if tokened else 0.0,
-                    ask.append,
-                    held.version,
+                    request.dispatchers,
+                    rpc.token if has_key else b"",
+                    request.workload.deduplication_window_ms if has_key else 0.0,
+                    rpc.append,
+                    request.version,
                     others,
                 ),
                 bodies[0],
                 bodies[1:],
-                holds,
+                pinned,
             )
         else:
-            carried.conn.send(
+            connection.conn.send(
                 ReadSend(
-                    flight.stream,
-                    held.id,
-                    held.volume,
-                    held.key,
-                    flight.low,
+                    frame.stream,
+                    request.id,
+                    request.volume,
+                    request.key,
+                    frame.start,
                     length,
                     units,
-                    limit,
+                    limit_ms,
                     lead.number,
-                    held.dispatchers,
-                    held.version,
+                    request.dispatchers,
+                    request.version,
                     others,
                 )
             )
-        carried.line.full = carried.conn.full
+        connection.pooled.is_full = connection.conn.full
 
-    async def _connect(self, carried: NodeConnection) -> None:
+    async def _connect(self, connection: NodeConnection) -> None:
         host, _, port = self.node.address.rpartition(":")
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(self.connect_ms / 1000.0):
-                await loop.create_connection(lambda: carried.conn, host, int(port), local_addr=self._from)
-        except (OSError, ValueError) as trouble:  # TimeoutError is an OSError
-            self.lost(carried, f"connect: {trouble or type(trouble).__name__}")
+            async with asyncio.timeout(self.connect_timeout_ms / 1000.0):
+                await loop.create_connection(
+                    lambda: connection.conn, host, int(port), local_addr=self._local_address
+                )
+        except (OSError, ValueError) as error:  # TimeoutError is an OSError
+            self.connection_lost(connection, f"connect: {error or type(error).__name__}")
             return
-        left = self.connect_ms / 1000.0
-        carried.greeting = loop.call_later(left, carried.conn.abort, "no welcome in time")
-
-    def stands(self, carried: NodeConnection) -> None:
-        if carried.greeting is not None:
-            carried.greeting.cancel()
-        self.pool.stands(carried.line, self.rounds.clock())
-        self.pump()
-        self._look_idle()
-
-    def _look_idle(self) -> None:
-        if self._sweep is None:
-            wait = self.pool.idle_ms / 1000.0
-            self._sweep = asyncio.get_running_loop().call_later(wait, self._close_unused)
-
-    def _close_unused(self) -> None:
-        self._sweep = None
-        for line in self.pool.unused(self.rounds.clock()):
-            self._let_go(self.lines[line], "idle")
-        if self.lines:
-            self._look_idle()
-
-    def _let_go(self, carried: NodeConnection, why: str) -> None:
-        carried.let_go = True
-        self.pool.gone(carried.line, self.rounds.clock(), wanted=False)
-        carried.conn.close(why)
-
-    def lost(self, carried: NodeConnection, why: str) -> None:
-        """A line ended, or never came to be: each of its sends ends as reset, it may have run."""
-        if self.lines.pop(carried.line, None) is None:
+        greeting_timeout_s = self.connect_timeout_ms / 1000.0
+        connection.greeting_timer = loop.call_later(
+            greeting_timeout_s, connection.conn.abort, "no welcome in time"
+        )
+
+    def connection_ready(self, connection: NodeConnection) -> None:
+        """Use a connection: the node has answered the greeting."""
+        if connection.greeting_timer is not None:
+            connection.greeting_timer.cancel()
+        self.pool.mark_ready(connection.pooled, self.rounds.clock())
+        self.start_frames()
+        self._schedule_idle_check()
+
+    def _schedule_idle_check(self) -> None:
+        if self._idle_timer is None:
+            wait_s = self.pool.idle_timeout_ms / 1000.0
+            self._idle_timer = asyncio.get_running_loop().call_later(wait_s, self._close_idle)
+
+    def _close_idle(self) -> None:
+        self._idle_timer = None
+        for pooled in self.pool.to_close(self.rounds.clock()):
+            self._close_connection(self.connections[pooled], "idle")
+        if self.connections:
+            self._schedule_idle_check()
+
+    def _close_connection(self, connection: NodeConnection, reason: str) -> None:
+        connection.closed_here = True
+        self.pool.remove(connection.pooled, self.rounds.clock(), is_failure=False)
+        connection.conn.close(reason)
+
+    def connection_lost(self, connection: NodeConnection, reason: str) -> None:
+        """Remove a connection that has closed or could not be opened.
+
+        Its attempts in flight end as reset, since the node may have run them. If it was being opened and no
+        other connection is ready, all waiting attempts end as connect failed.
+        """
+        if self.connections.pop(connection.pooled, None) is None:
             return
-        if carried.greeting is not None:
-            carried.greeting.cancel()
-        never = not carried.line.ready
-        self.pool.gone(carried.line, self.rounds.clock(), wanted=not carried.let_go)
-        if not carried.let_go:
-            self.log("line lost", node=self.node.address, why=why, out=len(carried.flights))
-        flights, carried.flights = carried.flights, {}
-        for flight in flights.values():
-            for out in flight.parts:
-                self.part_ended(out, Outcome.RESET)
-        if never and not any(line.ready for line in self.pool.lines):
-            # Nothing of these left this process. They are told at once: the module knows what to do about it.
-            self._keep_back(Outcome.CONNECT_FAILED)
-        self.pump()
-
-    def _keep_back(self, outcome: Outcome) -> None:
-        """What has not begun to leave stays here."""
-        kept, self.waiting = self.waiting, deque()
-        for flight in kept:
-            for out in flight.parts:
-                self.part_ended(out, outcome)
-
-    def part_ended(
-        self, out: InflightAttempt, outcome: Outcome, body: bytearray | memoryview | None = None
+        if connection.greeting_timer is not None:
+            connection.greeting_timer.cancel()
+        never_ready = not connection.pooled.is_ready
+        self.pool.remove(connection.pooled, self.rounds.clock(), is_failure=not connection.closed_here)
+        if not connection.closed_here:
+            self.log("line lost", node=self.node.address, why=reason, out=len(connection.frames))
+        frames, connection.frames = connection.frames, {}
+        for frame in frames.values():
+            for attempt in frame.attempts:
+                self.attempt_ended(attempt, Outcome.RESET)
+        if never_ready and not any(other.is_ready for other in self.pool.connections):
+            # No byte of the waiting attempts has left. The scheduler can place them on another node at once.
+            self._end_waiting(Outcome.CONNECT_FAILED)
+        self.start_frames()
+
+    def _end_waiting(self, outcome: Outcome) -> None:
+        """End all attempts that no connection has taken."""
+        waiting, self.waiting = self.waiting, deque()
+        for frame in waiting:
+            for attempt in frame.attempts:
+                self.attempt_ended(attempt, outcome)
+
+    def attempt_ended(
+        self, attempt: InflightAttempt, outcome: Outcome, body: bytearray | memoryview | None = None
     ) -> None:
-        self.wheel.remove(out, out.timer_slot)
-        self.rounds.record_outcome(out, outcome, body)
-        flight: Flight | None = out.frame
-        claim, out.claim = out.claim, None
-        if flight is not None and flight.line is not None and flight.line.receiving is flight:
-            held = out.request  # nobody waits for its bytes any more, but they go on coming in
+        """Report an attempt's outcome to the next round and release its memory.
+
+        If the answer's body is being received, its memory stays reserved until all of it has been received.
+        """
+        self.wheel.remove(attempt, attempt.timer_slot)
+        self.rounds.record_outcome(attempt, outcome, body)
+        frame: AttemptFrame | None = attempt.frame
+        claim, attempt.claim = attempt.claim, None
+        if frame is not None and frame.connection is not None and frame.connection.receiving is frame:
+            request = attempt.request  # its client no longer waits, but the node goes on sending
             if (
                 claim is None
-                and isinstance(held, InflightRequest)
-                and (claim := held.memory_claim()) is not None
+                and isinstance(request, InflightRequest)
+                and (claim := request.memory_claim()) is not None
             ):
                 claim.pin()
             if claim is not None:
-                flight.line.keeps.append(claim)
+                frame.connection.pinned_claims.append(claim)
         elif claim is not None:
             self.unpin(claim)
 
-    def flight_over(self, carried: NodeConnection) -> None:
-        self.pool.gave(carried.line, self.rounds.clock())
+    def frame_ended(self, connection: NodeConnection) -> None:
+        """Start waiting frames now that a connection has one less, or close it if its node is closing."""
+        self.pool.frame_ended(connection.pooled, self.rounds.clock())
         if self.waiting:
-            self.pump()
-        elif carried.line.closing and not carried.line.busy:
-            self._let_go(carried, "node closed")
+            self.start_frames()
+        elif connection.pooled.is_closing and not connection.pooled.in_flight:
+            self._close_connection(connection, "node closed")
 
-    def give_up(self, out: InflightAttempt, outcome: Outcome) -> None:
-        """No answer is waited for any more: timed out or cancelled where it has left, else unsent.
+    def abandon_attempt(self, attempt: InflightAttempt, outcome: Outcome) -> None:
+        """Stop waiting for an attempt's answer.
 
-        Others that share its frame go on.
+        The attempt ends with `outcome` (timed out or cancelled) if it has been sent, else as not sent.
+        Coalesced attempts in the same frame go on.
         """
-        flight: Flight | None = out.frame
-        if flight is None or out not in flight.parts or out.outcome is not None:
+        frame: AttemptFrame | None = attempt.frame
+        if frame is None or attempt not in frame.attempts or attempt.outcome is not None:
             return
-        if flight.line is None:
-            flight.parts.remove(out)
-            if not flight.parts:
-                self.waiting.remove(flight)
-            self.part_ended(out, Outcome.NOT_SENT)
+        if frame.connection is None:
+            frame.attempts.remove(attempt)
+            if not frame.attempts:
+                self.waiting.remove(frame)
+            self.attempt_ended(attempt, Outcome.NOT_SENT)
             return
-        if flight.line.flights.get(flight.stream) is not flight:
+        if frame.connection.frames.get(frame.stream) is not frame:
             return
-        self.part_ended(out, outcome)
-        if len(flight.parts) > 1:
-            flight.parts.remove(out)
+        self.attempt_ended(attempt, outcome)
+        if len(frame.attempts) > 1:
+            frame.attempts.remove(attempt)
             return
-        del flight.line.flights[flight.stream]
-        flight.line.conn.send(Withdraw(flight.stream))
-        self.flight_over(flight.line)
+        del frame.connection.frames[frame.stream]
+        frame.connection.conn.send(Withdraw(frame.stream))
+        self.frame_ended(frame.connection)
 
-    def standing_heard(self) -> None:
-        """The list spoke of the node: where nothing new may go to it, what has not left stays here."""
+    def node_state_changed(self) -> None:
+        """End waiting attempts as not sent if the endpoint list no longer names the node as live."""
         if self.node.state is not NodeState.LIVE:
-            self._keep_back(Outcome.NOT_SENT)
+            self._end_waiting(Outcome.NOT_SENT)
 
     def close(self) -> None:
-        for handle in (self._again, self._sweep):
-            if handle is not None:
-                handle.cancel()
-        for task in [*self._tasks]:
+        """Close all connections; waiting attempts end as not sent."""
+        for timer in (self._retry_timer, self._idle_timer):
+            if timer is not None:
+                timer.cancel()
+        for task in [*self._connect_tasks]:
             task.cancel()
-        self._keep_back(Outcome.NOT_SENT)
-        for carried in [*self.lines.values()]:
-            self._let_go(carried, "dispatcher leaves")
+        self._end_waiting(Outcome.NOT_SENT)
+        for connection in [*self.connections.values()]:
+            self._close_connection(connection, "dispatcher leaves")
--- a/cherrygrade/gateway/node_connection_pool.py
+++ b/cherrygrade/gateway/node_connection_pool.py
@@ -1,81 +1,114 @@
-"""Which of a node's connections a send takes, when one more is opened, and when one is let go.
+"""Decides which connection to a storage node carries a frame, and when connections are opened and closed.
 
-Free of I/O, clock and chance. A `PooledConnection` is one connection as the pool knows it; its owner keeps
-the socket.
+Free of I/O, clock and random source. A `PooledConnection` is the pool's record of one connection; the socket
+belongs to `node_client.NodeConnection`. Times are in ms.
 """
 
 from __future__ import annotations
 
 from cherrygrade.gateway.backoff import Backoff
 
-PER_CONNECT = 4  # waiting sends for each connect that may be under way
+MAX_WAITING_PER_CONNECT = 4  # one more connect is started for each so many frames that wait
 
 
 class PooledConnection:
-    """One connection to a node: being made, ready, or closing (takes nothing new, finishes what is out)."""
+    """The pool's record of one connection to a storage node.
+
+    Attributes:
+        is_ready: the node has answered the greeting.
+        is_full: the write buffer is full; no frame is started until it has drained.
+        is_closing: the node is closing the connection; frames in flight may still be answered, none is
+            started.
+        in_flight: frames sent and not ended.
+        idle_since_ms: when the last frame ended, or when the connection became ready.
+    """
 
     def __init__(self, now: float) -> None:
-        self.ready = self.full = self.closing = False
-        self.busy = 0
-        self.quiet_from = now
+        """`now`: when the connect starts, ms."""
+        self.is_ready = self.is_full = self.is_closing = False
+        self.in_flight = 0
+        self.idle_since_ms = now
 
 
 class NodeConnectionPool:
-    """At most `most_lines` connections to one node, each with at most `streams` sends out.
+    """The connections to one storage node.
+
+    A closing connection is not counted against `max_connections`; it is removed when its last frame has
+    ended.
 
-    Lines leave by `gone`; the table is bounded by `most_lines`, closing ones aside, which end with
-    their last send.
+    Attributes:
+        max_connections: connections that may be open or being opened at one time.
+        max_in_flight: frames in flight on each connection.
+        idle_timeout_ms: a connection without frames is closed after this time.
+        connections: all open ones and those being opened; `remove` takes them out.
+        next_connect_ms: no connect is started before this time.
     """
 
-    def __init__(self, seed: str, most_lines: int, streams: int, idle_ms: float) -> None:
-        self.most_lines, self.streams, self.idle_ms = most_lines, streams, idle_ms
-        self.lines: list[PooledConnection] = []
+    def __init__(self, seed: str, max_connections: int, max_in_flight: int, idle_timeout_ms: float) -> None:
+        """`seed`: spreads the backoff after failures."""
+        self.max_connections, self.max_in_flight = max_connections, max_in_flight
+        self.idle_timeout_ms = idle_timeout_ms
+        self.connections: list[PooledConnection] = []
         self.backoff = Backoff(seed)
-        self.connect_from = 0.0
+        self.next_connect_ms = 0.0
 
-    def pick(self) -> PooledConnection | None:
-        """The least busy connection that takes one more send now, the oldest among equals."""
+    def choose(self) -> PooledConnection | None:
+        """Return the connection with the fewest frames that can take one more, the oldest among equals."""
         best = None
-        for line in self.lines:
-            if line.ready and not (line.full or line.closing) and line.busy < self.streams:
-                if best is None or line.busy < best.busy:
-                    best = line
+        for connection in self.connections:
+            if (
+                connection.is_ready
+                and not (connection.is_full or connection.is_closing)
+                and connection.in_flight < self.max_in_flight
+            ):
+                if best is None or connection.in_flight < best.in_flight:
+                    best = connection
         return best
 
-    def wants(self, waiting: int, now: float) -> bool:
-        """Whether to begin one more connect for sends that wait and find no line."""
-        making = sum(1 for line in self.lines if not line.ready)
-        held = sum(1 for line in self.lines if not line.closing)
-        return held < self.most_lines and waiting > making * PER_CONNECT and now >= self.connect_from
-
-    def begin(self, now: float) -> PooledConnection:
-        line = PooledConnection(now)
-        self.lines.append(line)
-        return line
-
-    def stands(self, line: PooledConnection, now: float) -> None:
-        line.ready, line.quiet_from = True, now
+    def should_connect(self, waiting: int, now: float) -> bool:
+        """Return whether to open one more connection for `waiting` frames that no connection can take."""
+        connecting = sum(1 for connection in self.connections if not connection.is_ready)
+        counted = sum(1 for connection in self.connections if not connection.is_closing)
+        return (
+            counted < self.max_connections
+            and waiting > connecting * MAX_WAITING_PER_CONNECT
+            and now >= self.next_connect_ms
+        )
+
+    def add_connecting(self, now: float) -> PooledConnection:
+        """Add a connection that is being opened."""
+        connection = PooledConnection(now)
+        self.connections.append(connection)
+        return connection
+
+    def mark_ready(self, connection: PooledConnection, now: float) -> None:
+        """Record that the node has answered the greeting."""
+        connection.is_ready, connection.idle_since_ms = True, now
         self.backoff.record_connected(now)
 
-    def gone(self, line: PooledConnection, now: float, wanted: bool) -> None:
-        """The line is lost; `wanted` unless it was we who let it go."""
-        if line in self.lines:
-            self.lines.remove(line)
-            if wanted:
-                self.connect_from = self.backoff.record_failure(now)
-
-    def took(self, line: PooledConnection) -> None:
-        line.busy += 1
-
-    def gave(self, line: PooledConnection, now: float) -> None:
-        line.busy -= 1
-        if not line.busy:
-            line.quiet_from = now
-
-    def unused(self, now: float) -> list[PooledConnection]:
-        """Lines to close: unused for the idle time, or closing and done."""
+    def remove(self, connection: PooledConnection, now: float, is_failure: bool) -> None:
+        """Remove a connection. `is_failure`: this process did not close it, so the next connect backs off."""
+        if connection in self.connections:
+            self.connections.remove(connection)
+            if is_failure:
+                self.next_connect_ms = self.backoff.record_failure(now)
+
+    def frame_started(self, connection: PooledConnection) -> None:
+        """Count a frame that is sent on the connection."""
+        connection.in_flight += 1
+
+    def frame_ended(self, connection: PooledConnection, now: float) -> None:
+        """Count off a frame that was answered or abandoned."""
+        connection.in_flight -= 1
+        if not connection.in_flight:
+            connection.idle_since_ms = now
+
+    def to_close(self, now: float) -> list[PooledConnection]:
+        """Return the connections without frames that are closing or have been idle for the idle time-out."""
         return [
-            line
-            for line in self.lines
-            if line.ready and not line.busy and (line.closing or now - line.quiet_from >= self.idle_ms)
+            connection
+            for connection in self.connections
+            if connection.is_ready
+            and not connection.in_flight
+            and (connection.is_closing or now - connection.idle_since_ms >= self.idle_timeout_ms)
         ]
--- a/cherrygrade/gateway/process.py
+++ b/cherrygrade/gateway/process.py
@@ -261,7 +261,7 @@
         self._end(EXIT_BROKEN)
 
     def _node_lines(self) -> list[NodeConnection]:
-        return [line for link in self.node_clients.values() for line in link.lines.values()]
+        return [line for link in self.node_clients.values() for line in link.connections.values()]
 
     # What sessions call.
 
@@ -495,7 +495,7 @@
         for node in nodes:
             link = self.node_clients.get(node)
             if link is not None:
-                link.standing_heard()
+                link.node_state_changed()
         self.rounds.inputs.endpoint_changes += nodes
         if answered is not None:
             self.rounds.inputs.endpoint_list_received = answered
@@ -510,7 +510,7 @@
             for send in self.rounds.inputs.outcomes:
                 self.agent.attempt_finished(send)
         for out in self.wheel.take_expired(now):
-            self.node_clients[out.node].give_up(out, Outcome.TIMED_OUT)
+            self.node_clients[out.node].abandon_attempt(out, Outcome.TIMED_OUT)
 
     def send_attempt(self, out: InflightAttempt, limit_ms: float) -> None:
         if out.carried_by is not None:
@@ -535,12 +535,12 @@
             self.ranges.joined += len(out.coalesced)
         for one in outs:
             one.timer_slot = self.wheel.add(one, one.request.deadline_ms)
-        link.carry(outs)
+        link.send(outs)
         self._wake_timer.schedule()
 
     def cancel_attempt(self, out: InflightAttempt) -> None:
         self.wheel.remove(out, out.timer_slot)
-        self.node_clients[out.node].give_up(out, Outcome.CANCELLED)
+        self.node_clients[out.node].abandon_attempt(out, Outcome.CANCELLED)
 
     def answer_ok(self, held: InflightRequest, out: InflightAttempt) -> None:
         if held.range is not None:
--- a/cherrygrade/gateway/timer_wheel.py
+++ b/cherrygrade/gateway/timer_wheel.py
@@ -1,4 +1,4 @@
-"""Which sends are out of time, without a timer each. Free of I/O and clock."""
+"""Groups time-outs into slots, so that one event-loop timer serves all. Free of I/O and clock."""
 
 from __future__ import annotations
 
@@ -9,41 +9,43 @@
 
 
 class TimerWheel(Generic[T]):
-    """Items due at a time, kept in slots of `grain` ms; an item comes out up to one grain late, never early.
+    """Items with an expiry time, kept in slots of `resolution_ms`.
 
-    Emptied by `drop` and by `due`; the heap holds one number a slot that is in use.
+    An item is taken out up to one resolution late and never early. Items leave by `remove` and by
+    `take_expired`; the heap has one number for each slot in use.
     """
 
-    def __init__(self, grain: float = 5.0) -> None:
-        self.grain = grain
+    def __init__(self, resolution_ms: float = 5.0) -> None:
+        """`resolution_ms`: length of a slot."""
+        self.resolution_ms = resolution_ms
         self._slots: dict[int, dict[T, None]] = {}
-        self._order: list[int] = []
-
-    def add(self, item: T, at: float) -> int:
-        """Gives the slot, which `drop` wants back."""
-        slot = int(at // self.grain) + 1
-        held = self._slots.get(slot)
-        if held is None:
-            held = self._slots[slot] = {}
-            heappush(self._order, slot)
-        held[item] = None
+        self._slot_heap: list[int] = []
+
+    def add(self, item: T, expires_ms: float) -> int:
+        """Add an item and return its slot, which `remove` needs."""
+        slot = int(expires_ms // self.resolution_ms) + 1
+        items = self._slots.get(slot)
+        if items is None:
+            items = self._slots[slot] = {}
+            heappush(self._slot_heap, slot)
+        items[item] = None
         return slot
 
     def remove(self, item: T, slot: int) -> None:
-        """Nothing happens where the item came out already."""
-        held = self._slots.get(slot)
-        if held is not None:
-            held.pop(item, None)
+        """Remove an item; does nothing if it has been taken out already."""
+        items = self._slots.get(slot)
+        if items is not None:
+            items.pop(item, None)
 
     def take_expired(self, now: float) -> list[T]:
-        """Take out what is due, in the order of its times by slot, of its putting within one."""
-        found: list[T] = []
-        while self._order and self._order[0] * self.grain <= now:
-            found.extend(self._slots.pop(heappop(self._order)))
-        return found
+        """Remove and return the expired items, by slot, and within a slot in the order they were added."""
+        expired: list[T] = []
+        while self._slot_heap and self._slot_heap[0] * self.resolution_ms <= now:
+            expired.extend(self._slots.pop(heappop(self._slot_heap)))
+        return expired
 
     def next_expiry_ms(self) -> float | None:
-        """When to look again; slots that emptied meanwhile are cleared away here."""
-        while self._order and not self._slots[self._order[0]]:
-            del self._slots[heappop(self._order)]
-        return self._order[0] * self.grain if self._order else None
+        """Return when `take_expired` next has something to return, or None; removes empty slots."""
+        while self._slot_heap and not self._slots[self._slot_heap[0]]:
+            del self._slots[heappop(self._slot_heap)]
+        return self._slot_heap[0] * self.resolution_ms if self._slot_heap else None
--- a/tests/gateway/test_carrying.py
+++ b/tests/gateway/test_carrying.py
@@ -127,32 +127,32 @@
 
 
 def test_the_pool_opens_connects_for_what_waits_and_never_too_many():
-    pool = NodeConnectionPool("s", most_lines=3, streams=2, idle_ms=100.0)
-    assert not pool.wants(0, 0.0)
-    first = pool.begin(0.0)
-    assert not pool.wants(4, 0.0) and pool.wants(5, 0.0)
-    second = pool.begin(0.0)
-    pool.begin(0.0)
-    assert not pool.wants(500, 0.0)
-    pool.stands(first, 1.0)
-    pool.stands(second, 1.0)
+    pool = NodeConnectionPool("s", max_connections=3, max_in_flight=2, idle_timeout_ms=100.0)
+    assert not pool.should_connect(0, 0.0)
+    first = pool.add_connecting(0.0)
+    assert not pool.should_connect(4, 0.0) and pool.should_connect(5, 0.0)
+    second = pool.add_connecting(0.0)
+    pool.add_connecting(0.0)
+    assert not pool.should_connect(500, 0.0)
+    pool.mark_ready(first, 1.0)
+    pool.mark_ready(second, 1.0)
     picks = []
-    while (line := pool.pick()) is not None:
-        pool.took(line)
+    while (line := pool.choose()) is not None:
+        pool.frame_started(line)
         picks.append(line)
     assert picks.count(first) == picks.count(second) == 2
-    pool.gave(second, 5.0)
-    second.full = True
-    assert pool.pick() is None
-    pool.gave(second, 5.0)
-    assert pool.unused(104.0) == [] and pool.unused(105.0) == [second]
+    pool.frame_ended(second, 5.0)
+    second.is_full = True
+    assert pool.choose() is None
+    pool.frame_ended(second, 5.0)
+    assert pool.to_close(104.0) == [] and pool.to_close(105.0) == [second]
 
 
 def test_after_a_failed_connect_the_next_waits_though_more_is_sent():
-    pool = NodeConnectionPool("s", most_lines=3, streams=2, idle_ms=100.0)
-    line = pool.begin(10.0)
-    pool.gone(line, 10.0, wanted=True)
-    assert not pool.wants(50, 10.0) and pool.wants(50, 10.0 + 20.0)
+    pool = NodeConnectionPool("s", max_connections=3, max_in_flight=2, idle_timeout_ms=100.0)
+    line = pool.add_connecting(10.0)
+    pool.remove(line, 10.0, is_failure=True)
+    assert not pool.should_connect(50, 10.0) and pool.should_connect(50, 10.0 + 20.0)
 
 
 @given(
--- a/tests/gateway/test_gateway_failures.py
+++ b/tests/gateway/test_gateway_failures.py
@@ -214,9 +214,9 @@
         gateway._server.close()
         for session in [*gateway.sessions]:
             session.conn.abort("killed")
-        for link in gateway.node_clients.values():
-            for carried in [*link.lines.values()]:
-                carried.conn.abort("killed")
+        for node_client in gateway.node_clients.values():
+            for connection in [*node_client.connections.values()]:
+                connection.conn.abort("killed")
         gateway.rounds.stop()
         assert all(isinstance(answer, Errored) for answer in await asyncio.gather(*flying))
         port = int(gateway.address.rpartition(":")[2])
@@ -339,7 +339,7 @@
         assert isinstance(bad, Errored) and isinstance(await held, Errored)
         assert await gateway.done == EXIT_BROKEN
         facts = next(facts for event, facts in house.logs if event == "module broke")
-        assert "poisoned" in facts["traceback"] and "1 taken" in facts["round"]
+        assert "poisoned" in facts["traceback"] and "1 arrivals" in facts["round"]
 
     run(story)
 
