--- a/cherrygrade/gateway/lateness.py
+++ b/cherrygrade/gateway/lateness.py
@@ -1,8 +1,8 @@
-"""How late this process's own clockwork was of late, kept back from each client's time.
+"""Reserves part of each client's time for timers of this process that fire late.
 
-An RPC that is given up on is answered by a timer: on a machine whose cores are all taken timers ring late,
-and a margin for the answer's way alone would let the client's time run out unanswered. What was seen in the
-last SPAN_MS at most is kept back, and never more than half of what the client gives.
+An RPC that times out is answered by a timer. On a machine whose cores are all busy timers fire late, and a
+margin for sending the answer alone would let the client's deadline pass without an answer. The worst lateness
+of the last one or two spans is reserved, but never more than half of the client's time.
 
 Free of I/O and clock.
 """
@@ -10,29 +10,31 @@
 from __future__ import annotations
 
 SPAN_MS = 5000.0
-GRAIN_MS = 5.0  # any timer may be so late
-MOST_MS = 1000.0  # a longer stand is no clockwork any more: it would reject all that comes for seconds
+MIN_LATE_MS = 5.0  # timers may always be this late
+MAX_LATE_MS = 1000.0  # a longer stop is an exception: reserving it would reject all RPCs for seconds
 
 
 class Lateness:
-    """The worst of this span and of the one before."""
+    """The worst lateness of timers in the current span and in the one before."""
 
     def __init__(self, now: float) -> None:
-        self._now, self._before, self._ends = 0.0, 0.0, now + SPAN_MS
+        """`now`: start of the first span, ms."""
+        self._worst_ms, self._previous_worst_ms, self._span_ends_ms = 0.0, 0.0, now + SPAN_MS
 
     def record(self, late_ms: float, now: float) -> None:
-        """A timer rang so much after its time."""
-        self._turn(now)
-        if late_ms > GRAIN_MS:
-            self._now = max(self._now, min(late_ms, MOST_MS))
-
-    def margin_ms(self, left_ms: float, now: float) -> float:
-        """What to keep back of a client's time, beside the answer's way."""
-        self._turn(now)
-        return min(max(self._now, self._before), max(0.0, left_ms) / 2.0)
-
-    def _turn(self, now: float) -> None:
-        if now >= self._ends:
-            fresh = now < self._ends + SPAN_MS
-            self._before, self._now = self._now if fresh else 0.0, 0.0
-            self._ends = now + SPAN_MS
+        """Record that a timer fired `late_ms` after its time."""
+        self._advance(now)
+        if late_ms > MIN_LATE_MS:
+            self._worst_ms = max(self._worst_ms, min(late_ms, MAX_LATE_MS))
+
+    def margin_ms(self, remaining_ms: float, now: float) -> float:
+        """Return how much of a client's remaining time to reserve for late timers, ms."""
+        self._advance(now)
+        return min(max(self._worst_ms, self._previous_worst_ms), max(0.0, remaining_ms) / 2.0)
+
+    def _advance(self, now: float) -> None:
+        """Begin a new span if the current one has ended."""
+        if now >= self._span_ends_ms:
+            is_adjacent = now < self._span_ends_ms + SPAN_MS
+            self._previous_worst_ms, self._worst_ms = self._worst_ms if is_adjacent else 0.0, 0.0
+            self._span_ends_ms = now + SPAN_MS
--- a/cherrygrade/gateway/lifecycle.py
+++ b/cherrygrade/gateway/lifecycle.py
@@ -1,4 +1,4 @@
-"""What the life of any host process of the module needs: signals, a timer for time-outs, its fault."""
+"""What every process that hosts a scheduler shares: signals, a timer for time-outs, the report of a crash."""
 
 from __future__ import annotations
 
@@ -12,59 +12,90 @@
 from cherrygrade.gateway.timer_wheel import TimerWheel
 
 T = TypeVar("T")
+# Exit codes: all open requests were answered; the scheduler raised; requests were cut short.
 EXIT_CLEAN, EXIT_BROKEN, EXIT_FORCED = 0, 70, 75
 
 
 class HostProcess(Protocol):
+    """A dispatcher that `serve` runs.
+
+    Attributes:
+        done: the exit code, set once everything has stopped.
+    """
+
     done: asyncio.Future[int]
 
-    async def start(self) -> int: ...
+    async def start(self) -> int:
+        """Start serving; returns the port."""
 
-    def leave(self) -> None: ...
+    def leave(self) -> None:
+        """Shut down; called for SIGTERM and SIGINT."""
 
 
 class WakeTimer:
-    """One timer of the event loop for all that stands on a wheel; `ring(now)` takes out what is due."""
+    """One event-loop timer that wakes its owner when the next item of a timer wheel expires."""
 
     def __init__(
-        self, wheel: TimerWheel[T], clock: Callable[[], float], ring: Callable[[float], None]
+        self, wheel: TimerWheel[T], clock: Callable[[], float], wake: Callable[[float], None]
     ) -> None:
-        self._next_at, self._clock, self._ring_ = wheel.next_expiry_ms, clock, ring
+        """Create a timer that is not set.
+
+        Args:
+            wheel: the items.
+            clock: returns the event loop's clock, ms.
+            wake: called with the time; takes the expired items out of the wheel.
+        """
+        self._next_expiry_ms, self._clock, self._wake = wheel.next_expiry_ms, clock, wake
         self._timer: asyncio.TimerHandle | None = None
-        self._at = 0.0
+        self._timer_ms = 0.0
 
     def schedule(self) -> None:
-        at = self._next_at()
-        if at is None or (self._timer is not None and self._at <= at):
+        """Set the timer to the wheel's next expiry; to be called after each item that is added."""
+        expires_ms = self._next_expiry_ms()
+        if expires_ms is None or (self._timer is not None and self._timer_ms <= expires_ms):
             return
         self.close()
-        self._at = at
-        self._timer = asyncio.get_running_loop().call_at(at / 1000.0, self._ring)
+        self._timer_ms = expires_ms
+        self._timer = asyncio.get_running_loop().call_at(expires_ms / 1000.0, self._fire)
 
-    def _ring(self) -> None:
+    def _fire(self) -> None:
         self._timer = None
-        if self._next_at() is not None:
-            self._ring_(self._clock())
+        if self._next_expiry_ms() is not None:
+            self._wake(self._clock())
             self.schedule()
 
     def close(self) -> None:
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
 
 
-def log_scheduler_crash(log: Callable[..., None], trouble: Exception, round_: str) -> None:
-    log("module broke", round=round_, traceback="".join(traceback.format_exception(trouble)))
+def log_scheduler_crash(log: Callable[..., None], error: Exception, round_summary: str) -> None:
+    """Log that the scheduler raised `error` in the round described by `round_summary`."""
+    log(
+        "module broke",
+        round=round_summary,
+        traceback="".join(traceback.format_exception(error)),
+    )
+
+
+async def serve(process: HostProcess, started: Callable[[int], None] | None = None) -> int:
+    """Run a dispatcher until it has shut down.
 
+    Args:
+        process: the dispatcher.
+        started: called with the port once it serves.
 
-async def serve(life: HostProcess, started: Callable[[int], None] | None = None) -> int:
-    """Run until told to leave; gives the exit code: 0 all answered, 70 the module broke, 75 cut short."""
+    Returns:
+        The exit code: EXIT_CLEAN, EXIT_BROKEN or EXIT_FORCED.
+    """
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, life.leave)
-    port = await life.start()
-    gc.freeze()  # what the program is made of is not looked through again: that was 10 ms for everybody
+        loop.add_signal_handler(number, process.leave)
+    port = await process.start()
+    gc.freeze()  # objects that live as long as the process are not scanned: each scan paused all for 10 ms
     if started is not None:
         started(port)
-    code = await life.done
-    await asyncio.sleep(0)  # connections that close tell so once
+    code = await process.done
+    await asyncio.sleep(0)  # lets closing connections report their end
     return code
--- a/cherrygrade/gateway/node_client.py
+++ b/cherrygrade/gateway/node_client.py
@@ -142,9 +142,7 @@
         frame = self.frames.pop(answer.id, None)
         if frame is None:
             if answer.id > self.last_stream:
-                self.conn.close(
-                    f"answer to stream {answer.id}, but the last stream sent is {self.last_stream}"
-                )
+                self.conn.close("answer to a frame that was never sent")
             return
         frame_outcome = OUTCOMES_BY_CODE.get(answer.code, Outcome.FAILED)
         is_alone = len(frame.attempts) == 1
--- a/cherrygrade/gateway/node_connection_pool.py
+++ b/cherrygrade/gateway/node_connection_pool.py
@@ -46,8 +46,11 @@
 
     def __init__(self, seed: str, max_connections: int, max_in_flight: int, idle_timeout_ms: float) -> None:
         """`seed`: spreads the backoff after failures."""
-        self.max_connections, self.max_in_flight = max_connections, max_in_flight
-        self.idle_timeout_ms = idle_timeout_ms
+        self.max_connections, self.max_in_flight, self.idle_timeout_ms = (
+            max_connections,
+            max_in_flight,
+            idle_timeout_ms,
+        )
         self.connections: list[PooledConnection] = []
         self.backoff = Backoff(seed)
         self.next_connect_ms = 0.0
--- a/cherrygrade/gateway/peer_messaging.py
+++ b/cherrygrade/gateway/peer_messaging.py
@@ -1,7 +1,8 @@
-"""The way for short words between dispatchers: each listens at a place of its own and connects to others'.
+"""Gossip between dispatchers: each listens at an address of its own and connects to those of the others.
 
-A word may be lost: it goes nowhere while no connection stands or while the other does not read, and nothing
-waits for it. What comes from whoever is not one of the places' dispatchers closes that connection only.
+Messages may be lost: one is dropped if there is no connection or if the other dispatcher does not read, and
+none is stored. A connection from anyone but another dispatcher of this fleet is closed. A seat is the number
+of a dispatcher in the fleet, from 0.
 """
 
 from __future__ import annotations
@@ -15,169 +16,243 @@
 from cherrygrade.transport.listening import listen
 from cherrygrade.wire.messages import MOST_WORD, VERSION, Bye, Hello, Welcome, Word
 
-RATE = 400  # words of one dispatcher that are heard in a second; the rest is dropped
+MAX_MESSAGES_PER_SECOND = 400  # accepted from one dispatcher; the rest is dropped
 
-CONNECT_S, HELLO_S = 2.0, 2.0
-UNREAD = 16 * 1024  # bytes that may wait for another dispatcher; words beyond them are lost
+CONNECT_TIMEOUT_S, HELLO_TIMEOUT_S = 2.0, 2.0
+MAX_UNSENT_BYTES = 16 * 1024  # waiting for one dispatcher to read; messages beyond that are dropped
 
 
-class Mouth:
-    """The connection to one other dispatcher; made when there is something to say, again after a wait."""
+class GossipSender:
+    """The connection to one other dispatcher, opened by the first message and again after a backoff.
+
+    Attributes:
+        address: host:port of the other dispatcher.
+        name: this dispatcher's name.
+        seat_label: this dispatcher's seat and the size of its fleet, as in "0/3".
+    """
 
     def __init__(
-        self, place: str, name: str, seat: str, clock: Callable[[], float], log: Callable[..., None]
+        self,
+        address: str,
+        name: str,
+        seat_label: str,
+        clock: Callable[[], float],
+        log: Callable[..., None],
     ) -> None:
-        self.place, self.name, self.seat, self._clock, self._log = place, name, seat, clock, log
+        """`clock`: returns the time, ms. `log`: called with an event and its facts."""
+        self.address, self.name, self.seat_label, self._clock, self._log = (
+            address,
+            name,
+            seat_label,
+            clock,
+            log,
+        )
         self._conn: Connection | None = None
-        self._task: asyncio.Task[None] | None = None
-        self._backoff, self._not_before = Backoff(f"{name}>{place}"), 0.0
+        self._connect_task: asyncio.Task[None] | None = None
+        self._backoff, self._next_connect_ms = Backoff(f"{name}>{address}"), 0.0
 
-    def say(self, payload: bytes) -> bool:
-        """Whether it is on its way."""
+    def send(self, payload: bytes) -> bool:
+        """Send a message; returns False if it was dropped."""
         conn = self._conn
         if conn is None:
-            if self._task is None and self._clock() >= self._not_before:
-                self._task = asyncio.get_running_loop().create_task(self._connect())
+            if self._connect_task is None and self._clock() >= self._next_connect_ms:
+                self._connect_task = asyncio.get_running_loop().create_task(self._connect())
             return False
-        if conn.waiting + len(payload) > UNREAD:
+        if conn.waiting + len(payload) > MAX_UNSENT_BYTES:
             return False
         conn.send(Word(payload))
         return True
 
     def close(self) -> None:
-        if self._task is not None:
-            self._task.cancel()
+        """Close the connection."""
+        if self._connect_task is not None:
+            self._connect_task.cancel()
         if self._conn is not None:
             self._conn.close("dispatcher leaves")
 
     async def _connect(self) -> None:
-        host, _, port = self.place.rpartition(":")
+        host, _, port = self.address.rpartition(":")
         conn = Connection(self, 0)
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: conn, host, int(port))
-        except OSError as trouble:
-            self.closed(conn, f"connect: {trouble or type(trouble).__name__}")
+        except OSError as error:
+            self.closed(conn, f"connect: {error or type(error).__name__}")
 
     def connected(self, conn: Connection) -> None:
-        self._conn, self._task = conn, None
+        """Greet the other dispatcher."""
+        self._conn, self._connect_task = conn, None
         self._backoff.record_connected(self._clock())
-        conn.send(Hello(VERSION, "peer", self.name, [self.seat]))
+        conn.send(Hello(VERSION, "peer", self.name, [self.seat_label]))
 
     def room(self, conn: Connection, message: Any, length: int) -> None:
+        """Accept no bodies."""
         return None
 
     def frame(self, conn: Connection, message: Any, body: object) -> None:
+        """Accept the answer to the greeting; messages come on the connection that the other one opens."""
         if not isinstance(message, Welcome | Bye):
             conn.close(f"unexpected {type(message).__name__} from a dispatcher")
 
     def writable(self, conn: Connection) -> None:
-        pass
+        """Do nothing: messages that found the buffer full were dropped."""
 
     def closed(self, conn: Connection, why: str) -> None:
-        self._conn = self._task = None
-        self._not_before = self._backoff.record_failure(self._clock())
-        self._log("no way to a dispatcher", place=self.place, why=why)
+        """Back off before the next connect."""
+        self._conn = self._connect_task = None
+        self._next_connect_ms = self._backoff.record_failure(self._clock())
+        self._log("gossip connection lost", place=self.address, why=why)
+
 
+class GossipReceiver:
+    """A connection that was accepted: a greeting that names the other dispatcher, then its messages.
 
-class Ear:
-    """A connection that came in: a hello that tells who speaks, then words."""
+    Attributes:
+        messaging: the owner of this connection.
+        seat: the other dispatcher's seat; -1 before its greeting.
+        conn: the socket.
+    """
 
-    def __init__(self, words: PeerMessaging) -> None:
-        self.words, self.number = words, -1
-        self._second, self._heard = 0.0, 0
+    def __init__(self, messaging: PeerMessaging) -> None:
+        """Create the receiver of a connection that is about to be accepted."""
+        self.messaging, self.seat = messaging, -1
+        self._current_second, self._received_this_second = 0.0, 0
         self.conn = Connection(self, 0)
-        self._greeting: asyncio.TimerHandle | None = None
+        self._hello_timer: asyncio.TimerHandle | None = None
 
     def connected(self, conn: Connection) -> None:
-        if len(self.words.ears) >= 2 * len(self.words.mouths) + 2:  # old connections may not have ended yet
-            conn.close("more dispatchers than there are")
+        """Wait for the greeting, or close the connection if there are too many."""
+        # Twice as many as other dispatchers, since the end of old connections may not have been seen yet.
+        if len(self.messaging.receivers) >= 2 * len(self.messaging.senders) + 2:
+            conn.close("too many connections from dispatchers")
             return
-        self.words.ears[self] = None
-        self._greeting = asyncio.get_running_loop().call_later(HELLO_S, conn.close, "no hello in time")
+        self.messaging.receivers[self] = None
+        self._hello_timer = asyncio.get_running_loop().call_later(
+            HELLO_TIMEOUT_S, conn.close, "no hello in time"
+        )
 
     def room(self, conn: Connection, message: Any, length: int) -> None:
+        """Accept no bodies."""
         return None
 
     def frame(self, conn: Connection, message: Any, body: object) -> None:
-        if isinstance(message, Word) and self.number >= 0:
-            second = self.words.clock() // 1000.0
-            self._heard = self._heard + 1 if second == self._second else 1
-            self._second = second
-            if self._heard > RATE:
-                self.words.dropped += 1
+        """Handle a message from the other dispatcher."""
+        if isinstance(message, Word) and self.seat >= 0:
+            second = self.messaging.clock() // 1000.0
+            self._received_this_second = (
+                self._received_this_second + 1 if second == self._current_second else 1
+            )
+            self._current_second = second
+            if self._received_this_second > MAX_MESSAGES_PER_SECOND:
+                self.messaging.dropped += 1
             else:
-                self.words.came(self.number, message.payload)
-        elif isinstance(message, Hello) and self.number < 0 and message.role == "peer":
-            number = self.words.number_of(message.features)
-            if number is None:
-                why = f"dispatcher of another fleet: {message.features[:1]}, not {self.words.seats}"
-                conn.close(why[:900])
+                self.messaging.received(self.seat, message.payload)
+        elif isinstance(message, Hello) and self.seat < 0 and message.role == "peer":
+            seat = self.messaging.seat_of(message.features)
+            if seat is None:
+                reason = (
+                    f"dispatcher of another fleet: {message.features[:1]}, not {self.messaging.seat_labels}"
+                )
+                conn.close(reason[:900])
                 return
-            self.number = number
-            assert self._greeting is not None
-            self._greeting.cancel()
-            conn.send(Welcome(min(VERSION, message.version), self.words.name))
+            self.seat = seat
+            assert self._hello_timer is not None
+            self._hello_timer.cancel()
+            conn.send(Welcome(min(VERSION, message.version), self.messaging.name))
         elif isinstance(message, Bye):
             conn.close("dispatcher left")
         else:
-            conn.close(f"unexpected {type(message).__name__}; only dispatchers' words are heard here")
+            conn.close(f"unexpected {type(message).__name__}; only dispatchers' gossip is accepted here")
 
     def writable(self, conn: Connection) -> None:
-        pass
+        """Do nothing: only the greeting is answered."""
 
     def closed(self, conn: Connection, why: str) -> None:
-        if self._greeting is not None:
-            self._greeting.cancel()
-        self.words.ears.pop(self, None)
+        """Remove the closed connection."""
+        if self._hello_timer is not None:
+            self._hello_timer.cancel()
+        self.messaging.receivers.pop(self, None)
 
 
 class PeerMessaging:
-    """All ways of one dispatcher: `places` by number, its own among them. Mouths are one a place; ears go
-    with their connections."""
+    """The gossip connections of one dispatcher.
+
+    Attributes:
+        name: this dispatcher's name.
+        received: called with the seat of a dispatcher and each message from it.
+        clock: returns the time, ms.
+        sent, lost: messages sent, and dropped, for each dispatcher that they were for.
+        dropped: messages received beyond the rate limit.
+        seat_labels: by seat: the seat and the size of the fleet, as in "0/3".
+        senders: by seat, one for each other dispatcher.
+        receivers: accepted connections that are open.
+    """
 
     def __init__(
         self,
-        places: Sequence[str],
-        number: int,
+        addresses: Sequence[str],
+        seat: int,
         name: str,
         clock: Callable[[], float],
-        heard: Callable[[int, bytes], None],
+        received: Callable[[int, bytes], None],
         log: Callable[..., None],
     ) -> None:
-        self.name, self.came, self.clock = name, heard, clock
-        self.said = self.lost = self.dropped = 0
-        self.seats = [f"{at}/{len(places)}" for at in range(len(places))]
-        self.mouths = {
-            at: Mouth(place, name, self.seats[number], clock, log)
-            for at, place in enumerate(places)
-            if at != number
+        """Create the connections of one dispatcher; `start` must follow.
+
+        Args:
+            addresses: host:port of all dispatchers by seat.
+            seat: this dispatcher's.
+            name: this dispatcher's.
+            clock: returns the time, ms.
+            received: called with the seat of a dispatcher and each message from it.
+            log: called with an event and its facts.
+        """
+        self.name, self.received, self.clock = name, received, clock
+        self.sent = self.lost = self.dropped = 0
+        self.seat_labels = [f"{number}/{len(addresses)}" for number in range(len(addresses))]
+        self.senders = {
+            number: GossipSender(address, name, self.seat_labels[seat], clock, log)
+            for number, address in enumerate(addresses)
+            if number != seat
         }
-        self.ears: dict[Ear, None] = {}
-        self._own = places[number]
+        self.receivers: dict[GossipReceiver, None] = {}
+        self._own_address = addresses[seat]
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        self._server = await listen(lambda: Ear(self).conn, self._own, len(self.mouths) + 2)
-
-    def number_of(self, features: Sequence[str]) -> int | None:
-        """Who speaks, if it is one of the others of this fleet."""
-        seat = features[0] if features else ""
-        number = self.seats.index(seat) if seat in self.seats else -1
-        return number if number in self.mouths else None
-
-    def tell(self, peer: int | None, payload: bytes) -> None:
+        """Listen at this dispatcher's address.
+
+        Raises:
+            OSError: the address cannot be listened on.
+        """
+        self._server = await listen(
+            lambda: GossipReceiver(self).conn, self._own_address, len(self.senders) + 2
+        )
+
+    def seat_of(self, features: Sequence[str]) -> int | None:
+        """Return the seat that a greeting names, or None if it is not one of the other dispatchers."""
+        label = features[0] if features else ""
+        seat = self.seat_labels.index(label) if label in self.seat_labels else -1
+        return seat if seat in self.senders else None
+
+    def send(self, seat: int | None, payload: bytes) -> None:
+        """Send a message to one dispatcher, or to all others if `seat` is None.
+
+        Raises:
+            ValueError: the message is too long.
+        """
         if len(payload) > MOST_WORD:
-            raise ValueError(f"a word of {len(payload)} bytes; at most {MOST_WORD}")
-        for at, mouth in self.mouths.items():
-            if peer is None or at == peer:
-                on_its_way = mouth.say(payload)
-                self.said, self.lost = self.said + on_its_way, self.lost + (not on_its_way)
+            raise ValueError(f"a gossip message of {len(payload)} bytes; at most {MOST_WORD}")
+        for number, sender in self.senders.items():
+            if seat is None or number == seat:
+                is_sent = sender.send(payload)
+                self.sent, self.lost = self.sent + is_sent, self.lost + (not is_sent)
 
     def close(self) -> None:
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
-        for mouth in self.mouths.values():
-            mouth.close()
-        for ear in [*self.ears]:
-            ear.conn.close("dispatcher leaves")
+        for sender in self.senders.values():
+            sender.close()
+        for receiver in [*self.receivers]:
+            receiver.conn.close("dispatcher leaves")
--- a/cherrygrade/gateway/process.py
+++ b/cherrygrade/gateway/process.py
@@ -1,4 +1,8 @@
-"""The dispatcher's process: listener, sessions, links, the register's watch, rounds, and their life."""
+"""The dispatcher process of the native protocol.
+
+`Gateway` owns all parts and connects them: client sessions hand it RPCs, the rounds have it carry out the
+scheduler's decisions, and the register and the fleet change what it works with.
+"""
 
 from __future__ import annotations
 
@@ -47,13 +51,43 @@
     from cherrygrade.fleet.runtime.peer_directory import FleetPeerDirectory
     from cherrygrade.gateway.overlay import Overlay
 
-TELL_S = 60.0
-LINGER_MS = 1000.0  # that clients get for closing by themselves when this process leaves
-BACKLOG, ABREAST = 1024, 1  # a crowd that arrives waits at the door: who is in goes on meanwhile
+COUNTS_INTERVAL_S = 60.0  # between log lines of the counters
+LINGER_MS = 1000.0  # at shutdown, time for clients to close their connections themselves
+# New connections wait in the kernel and are accepted one at a time, so that a crowd of new clients does not
+# delay those that are connected.
+ACCEPT_BACKLOG, ACCEPTS_AT_ONCE = 1024, 1
 
 
 class Gateway:
-    """One dispatcher. Links are a node each, sessions a client each; both go with what they stand for."""
+    """One dispatcher.
+
+    Implements `RequestHost` for sessions and for range requests, `Carrier` for rounds and `HostProcess` for
+    `serve`. Attributes that are not described here are parts, named as their class or settings are.
+
+    Attributes:
+        place: who this dispatcher is in the fleet, with its addresses.
+        trade, bounds: the settings of workloads and volumes, and of limits, that are in force.
+        max_body_bytes: the longest body that an RPC or an answer may carry.
+        max_open_rpcs: RPCs that one client may have open.
+        hello_timeout_ms: time that a new client has for its greeting.
+        come_back_ms: sent to rejected clients: how long to wait before they retry.
+        leaving: `leave` has been called.
+        open_requests: accepted and not answered; emptied by final answers and by clients that abandon them.
+        sessions: open client connections.
+        arrivals: limits connections that have not sent their greeting.
+        node_clients: one for each node to which an attempt was sent.
+        nodes: the nodes of the endpoint list, by address.
+        wheel: time-outs of attempts.
+        done: the exit code, set once everything has stopped.
+        agent: membership and configuration of the fleet; None outside of a fleet.
+        overlay: settings of this dispatcher's own file, beneath the fleet's configuration; None without one.
+        peer_directory: the other dispatchers, as the scheduler uses them; None outside of a fleet.
+        rooms: the memory for bodies.
+        ranges: splits range requests into pieces and joins their answers.
+        watch: finds clients and nodes that read or write too slowly.
+        peer_messaging: gossip over connections between dispatchers; None where it goes by the fleet or is
+            off.
+    """
 
     def __init__(
         self,
@@ -71,15 +105,34 @@
         origin: StartReference | None = None,
         overlay: Overlay | None = None,
     ) -> None:
-        """`overlay`: the own file, for what is laid over it by the fleet's configuration; None: there is
-        none."""
-        self.place, self.trade, self.bounds, self.lines_, self.log = place, trade, bounds, lines, log
-        self.name, self.most_body, self.most_open = place.name, bounds.most_body, bounds.most_open
-        self.hello_ms, self.come_back_ms = bounds.hello_ms, bearings.permits.max_retry_after_ms
+        """Create a dispatcher; the event loop must be running, and `start` must follow.
+
+        Args:
+            place: name, addresses and seat of this dispatcher.
+            trade: workloads, volumes and units.
+            bearings: the scheduler's settings.
+            bounds: limits on clients, RPCs and bodies.
+            lines: settings of connections to storage nodes.
+            log: called with an event and its facts.
+            make: creates the scheduler.
+            cuts: how ranges are split and coalesced; default settings if None.
+            pace: flow control and memory for bodies; default settings if None.
+            places: gossip addresses of all dispatchers by seat; empty if there is no gossip or a fleet.
+            fleet: the fleet to join; None for no fleet.
+            origin: identifies this start of the process in the fleet.
+            overlay: this dispatcher's own file, if the fleet's configuration is laid over it.
+        """
+        self.place, self.trade, self.bounds, self._node_connections, self.log = (
+            place,
+            trade,
+            bounds,
+            lines,
+            log,
+        )
+        self.name, self.max_body_bytes, self.max_open_rpcs = place.name, bounds.most_body, bounds.most_open
+        self.hello_timeout_ms, self.come_back_ms = bounds.hello_ms, bearings.permits.max_retry_after_ms
         self.leaving, self._lingering = False, True
-        self.open_requests: dict[
-            InflightRequest | RangeRequest, None
-        ] = {}  # taken and not over; emptied by final answers and leavings
+        self.open_requests: dict[InflightRequest | RangeRequest, None] = {}
         self.sessions: dict[Session, None] = {}
         self.arrivals: Arrivals[Session] = Arrivals(bounds.most_clients, bounds.most_silent)
         self.node_clients: dict[Node, NodeClient] = {}
@@ -89,7 +142,9 @@
         self.agent: FleetAgent | None = None
         self.overlay = overlay
         self.peer_directory: FleetPeerDirectory | None = None
-        self._unsure = False  # what the fleet's configuration is: then this one has no part
+        # While the fleet's configuration is not known for certain, this dispatcher uses no quota.
+        self._is_config_uncertain = False
+        # Settings in force, the version that they come from (None: the own file) and its stage.
         self._in_force: tuple[SiteSettings, ConfigVersion | None, int] | None = None
         if overlay is not None:
             self._in_force = (overlay.own, None, 0)
@@ -106,13 +161,13 @@
                 place.seed,
                 origin or StartReference(0),
                 lambda: loop.time() * 1000.0,
-                lambda peer, word: self.rounds.receive_gossip(peer, word),
+                lambda peer, payload: self.rounds.receive_gossip(peer, payload),
                 log,
                 self.in_force if overlay is not None else None,
                 overlay.judge if overlay is not None else None,
             )
             self.peer_directory = FleetPeerDirectory(self.agent.membership, seat)
-        dispatcher = make(
+        scheduler = make(
             seed=place.seed,
             number=place.number,
             dispatchers=place.dispatchers,
@@ -127,19 +182,19 @@
         pace = pace or FlowControlSettings()
         pressed = partial(
             is_pressed_workload,
-            highest_weight=dispatcher.settings.highest_weight,
-            tightest_objective_ms=dispatcher.settings.tightest_objective_ms,
+            highest_weight=scheduler.settings.highest_weight,
+            tightest_objective_ms=scheduler.settings.tightest_objective_ms,
         )
         self.rooms = Rooms(trade, bearings.earnings, pressed, pace, bounds.most_body, log)
-        self.rounds = Rounds(dispatcher, self, self._crashed, lambda text: log("module", text=text))
-        self.ranges = Carrier(self, cuts or ExtentSettings(), self._ask_map)
+        self.rounds = Rounds(scheduler, self, self._crashed, lambda text: log("module", text=text))
+        self.ranges = Carrier(self, cuts or ExtentSettings(), self._request_extent_map)
         self.register_watch = RegisterWatch(
             place.register,
             place.name,
             RegisteredNodes(self.nodes),
             bearings.permits.polls_endpoints,
             self.rounds.clock,
-            self._heard,
+            self._endpoints_received,
             self.ranges.heard,
             log,
             lines.source,
@@ -149,7 +204,7 @@
             pace,
             self.rooms,
             lambda: self.sessions,
-            self._node_lines,
+            self._open_node_connections,
             self.come_back_ms,
             log,
             self.lateness.record,
@@ -161,33 +216,49 @@
             )
         self._server: asyncio.Server | None = None
         self._wake_timer = WakeTimer(self.wheel, self.rounds.clock, self.before_round)
-        self._telling: asyncio.TimerHandle | None = None
+        self._counts_timer: asyncio.TimerHandle | None = None
 
-    # Lifecycle.
+    # Start and shutdown.
 
     async def start(self) -> int:
-        """Listen, follow the register; gives the port."""
+        """Listen for clients and connect to the register.
+
+        Returns:
+            The port that clients connect to.
+
+        Raises:
+            OSError: an address cannot be listened on.
+        """
         host = self.place.listen.rpartition(":")[0]
         if self.peer_messaging is not None:
             await self.peer_messaging.start()
-        if self.agent is not None:  # a version that was kept is in force before anybody is served
+        if (
+            self.agent is not None
+        ):  # a stored configuration comes into force before the first client is served
             await self.agent.start()
             if self.agent.config is not None and self.peer_directory is not None:
-                self._unsure = not self._sure()
-                self.peer_directory.has_quota = self.peer_directory.has_quota and not self._unsure
-        self._server = await listen(lambda: Session(self).conn, self.place.listen, BACKLOG, ABREAST)
+                self._is_config_uncertain = not self._sure()
+                self.peer_directory.has_quota = (
+                    self.peer_directory.has_quota and not self._is_config_uncertain
+                )
+        self._server = await listen(
+            lambda: Session(self).conn, self.place.listen, ACCEPT_BACKLOG, ACCEPTS_AT_ONCE
+        )
         self.register_watch.start()
         if self.watch.pace.watch:
             self.watch.start()
-        if self.register_watch.must_ask:
-            self.rounds.schedule_round()  # the first round asks for the list
-        self._tell()
+        if self.register_watch.is_polled:
+            self.rounds.schedule_round()  # the first round requests the endpoint list
+        self._log_counts()
         bound: int = self._server.sockets[0].getsockname()[1]
         self.log("listening", address=f"{host}:{bound}", dispatcher=self.name)
         return bound
 
     def leave(self) -> None:
-        """Take nothing new, finish what is held inside its deadlines, end; a second call ends at once."""
+        """Stop accepting RPCs, finish the open requests within their deadlines and end.
+
+        A second call ends the process at once; open requests are then answered with an error.
+        """
         if self.leaving:
             self._end(EXIT_FORCED)
             return
@@ -200,41 +271,43 @@
         for session in self.sessions:
             session.conn.send(Leaving("dispatcher leaves", self.come_back_ms))
         asyncio.get_running_loop().call_later(self.bounds.leave_ms / 1000.0, self._end, EXIT_FORCED)
-        asyncio.get_running_loop().call_later(LINGER_MS / 1000.0, self._linger_over)
-        self._look_done()
+        asyncio.get_running_loop().call_later(LINGER_MS / 1000.0, self._stop_lingering)
+        self._end_if_done()
 
-    def _tell(self) -> None:
-        """A line each minute of what ranges and room came to; none of what did nothing."""
+    def _log_counts(self) -> None:
+        """Log the counters, and again each minute; counters that are all zero are left out."""
         self.ranges.tell()
         self.rooms.tell()
         if self.agent is not None:
             self.log("fleet", side=self.agent.membership.partition_state.value, **self.agent.counts())
         if self.peer_messaging is not None:
-            words, module = self.peer_messaging, self.rounds.scheduler
-            counts = {"said": words.said, "lost": words.lost, "dropped": words.dropped}
-            if any(counts.values()) or module.load_gossip.malformed:
-                self.log("words", **counts, nonsense=module.load_gossip.malformed)
-        self._telling = asyncio.get_running_loop().call_later(TELL_S, self._tell)
-
-    def _linger_over(self) -> None:
-        """Clients that did not close by themselves wait no longer."""
+            messaging, scheduler = self.peer_messaging, self.rounds.scheduler
+            counts = {"said": messaging.sent, "lost": messaging.lost, "dropped": messaging.dropped}
+            if any(counts.values()) or scheduler.load_gossip.malformed:
+                self.log("words", **counts, nonsense=scheduler.load_gossip.malformed)
+        self._counts_timer = asyncio.get_running_loop().call_later(COUNTS_INTERVAL_S, self._log_counts)
+
+    def _stop_lingering(self) -> None:
+        """Wait no longer for clients to close their connections themselves."""
         self._lingering = False
-        self._look_done()
+        self._end_if_done()
 
-    def _look_done(self) -> None:
+    def _end_if_done(self) -> None:
+        """End if this process is leaving, no request is open and no client needs to be waited for."""
         if self.leaving and not self.open_requests and not (self._lingering and self.sessions):
-            # What this round still writes goes out first.
+            # Deferred by one event-loop iteration, so that answers of the current round are sent first.
             asyncio.get_running_loop().call_soon(self._end, EXIT_CLEAN)
 
     def _end(self, code: int) -> None:
+        """Answer all open requests with an error, close all parts and set the exit code."""
         if self.done.done():
             return
         self.rounds.stop()
-        for held in [*self.open_requests]:
-            assert held.rpc is not None
-            if not isinstance(held, InflightRequest):
-                held.drop()
-            self.send_final_answer(held, Errored(held.rpc.id, "dispatcher ends"))
+        for request in [*self.open_requests]:
+            assert request.rpc is not None
+            if not isinstance(request, InflightRequest):
+                request.drop()
+            self.send_final_answer(request, Errored(request.rpc.id, "dispatcher ends"))
         if self._server is not None:
             self._server.close()
         self.register_watch.close()
@@ -242,352 +315,444 @@
             self.peer_messaging.close()
         if self.agent is not None:
             self.agent.close()
-        self._tell()
+        self._log_counts()
         self.ranges.close()
         self.watch.close()
         self.rooms.close()
-        for link in self.node_clients.values():
-            link.close()
+        for node_client in self.node_clients.values():
+            node_client.close()
         for session in [*self.sessions]:
             session.conn.close("dispatcher leaves", self.come_back_ms)
         self._wake_timer.close()
-        if self._telling is not None:
-            self._telling.cancel()
+        if self._counts_timer is not None:
+            self._counts_timer.cancel()
         self.log("ended", code=code)
         self.done.set_result(code)
 
-    def _crashed(self, trouble: Exception, round_: str) -> None:
-        log_scheduler_crash(self.log, trouble, round_)
+    def _crashed(self, error: Exception, round_summary: str) -> None:
+        log_scheduler_crash(self.log, error, round_summary)
         self._end(EXIT_BROKEN)
 
-    def _node_lines(self) -> list[NodeConnection]:
-        return [line for link in self.node_clients.values() for line in link.connections.values()]
+    def _open_node_connections(self) -> list[NodeConnection]:
+        return [one for client in self.node_clients.values() for one in client.connections.values()]
 
-    # What sessions call.
+    # Called by sessions and range requests.
 
     @property
     def full(self) -> bool:
+        """No further RPC is accepted now."""
         return self.leaving or len(self.open_requests) >= self.bounds.most_held
 
     def register_session(self, session: Session) -> bool:
+        """Add a session; returns False if there are too many.
+
+        The oldest connection that has not sent its greeting may be closed to make place.
+        """
         if self.leaving:
             return False
-        place, goes = self.arrivals.came(session, len(self.sessions))
-        if goes is not None:
-            goes.conn.close("no hello yet, and others come", self.come_back_ms)
-        if place:
+        is_accepted, evicted = self.arrivals.came(session, len(self.sessions))
+        if evicted is not None:
+            evicted.conn.close("no hello yet, and other clients are waiting", self.come_back_ms)
+        if is_accepted:
             self.sessions[session] = None
-        return place
+        return is_accepted
 
     def session_greeted(self, session: Session) -> None:
+        """Record that the client has sent its greeting."""
         self.arrivals.spoke(session)
 
-    def remove_session(self, session: Session, why: str) -> None:
+    def remove_session(self, session: Session, reason: str) -> None:
+        """Remove a session whose connection has closed."""
         self.arrivals.spoke(session)
         if self.sessions.pop(session, self) is None:
-            self.log("client left", client=session.name, peer=session.conn.peer, why=why)
-            self._look_done()
+            self.log("client left", client=session.name, peer=session.conn.peer, why=reason)
+            self._end_if_done()
 
-    def answer_deadline_ms(self, session: ClientSession, ask: ReadRpc | WriteRpc) -> float:
-        """When the RPC's answer must be on its way. To be asked once an RPC."""
+    def answer_deadline_ms(self, session: ClientSession, rpc: ReadRpc | WriteRpc) -> float:
+        """Return when the answer of an RPC must be sent; to be called once for each RPC, on its arrival."""
         now = self.rounds.clock()
-        waited = session.transit_ms(ask.at_ms, now)
-        workload = self.trade.workloads.get(ask.workload)
-        # Clients of one workload that give themselves more time than it has would make the others look late.
-        left = min(ask.left_ms, workload.deadline_ms if workload else 1e7) - waited
-        return now + left - self.bounds.answer_ms - self.lateness.margin_ms(left, now)
+        waited_ms = session.transit_ms(rpc.at_ms, now)
+        workload = self.trade.workloads.get(rpc.workload)
+        # A client's time is capped by its workload's: requests with longer deadlines would make the other
+        # requests of the workload look late to the scheduler.
+        remaining_ms = min(rpc.left_ms, workload.deadline_ms if workload else 1e7) - waited_ms
+        return now + remaining_ms - self.bounds.answer_ms - self.lateness.margin_ms(remaining_ms, now)
 
     def new_request(
         self,
         session: ClientSession,
-        ask: ReadRpc | WriteRpc,
+        rpc: ReadRpc | WriteRpc,
         body: Body,
         key: str,
         shard: int,
         start: int,
         length: int,
-        until: float,
+        deadline_ms: float,
     ) -> InflightRequest:
-        volume = self.trade.volumes.get(ask.volume)
+        """Create the request of an RPC, or of one piece of it, by the settings in force.
+
+        Args:
+            session: the client.
+            rpc: the RPC.
+            body: the bytes to write; None for a read.
+            key: the key or extent.
+            shard: where the key or extent lies.
+            start: first byte within the key or extent.
+            length: bytes to read or write.
+            deadline_ms: when the answer must be sent.
+
+        Returns:
+            The request. Its workload or plan is None if the RPC names an unknown one.
+        """
+        volume = self.trade.volumes.get(rpc.volume)
         return InflightRequest(
-            workload=self.trade.workloads.get(ask.workload),
+            workload=self.trade.workloads.get(rpc.workload),
             plan=volume.plan if volume else None,
-            volume=ask.volume,
+            volume=rpc.volume,
             dispatchers=volume.hosts if volume else 1,
             key=key,
             shard=shard,
             units=self.trade.measure.units(length),
-            deadline_ms=until,
-            is_write=isinstance(ask, WriteRpc),
-            is_retry=ask.repeat,
-            id=f"{session.name}:{ask.id}",
+            deadline_ms=deadline_ms,
+            is_write=isinstance(rpc, WriteRpc),
+            is_retry=rpc.repeat,
+            id=f"{session.name}:{rpc.id}",
             offset=start,
             length=length,
             session=session,
-            rpc=ask,
+            rpc=rpc,
             body=body,
         )
 
     def take(
-        self, session: Session, ask: ReadRpc | WriteRpc, body: Any
+        self, session: Session, rpc: ReadRpc | WriteRpc, body: Any
     ) -> InflightRequest | RangeRequest | None:
-        """An RPC on an extent that the client names itself, or on a range; None: answered at once."""
-        return self.submit_direct(session, ask, body) if ask.key else self.ranges.take(session, ask, body)
-
-    def submit_direct(self, session: ClientSession, ask: ReadRpc | WriteRpc, body: Body) -> InflightRequest:
-        """An RPC that no map is asked for."""
-        length = ask.length if isinstance(ask, ReadRpc) else len(body or b"")
-        held = self.new_request(
-            session, ask, body, ask.key, ask.shard, ask.offset, length, self.answer_deadline_ms(session, ask)
+        """Accept an RPC on a key, or on a range of a volume; returns None if it was answered at once."""
+        return self.submit_direct(session, rpc, body) if rpc.key else self.ranges.take(session, rpc, body)
+
+    def submit_direct(self, session: ClientSession, rpc: ReadRpc | WriteRpc, body: Body) -> InflightRequest:
+        """Submit an RPC on a key: it needs no extent map."""
+        length = rpc.length if isinstance(rpc, ReadRpc) else len(body or b"")
+        request = self.new_request(
+            session, rpc, body, rpc.key, rpc.shard, rpc.offset, length, self.answer_deadline_ms(session, rpc)
         )
-        self.admit(held)
-        return held
+        self.admit(request)
+        return request
 
-    def admit(self, held: InflightRequest) -> None:
-        """To the module, once there is room for the bytes that it will bring."""
-        session, work = held.session, held.workload
+    def admit(self, request: InflightRequest) -> None:
+        """Submit a request to the scheduler once memory for the bytes that it reads has been reserved."""
+        session, workload = request.session, request.workload
         assert session is not None
-        # Room was taken before, or there is nothing to bring while it is not known where it lies.
-        whole = held.is_write or (held.range is not None and (not held.range.streams or held.extent < 0))
-        if work is not None and held.length and not whole and not session.reserve_small_read(held, work.name):
-            left = held.deadline_ms - self.rounds.clock()
-            held.claim = self.rooms.ask(session.account, work.name, held.volume, held.length, held, left)
-        if not waits(held.claim):
-            self.rounds.submit(held)
+        # A write, or a range that is joined before it is answered, has its memory already. A piece whose
+        # extent is not located yet reads nothing.
+        is_reserved = request.is_write or (
+            request.range is not None and (not request.range.streams or request.extent < 0)
+        )
+        if (
+            workload is not None
+            and request.length
+            and not is_reserved
+            and not session.reserve_small_read(request, workload.name)
+        ):
+            remaining_ms = request.deadline_ms - self.rounds.clock()
+            request.claim = self.rooms.ask(
+                session.account, workload.name, request.volume, request.length, request, remaining_ms
+            )
+        if not waits(request.claim):
+            self.rounds.submit(request)
 
-    def memory_admitted(self, held: InflightRequest) -> None:
-        """Room for its bytes came."""
-        self.rounds.submit(held)
+    def memory_admitted(self, request: InflightRequest) -> None:
+        """Submit a request that waited: memory for its bytes has been reserved."""
+        self.rounds.submit(request)
 
-    def add_open_request(self, taken: InflightRequest | RangeRequest) -> None:
-        self.open_requests[taken] = None
+    def add_open_request(self, request: InflightRequest | RangeRequest) -> None:
+        """Count a request as open until its final answer."""
+        self.open_requests[request] = None
 
-    def is_open(self, one: RangeRequest) -> bool:
-        return one in self.open_requests
+    def is_open(self, request: RangeRequest) -> bool:
+        """Return whether a range request has been accepted and not been answered."""
+        return request in self.open_requests
 
-    def abandon(self, held: InflightRequest) -> None:
-        self.rounds.abandon(held)
+    def abandon(self, request: InflightRequest) -> None:
+        """Withdraw a request from the scheduler."""
+        self.rounds.abandon(request)
 
     def clock(self) -> float:
+        """Return the rounds' clock, ms."""
         return self.rounds.clock()
 
-    def reject_without_memory(self, held: InflightRequest) -> None:
-        """No room came in its time: it never was the module's."""
-        held.finished = True
-        if held.range is not None:
-            held.range.rejected(held, self.come_back_ms)
-        elif held.rpc is not None:
-            self.send_final_answer(held, Rejected(held.rpc.id, self.come_back_ms, "no room for its bytes"))
-
-    def detach_claim(self, held: InflightRequest | RangeRequest) -> Claim | None:
-        """The RPC needs its room no more: whoever gets it gives it back. Sends that are out still hold it."""
-        if isinstance(held, InflightRequest) and held.purse is not None:
-            held.purse.spent -= held.length
-            held.purse = None
-        claim, held.claim = held.claim, None
-        if claim is not None and isinstance(held, InflightRequest):
-            self.pin_attempts(held, claim)
+    def reject_without_memory(self, request: InflightRequest) -> None:
+        """Reject a request for whose bytes no memory became free in time; the scheduler never had it."""
+        request.finished = True
+        if request.range is not None:
+            request.range.rejected(request, self.come_back_ms)
+        elif request.rpc is not None:
+            self.send_final_answer(
+                request, Rejected(request.rpc.id, self.come_back_ms, "no room for its bytes")
+            )
+
+    def detach_claim(self, request: InflightRequest | RangeRequest) -> Claim | None:
+        """Take the memory claim from a request that has ended and return it; the caller releases it.
+
+        Attempts that are in flight keep it pinned until they end.
+        """
+        if isinstance(request, InflightRequest) and request.purse is not None:
+            request.purse.spent -= request.length
+            request.purse = None
+        claim, request.claim = request.claim, None
+        if claim is not None and isinstance(request, InflightRequest):
+            self.pin_attempts(request, claim)
         return claim
 
-    def pin_attempts(self, held: InflightRequest, claim: Claim) -> None:
-        """The RPC is over, its sends are not: their bytes have to go, or to come in."""
-        for out in held.attempts:
+    def pin_attempts(self, request: InflightRequest, claim: Claim) -> None:
+        """Pin a claim for the attempts in flight of a request that has ended.
+
+        Their bytes are still to be sent to the node, or received from it.
+        """
+        for attempt in request.attempts:
             if (
-                isinstance(out, InflightAttempt)
-                and out.outcome is None
-                and out.frame is not None
-                and out.claim is None
+                isinstance(attempt, InflightAttempt)
+                and attempt.outcome is None
+                and attempt.frame is not None
+                and attempt.claim is None
             ):
                 claim.pin()
-                out.claim = claim
+                attempt.claim = claim
 
-    def discard_memory(self, held: InflightRequest | RangeRequest) -> None:
-        """Nobody gets its bytes."""
-        self.rooms.leave(self.detach_claim(held))
+    def discard_memory(self, request: InflightRequest | RangeRequest) -> None:
+        """Release the memory of a request whose bytes are sent to nobody."""
+        self.rooms.leave(self.detach_claim(request))
 
-    def client_abandoned(self, held: InflightRequest | RangeRequest) -> None:
-        self.open_requests.pop(held, None)
-        if isinstance(held, InflightRequest):
-            self.rounds.abandon(held)
+    def client_abandoned(self, request: InflightRequest | RangeRequest) -> None:
+        """Drop a request whose client no longer wants the answer."""
+        self.open_requests.pop(request, None)
+        if isinstance(request, InflightRequest):
+            self.rounds.abandon(request)
         else:
-            held.drop()
-        self.discard_memory(held)
-        self._look_done()
+            request.drop()
+        self.discard_memory(request)
+        self._end_if_done()
 
     def extents_located(self) -> None:
-        """RPCs that waited for their place have one now: the module looks at them as after a list."""
+        """Run a round in which the scheduler looks at all queued requests: some now have a node.
+
+        The scheduler does so whenever the endpoint list names a node, so one is named here.
+        """
         self.rounds.inputs.endpoint_changes += [*self.nodes.by_address.values()][:1]
         self.rounds.schedule_round()
 
     # The fleet's configuration.
 
     async def in_force(self, version: ConfigVersion, stage: int) -> str:
-        """The version at this stage: all that hangs on it goes over between two rounds, at once. Gives why it
-        is refused, and then all is as it was. Its text is read in a thread of its own."""
+        """Bring a version of the fleet's configuration into force, all of it between two rounds.
+
+        The text of the version is read in a thread of its own.
+
+        Args:
+            version: the configuration.
+            stage: 2N while version N is being introduced, 2N+1 once it is settled.
+
+        Returns:
+            Why the version is refused, in which case nothing has changed; "" if it is in force.
+        """
         from cherrygrade.fleet.config.live_changes import setting_changes
-        from cherrygrade.gateway.overlay import needs, told
+        from cherrygrade.gateway.overlay import fault_text, restart_text
         from cherrygrade.records.load import RecordError
 
         assert self.overlay is not None and self._in_force is not None
         loop = asyncio.get_running_loop()
         try:
             site = await loop.run_in_executor(None, self.overlay.site, version.text)
-        except RecordError as wrong:
-            return told(wrong)
-        restart = setting_changes(self._in_force[0], site).restart_keys
-        if restart:
-            return needs(restart)
+        except RecordError as error:
+            return fault_text(error)
+        restart_keys = setting_changes(self._in_force[0], site).restart_keys
+        if restart_keys:
+            return restart_text(restart_keys)
         if self.done.done():
             return "the dispatcher ends"
         if stage < self._in_force[2]:
             return f"stage {stage}: {self._in_force[2]} is in force, and a stage never goes back"
         try:
-            self._go_over(site, version, stage)
-        except ValueError as wrong:
-            return str(wrong)
+            self._apply_settings(site, version, stage)
+        except ValueError as error:
+            return str(error)
         return ""
 
     def _sure(self) -> bool:
-        """Whether it is known here what the fleet's configuration is."""
+        """Return whether this dispatcher knows the fleet's configuration for certain."""
         config = self.agent.config if self.agent is not None else None
         return config is None or (config.replica is not None and config.replica.is_certain)
 
-    def _go_over(self, site: SiteSettings, version: ConfigVersion | None, stage: int) -> None:
-        """Between two rounds. All is built first; behind that nothing fails."""
+    def _apply_settings(self, site: SiteSettings, version: ConfigVersion | None, stage: int) -> None:
+        """Bring settings into force between two rounds.
+
+        Everything that can fail happens first, so that settings are never partly in force.
+
+        Raises:
+            ValueError: the settings divide a limit among no dispatchers; nothing has changed.
+        """
         from cherrygrade.fleet.config.joint_phase import quota_parts
         from cherrygrade.fleet.config.live_changes import quota_divisors
         from cherrygrade.gateway.settings_in_force import apply_settings, derive_settings
 
         assert self.agent is not None and self.peer_directory is not None
-        sure = self._sure()
+        is_certain = self._sure()
         old = version.old_divisors if version is not None and stage % 2 == 0 else None
-        into = derive_settings(site, quota_parts(self.place.number, quota_divisors(site), old, sure), old)
-        pressed = partial(is_pressed_workload, highest_weight=into.top, tightest_objective_ms=into.tight)
-        held = self._held()
+        derived = derive_settings(
+            site, quota_parts(self.place.number, quota_divisors(site), old, is_certain), old
+        )
+        pressed = partial(
+            is_pressed_workload,
+            highest_weight=derived.highest_weight,
+            tightest_objective_ms=derived.tightest_objective_ms,
+        )
+        requests = self._scheduled_requests()
         self.rooms.put(
-            into.trade,
-            into.bearings.earnings,
+            derived.trade,
+            derived.bearings.earnings,
             pressed,
-            {one.workload.name for one in held if one.workload is not None},
-            {one.volume for one in held},
+            {request.workload.name for request in requests if request.workload is not None},
+            {request.volume for request in requests},
         )
-        apply_settings(self.rounds.scheduler, self.peer_directory, into, self.rounds.clock())
-        for one in held:  # its volume's plan is today's; its workload is that which it was taken with
-            dealt = into.trade.volumes.get(one.volume)
-            if dealt is not None and one.plan is not None:
-                one.plan, one.dispatchers = dealt.plan, dealt.hosts
-        self._in_force, self._unsure = (site, version, stage), not sure
-        self.trade, self.bounds = into.trade, site.bounds
-        self.come_back_ms = self.watch.come_back_ms = into.bearings.permits.max_retry_after_ms
-        self.agent.membership.fleet_size = max(into.counts)
+        apply_settings(self.rounds.scheduler, self.peer_directory, derived, self.rounds.clock())
+        for request in requests:  # open requests get the new plan of their volume but keep their workload
+            volume = derived.trade.volumes.get(request.volume)
+            if volume is not None and request.plan is not None:
+                request.plan, request.dispatchers = volume.plan, volume.hosts
+        self._in_force, self._is_config_uncertain = (site, version, stage), not is_certain
+        self.trade, self.bounds = derived.trade, site.bounds
+        self.come_back_ms = self.watch.come_back_ms = derived.bearings.permits.max_retry_after_ms
+        self.agent.membership.fleet_size = max(derived.dispatcher_counts)
         self.rounds.schedule_round()
 
-    def _held(self) -> list[InflightRequest]:
-        """All RPCs for the module that are not over, pieces of others among them."""
+    def _scheduled_requests(self) -> list[InflightRequest]:
+        """Return all open requests of the scheduler, with the pieces of range requests among them."""
         found: list[InflightRequest] = []
-        for one in self.open_requests:
-            found += [one] if isinstance(one, InflightRequest) else one.pieces
+        for request in self.open_requests:
+            found += [request] if isinstance(request, InflightRequest) else request.pieces
         return found
 
-    # What the register watch calls.
+    # Called by the register watch.
 
-    def _heard(self, nodes: list[Node], answered: bool | None) -> None:
+    def _endpoints_received(self, nodes: list[Node], request_answered: bool | None) -> None:
+        """Hand changes of the endpoint list to the next round.
+
+        Args:
+            nodes: the nodes that the register sent something about.
+            request_answered: whether a request for the list was answered (True) or failed (False); None if
+                this is neither.
+        """
         for node in nodes:
-            link = self.node_clients.get(node)
-            if link is not None:
-                link.node_state_changed()
+            node_client = self.node_clients.get(node)
+            if node_client is not None:
+                node_client.node_state_changed()
         self.rounds.inputs.endpoint_changes += nodes
-        if answered is not None:
-            self.rounds.inputs.endpoint_list_received = answered
+        if request_answered is not None:
+            self.rounds.inputs.endpoint_list_received = request_answered
         self.rounds.schedule_round()
 
-    # What rounds carry out.
+    # Called by the rounds.
 
     def before_round(self, now: float) -> None:
-        if self._unsure and self._in_force is not None and self._sure():
-            self._go_over(*self._in_force)
+        """Prepare a round: note finished attempts for the fleet and time out expired ones."""
+        if self._is_config_uncertain and self._in_force is not None and self._sure():
+            self._apply_settings(*self._in_force)
         if self.agent is not None:
-            for send in self.rounds.inputs.outcomes:
-                self.agent.attempt_finished(send)
-        for out in self.wheel.take_expired(now):
-            self.node_clients[out.node].abandon_attempt(out, Outcome.TIMED_OUT)
-
-    def send_attempt(self, out: InflightAttempt, limit_ms: float) -> None:
-        if out.carried_by is not None:
-            return  # it goes with the one that carries it
-        link = self.node_clients.get(out.node)
-        if link is None:
-            link = self.node_clients[out.node] = NodeClient(
-                out.node,
+            for attempt in self.rounds.inputs.outcomes:
+                self.agent.attempt_finished(attempt)
+        for expired in self.wheel.take_expired(now):
+            self.node_clients[expired.node].abandon_attempt(expired, Outcome.TIMED_OUT)
+
+    def send_attempt(self, attempt: InflightAttempt, limit_ms: float) -> None:
+        """Send an attempt to its node, together with those coalesced with it.
+
+        Each attempt times out at the deadline of its request.
+        """
+        if attempt.carried_by is not None:
+            return  # sent in the frame of the attempt that carries it
+        node_client = self.node_clients.get(attempt.node)
+        if node_client is None:
+            node_client = self.node_clients[attempt.node] = NodeClient(
+                attempt.node,
                 self.name,
-                f"{self.place.seed}:{self.name}>{out.node.address}",
+                f"{self.place.seed}:{self.name}>{attempt.node.address}",
                 self.rounds,
                 self.wheel,
-                self.most_body,
-                self.lines_,
+                self.max_body_bytes,
+                self._node_connections,
                 self.log,
                 self.ranges.stale,
                 self.rooms.unpin,
             )
-        outs = [out]
-        if out.coalesced:
-            outs += [mate for mate in out.coalesced if isinstance(mate, InflightAttempt)]
-            self.ranges.joined += len(out.coalesced)
-        for one in outs:
+        attempts = [attempt]
+        if attempt.coalesced:
+            attempts += [other for other in attempt.coalesced if isinstance(other, InflightAttempt)]
+            self.ranges.joined += len(attempt.coalesced)
+        for one in attempts:
             one.timer_slot = self.wheel.add(one, one.request.deadline_ms)
-        link.send(outs)
+        node_client.send(attempts)
         self._wake_timer.schedule()
 
-    def cancel_attempt(self, out: InflightAttempt) -> None:
-        self.wheel.remove(out, out.timer_slot)
-        self.node_clients[out.node].abandon_attempt(out, Outcome.CANCELLED)
+    def cancel_attempt(self, attempt: InflightAttempt) -> None:
+        """Stop waiting for an attempt and tell its node so."""
+        self.wheel.remove(attempt, attempt.timer_slot)
+        self.node_clients[attempt.node].abandon_attempt(attempt, Outcome.CANCELLED)
 
-    def answer_ok(self, held: InflightRequest, out: InflightAttempt) -> None:
-        if held.range is not None:
-            held.range.ok(held)
+    def answer_ok(self, request: InflightRequest, attempt: InflightAttempt) -> None:
+        """Answer an RPC with the result of an attempt, or hand it to the range request of the piece."""
+        if request.range is not None:
+            request.range.ok(request)
             return
-        assert held.rpc is not None
-        self.send_final_answer(held, Ok(held.rpc.id, out.node.shard), None if held.is_write else held.body)
+        assert request.rpc is not None
+        self.send_final_answer(
+            request, Ok(request.rpc.id, attempt.node.shard), None if request.is_write else request.body
+        )
 
-    def answer_rejected(self, held: InflightRequest, come_back_ms: float) -> None:
-        if held.range is not None:
-            held.range.rejected(held, come_back_ms)
+    def answer_rejected(self, request: InflightRequest, retry_after_ms: float) -> None:
+        """Answer that an RPC has not run; names the workload or volume if it is unknown."""
+        if request.range is not None:
+            request.range.rejected(request, retry_after_ms)
             return
-        assert held.rpc is not None
+        assert request.rpc is not None
         reason = ""
-        if held.workload is None:
-            reason = f"unknown workload '{held.rpc.workload}'"
-        elif held.plan is None:
-            reason = f"unknown volume '{held.volume}'"
-        self.send_final_answer(held, Rejected(held.rpc.id, come_back_ms, reason))
-
-    def answer_errored(self, held: InflightRequest) -> None:
-        if held.range is not None:
-            held.range.errored(held)
+        if request.workload is None:
+            reason = f"unknown workload '{request.rpc.workload}'"
+        elif request.plan is None:
+            reason = f"unknown volume '{request.volume}'"
+        self.send_final_answer(request, Rejected(request.rpc.id, retry_after_ms, reason))
+
+    def answer_errored(self, request: InflightRequest) -> None:
+        """Answer that an RPC failed, with the outcome of its last attempt."""
+        if request.range is not None:
+            request.range.errored(request)
             return
-        assert held.rpc is not None
-        last = held.attempts[-1].outcome if held.attempts else None
-        self.send_final_answer(held, Errored(held.rpc.id, f"last send: {last.value}" if last else ""))
+        assert request.rpc is not None
+        last = request.attempts[-1].outcome if request.attempts else None
+        self.send_final_answer(
+            request, Errored(request.rpc.id, f"last attempt: {last.value}" if last else "")
+        )
 
     def send_final_answer(
-        self, held: InflightRequest | RangeRequest, message: Ok | Rejected | Errored, body: Any = None
+        self, request: InflightRequest | RangeRequest, message: Ok | Rejected | Errored, body: Any = None
     ) -> None:
-        """The one final answer."""
-        assert held.session is not None
-        self.open_requests.pop(held, None)
-        held.session.answer(message, body, self.detach_claim(held))
-        if isinstance(held, InflightRequest):
-            held.body = None
-        self._look_done()
+        """Send the one final answer of an RPC and release its memory once the client has it."""
+        assert request.session is not None
+        self.open_requests.pop(request, None)
+        request.session.answer(message, body, self.detach_claim(request))
+        if isinstance(request, InflightRequest):
+            request.body = None
+        self._end_if_done()
 
-    def _ask_map(self, volume: str, first: int, count: int) -> None:
-        self.register_watch.ask_map(volume, first, count)
+    def _request_extent_map(self, volume: str, first_extent: int, count: int) -> None:
+        self.register_watch.request_extent_map(volume, first_extent, count)
 
     def send_gossip(self, peer: int | None, payload: bytes) -> None:
+        """Send a gossip message to the dispatcher with the number `peer`, or to all if it is None."""
         if self.agent is not None:
             self.agent.send_scheduler_message(peer, payload)
         elif self.peer_messaging is not None:
-            self.peer_messaging.tell(peer, payload)
+            self.peer_messaging.send(peer, payload)
 
     def request_endpoint_list(self, push: bool) -> None:
-        self.register_watch.ask(push)
+        """Request the complete endpoint list. `push`: subscribe to its changes too."""
+        self.register_watch.request_endpoint_list(push)
--- a/cherrygrade/gateway/register_watch.py
+++ b/cherrygrade/gateway/register_watch.py
@@ -1,6 +1,6 @@
-"""Follows the register: connects, asks, hears, and tells the module what was learned.
+"""Keeps a connection to the register: requests the endpoint list and extent maps, and passes them on.
 
-Losing the register leaves the last list standing.
+While the register is unreachable the last endpoint list stays in use.
 """
 
 from __future__ import annotations
@@ -15,121 +15,158 @@
 from cherrygrade.transport.connection import Connection
 from cherrygrade.wire.messages import VERSION, AskMap, Bye, Follow, Hello, MapPart, Roster, Welcome
 
-MOST_BODY = 0  # a register sends no bodies
-ANSWER_MS = 2000.0  # an ask that is not answered by then has come to nothing
+MAX_BODY_BYTES = 0  # a register sends no bodies
+ANSWER_TIMEOUT_MS = 2000.0  # for a connect, and for the answer to a request of the endpoint list
 
 
 class RegisterWatch:
-    """`heard(nodes, answered)` is told of each word: nodes learned of, and whether an ask was answered
-    (True), came to nothing (False), or neither (None)."""
+    """The connection to the register; reconnects with a backoff until it is closed.
+
+    Attributes:
+        address: host:port of the register.
+        name: this dispatcher's name, sent in the greeting.
+        registered_nodes: the endpoint list as last received.
+        is_polled: the scheduler requests the list. Otherwise it is requested on each new connection.
+    """
 
     def __init__(
         self,
         address: str,
         name: str,
-        book: RegisteredNodes,
-        must_ask: bool,
+        registered_nodes: RegisteredNodes,
+        is_polled: bool,
         clock: Callable[[], float],
-        heard: Callable[[list[Node], bool | None], None],
-        mapped: Callable[[MapPart], None],
+        endpoints_received: Callable[[list[Node], bool | None], None],
+        extents_received: Callable[[MapPart], None],
         log: Callable[..., None],
         source: str = "",
     ) -> None:
-        self.address, self.name, self.book, self.must_ask = address, name, book, must_ask
-        self._clock, self._heard, self._mapped, self._log = clock, heard, mapped, log
-        self._from = (source, 0) if source else None
+        """Create a watch; `start` opens the connection.
+
+        Args:
+            address: host:port of the register.
+            name: this dispatcher's name.
+            registered_nodes: updated by each message about the endpoint list.
+            is_polled: the scheduler requests the list.
+            clock: returns the time, ms.
+            endpoints_received: called with the nodes that changed, and with True if a request of the list
+                was answered, False if it failed, or None if this is neither.
+            extents_received: called with each part of an extent map.
+            log: called with an event and its facts.
+            source: local address of the connection; chosen by the system if empty.
+        """
+        self.address, self.name, self.registered_nodes, self.is_polled = (
+            address,
+            name,
+            registered_nodes,
+            is_polled,
+        )
+        self._clock, self._endpoints_received, self._extents_received, self._log = (
+            clock,
+            endpoints_received,
+            extents_received,
+            log,
+        )
+        self._local_address = (source, 0) if source else None
         self._backoff = Backoff(f"{name}>{address}")
         self._conn: Connection | None = None
-        self._task: asyncio.Task[None] | None = None
-        self._handle: asyncio.TimerHandle | None = None
-        self._deadline: asyncio.TimerHandle | None = None
-        self._ended = False
-        self._asked = self._wanted = False
+        self._connect_task: asyncio.Task[None] | None = None
+        self._reconnect_timer: asyncio.TimerHandle | None = None
+        self._answer_timer: asyncio.TimerHandle | None = None
+        self._is_closed = False
+        # The scheduler's request is not answered; a full list was requested because a change was missed.
+        self._is_list_requested = self._is_gap_requested = False
 
     def start(self) -> None:
-        self._task = asyncio.get_running_loop().create_task(self._connect())
+        """Connect to the register."""
+        self._connect_task = asyncio.get_running_loop().create_task(self._connect())
 
     def close(self) -> None:
-        self._ended = True
-        for handle in (self._handle, self._deadline):
-            if handle is not None:
-                handle.cancel()
-        if self._task is not None:
-            self._task.cancel()
+        """Close the connection and do not reconnect."""
+        self._is_closed = True
+        for timer in (self._reconnect_timer, self._answer_timer):
+            if timer is not None:
+                timer.cancel()
+        if self._connect_task is not None:
+            self._connect_task.cancel()
         if self._conn is not None:
             self._conn.close("dispatcher leaves")
 
-    def ask(self, push: bool) -> None:
-        """The module asks for the list."""
-        self._asked = True
-        if self._deadline is None:
+    def request_endpoint_list(self, push: bool) -> None:
+        """Request the full endpoint list for the scheduler. `push`: subscribe to its changes too."""
+        self._is_list_requested = True
+        if self._answer_timer is None:
             loop = asyncio.get_running_loop()
-            self._deadline = loop.call_later(ANSWER_MS / 1000.0, self._unanswered)
+            self._answer_timer = loop.call_later(ANSWER_TIMEOUT_MS / 1000.0, self._answer_timed_out)
         if self._conn is not None and self._conn.open:
             self._conn.send(Follow(push=push))
 
-    def ask_map(self, volume: str, first: int, count: int) -> None:
-        """Ask where extents lie; nothing where the register is away, whoever waits asks again."""
+    def request_extent_map(self, volume: str, first_extent: int, count: int) -> None:
+        """Request where `count` extents lie; does nothing without a connection, so callers ask again."""
         if self._conn is not None and self._conn.open:
-            self._conn.send(AskMap(volume, first, count))
+            self._conn.send(AskMap(volume, first_extent, count))
 
-    def _unanswered(self) -> None:
-        self._deadline = None
-        if self._asked:
-            self._asked = False
-            self._heard([], False)
+    def _answer_timed_out(self) -> None:
+        self._answer_timer = None
+        if self._is_list_requested:
+            self._is_list_requested = False
+            self._endpoints_received([], False)
 
     async def _connect(self) -> None:
         host, _, port = self.address.rpartition(":")
-        conn = Connection(self, MOST_BODY)
+        conn = Connection(self, MAX_BODY_BYTES)
         try:
-            async with asyncio.timeout(ANSWER_MS / 1000.0):
+            async with asyncio.timeout(ANSWER_TIMEOUT_MS / 1000.0):
                 loop = asyncio.get_running_loop()
-                await loop.create_connection(lambda: conn, host, int(port), local_addr=self._from)
-        except OSError as trouble:
-            self.closed(conn, f"connect: {trouble or type(trouble).__name__}")
+                await loop.create_connection(lambda: conn, host, int(port), local_addr=self._local_address)
+        except OSError as error:
+            self.closed(conn, f"connect: {error or type(error).__name__}")
 
     def connected(self, conn: Connection) -> None:
+        """Greet the register; request the list if nobody else does, or if a request is open."""
         self._conn = conn
         self._backoff.record_connected(self._clock())
         conn.send(Hello(VERSION, "dispatcher", self.name))
-        if not self.must_ask or self._asked:
+        if not self.is_polled or self._is_list_requested:
             conn.send(Follow(push=True))
 
     def room(self, conn: Connection, message: Any, length: int) -> None:
+        """Accept no bodies."""
         return None
 
     def frame(self, conn: Connection, message: Any, body: object) -> None:
+        """Handle a message from the register."""
         if isinstance(message, Roster):
-            learned = self.book.apply(message, self._clock())
-            if learned is None:
-                if self.book.gap and not self._wanted:
-                    self._wanted = True
+            changed = self.registered_nodes.apply(message, self._clock())
+            if changed is None:
+                if self.registered_nodes.gap and not self._is_gap_requested:
+                    self._is_gap_requested = True
                     conn.send(Follow(push=True))
                 return
-            self._wanted = False
-            answered = True if self._asked and message.full else None
-            if answered:
-                self._asked = False
-                if self._deadline is not None:
-                    self._deadline.cancel()
-                    self._deadline = None
-            self._heard(learned, answered)
+            self._is_gap_requested = False
+            request_answered = True if self._is_list_requested and message.full else None
+            if request_answered:
+                self._is_list_requested = False
+                if self._answer_timer is not None:
+                    self._answer_timer.cancel()
+                    self._answer_timer = None
+            self._endpoints_received(changed, request_answered)
         elif isinstance(message, MapPart):
-            self._mapped(message)
+            self._extents_received(message)
         elif not isinstance(message, Welcome | Bye):
             conn.close(f"unexpected {type(message).__name__} from the register")
 
     def writable(self, conn: Connection) -> None:
-        pass
+        """Do nothing: requests are short."""
 
     def closed(self, conn: Connection, why: str) -> None:
-        self._conn, self._wanted = None, False
-        if self._ended:
+        """Reconnect after a backoff; the scheduler is told that its subscription has ended."""
+        self._conn, self._is_gap_requested = None, False
+        if self._is_closed:
             return
-        self._log("register lost", address=self.address, why=why)
-        if self.must_ask and not self._asked:
-            self._heard([], False)  # the subscription went with the connection
+        self._log("register connection lost", address=self.address, why=why)
+        if self.is_polled and not self._is_list_requested:
+            self._endpoints_received([], False)  # the subscription ended with the connection
         now = self._clock()
-        wait = (self._backoff.record_failure(now) - now) / 1000.0
-        self._handle = asyncio.get_running_loop().call_later(wait, self.start)
+        wait_s = (self._backoff.record_failure(now) - now) / 1000.0
+        self._reconnect_timer = asyncio.get_running_loop().call_later(wait_s, self.start)
--- a/cherrygrade/gateway/sessions.py
+++ b/cherrygrade/gateway/sessions.py
@@ -1,4 +1,8 @@
-"""Client sessions: ids become objects here, and only here; each RPC taken gets its one final answer here."""
+"""Sessions of native-protocol clients.
+
+A session turns the RPC ids of its client into request objects, and gives each accepted RPC exactly one final
+answer. It also keeps the client within its share of the memory for bodies.
+"""
 
 from __future__ import annotations
 
@@ -28,160 +32,203 @@
 
 
 class RequestHost(Protocol):
-    """The dispatcher, as its clients' sessions need it."""
+    """The dispatcher, as the sessions of its clients use it."""
 
     @property
-    def name(self) -> str: ...
+    def name(self) -> str:
+        """The dispatcher's name, sent in the greeting."""
 
     @property
-    def most_body(self) -> int: ...
+    def max_body_bytes(self) -> int:
+        """The longest body that an RPC may carry."""
 
     @property
-    def most_open(self) -> int: ...
+    def max_open_rpcs(self) -> int:
+        """RPCs that one client may have open."""
 
     @property
-    def hello_ms(self) -> float: ...
+    def hello_timeout_ms(self) -> float:
+        """Time that a new client has for its greeting."""
 
     @property
-    def come_back_ms(self) -> float: ...
+    def come_back_ms(self) -> float:
+        """Sent to rejected clients: how long to wait before they retry."""
 
     @property
-    def leaving(self) -> bool: ...
+    def leaving(self) -> bool:
+        """The dispatcher is shutting down."""
 
     @property
-    def full(self) -> bool: ...
+    def full(self) -> bool:
+        """No further RPC is accepted now."""
 
     @property
-    def rooms(self) -> Rooms: ...
+    def rooms(self) -> Rooms:
+        """The memory for bodies."""
 
     def register_session(self, session: Session) -> bool:
-        """Whether there is a place for it."""
+        """Add a session; returns False if there are too many."""
 
     def session_greeted(self, session: Session) -> None:
-        """It greeted."""
+        """Record that the client has sent its greeting."""
 
-    def remove_session(self, session: Session, why: str) -> None: ...
+    def remove_session(self, session: Session, reason: str) -> None:
+        """Remove a session whose connection has closed."""
 
     def take(
-        self, session: Session, ask: ReadRpc | WriteRpc, body: Any
+        self, session: Session, rpc: ReadRpc | WriteRpc, body: Any
     ) -> InflightRequest | RangeRequest | None:
-        """None where it was answered at once."""
+        """Accept an RPC; returns None if it was answered at once."""
 
-    def add_open_request(self, taken: InflightRequest | RangeRequest) -> None:
-        """It is in the session's table, under its id."""
+    def add_open_request(self, request: InflightRequest | RangeRequest) -> None:
+        """Count a request that the session has entered in its table as open."""
 
-    def memory_admitted(self, held: InflightRequest) -> None: ...
+    def memory_admitted(self, request: InflightRequest) -> None:
+        """Go on with a request: memory for its bytes has been reserved."""
 
-    def reject_without_memory(self, held: InflightRequest) -> None: ...
+    def reject_without_memory(self, request: InflightRequest) -> None:
+        """Reject a request for whose bytes no memory became free in time."""
 
-    def client_abandoned(self, held: InflightRequest | RangeRequest) -> None:
-        """Its client wants no answer any more."""
+    def client_abandoned(self, request: InflightRequest | RangeRequest) -> None:
+        """Drop a request whose client no longer wants the answer."""
 
 
 class Session:
-    """One client's connection. `rpcs` is emptied by final answers and by the connection's end."""
+    """The connection of one client.
+
+    Attributes:
+        host: the dispatcher.
+        conn: the socket.
+        name: the client's name; empty before its greeting.
+        rpcs: open RPCs by their id; emptied by final answers and by the connection's end.
+        features: protocol features that the client named in its greeting.
+        bytes_in_flight: bytes of the pieces of range requests that are in flight for this client.
+        waiting_ranges: range requests that wait for the client to read; each removes itself when it goes on
+            or ends.
+        account: memory that this client uses, and the step that it is on if it is slow.
+        claim: memory for the body that is being received, or that waits to be.
+        purse: memory shared by the client's small reads; None while there is none.
+        transit: estimates how long messages of this client were on the way.
+    """
 
     def __init__(self, host: RequestHost) -> None:
+        """Create the session of a connection that is about to be accepted."""
         self.host = host
-        self.conn = Connection(self, host.most_body, taken=self.taken)
+        self.conn = Connection(self, host.max_body_bytes, taken=self.body_taken)
         self.name = ""
         self.rpcs: dict[int, InflightRequest | RangeRequest] = {}
         self.features: list[str] = []
-        self.bytes_in_flight = 0  # bytes of pieces that are out for this client
-        # wait for room here; emptied by it and by their ends
+        self.bytes_in_flight = 0
         self.waiting_ranges: dict[RangeRequest, None] = {}
         self.account = Account()
-        self.claim: Claim | None = None  # of the body that is coming in, or that waits to
+        self.claim: Claim | None = None
         self.purse: Purse | None = None
-        self._dropped = False  # the body that is being read off found no room
+        self._body_dropped = False  # no memory was free for the body that is being read, so it is discarded
         self.transit = TransitTime()
-        self._greeting: asyncio.TimerHandle | None = None
+        self._hello_timer: asyncio.TimerHandle | None = None
 
     @property
     def slow(self) -> Step:
+        """The step that the client is on if it reads or writes too slowly."""
         return self.account.step
 
     def connected(self, conn: Connection) -> None:
+        """Register the session, or close the connection if there are too many clients."""
         if not self.host.register_session(self):
             conn.close("too many clients", self.host.come_back_ms)
             return
         conn.show_slowness()
-        wait = self.host.hello_ms / 1000.0
-        self._greeting = asyncio.get_running_loop().call_later(wait, conn.close, "no hello in time")
+        wait_s = self.host.hello_timeout_ms / 1000.0
+        self._hello_timer = asyncio.get_running_loop().call_later(wait_s, conn.close, "no hello in time")
 
     def room(self, conn: Connection, message: Any, length: int) -> bytearray | Later | None:
-        """A write that would not be taken is read off and dropped: it costs no memory."""
+        """Return the buffer for the body of a write, LATER to wait for memory, or None to drop the body.
+
+        The body of a write that would be rejected is read and dropped, so that it uses no memory.
+        """
         if not (isinstance(message, WriteRpc) and self.name):
             return None
-        host, self._dropped = self.host, self.host.full
-        if self._dropped:
+        host, self._body_dropped = self.host, self.host.full
+        if self._body_dropped:
             return None
         self.claim = host.rooms.ask(
             self.account, message.workload, message.volume, length, self, message.left_ms
         )
         if self.claim is None and host.rooms.bounded:
-            return None  # of a workload or a volume that nobody knows
+            return None  # the workload or the volume is unknown
         return LATER if waits(self.claim) else bytearray(length)
 
     def roomy(self, claim: Claim) -> None:
+        """Receive the body that waited: its memory has been reserved."""
         self.conn.give(bytearray(claim.length))
         self.read_on()
 
     def cramped(self, claim: Claim) -> None:
-        self.claim, self._dropped = None, True
+        """Drop the body that waited: no memory became free in time."""
+        self.claim, self._body_dropped = None, True
         self.conn.give(None)
         self.read_on()
 
-    def reserve_small_read(self, held: InflightRequest, workload: str) -> bool:
-        """Whether the purse pays for the bytes that a small read will bring."""
+    def reserve_small_read(self, request: InflightRequest, workload: str) -> bool:
+        """Pay for the bytes of a small read from the client's purse; returns False if it cannot."""
         conn = self.conn
-        if held.length > PURSE // 8 or conn.stuck or not self.host.rooms.bounded:
+        if request.length > PURSE // 8 or conn.stuck or not self.host.rooms.bounded:
             return False
         purse = self.purse
         if purse is None:
-            purse = self.purse = self.host.rooms.purse(self.account, workload, held.volume, self)
+            purse = self.purse = self.host.rooms.purse(self.account, workload, request.volume, self)
             if purse is None:
                 return False
-        if not purse.spend(workload, held.volume, held.length, conn.waiting):
+        if not purse.spend(workload, request.volume, request.length, conn.waiting):
             return False
-        held.purse = purse
+        request.purse = purse
         return True
 
     def transit_ms(self, since_hello_ms: float, now: float) -> float:
-        """How long its word was on its way, ms."""
+        """Return how long a message of the client was on the way beyond the fastest one, ms."""
         return self.transit.excess_ms(since_hello_ms, now)
 
-    def memory_granted(self, held: InflightRequest) -> None:
-        self.host.memory_admitted(held)
+    def memory_granted(self, request: InflightRequest) -> None:
+        """Go on with a request: memory for its bytes has been reserved."""
+        self.host.memory_admitted(request)
 
-    def memory_refused(self, held: InflightRequest) -> None:
-        self.host.reject_without_memory(held)
+    def memory_refused(self, request: InflightRequest) -> None:
+        """Reject a request: no memory became free in time."""
+        self.host.reject_without_memory(request)
 
     def idle(self) -> None:
-        """Now and then: a purse that pays for nothing is given back."""
+        """Release the purse if nothing uses it; called periodically."""
         purse = self.purse
         if purse is not None and not (purse.spent or self.conn.waiting or self.conn.stuck):
             self.purse = None
             self.host.rooms.leave(purse.claim)
 
-    def taken(self, claim: Claim) -> None:
-        """The client has a body; a narrowed one gets its next piece only then."""
+    def body_taken(self, claim: Claim) -> None:
+        """Release the memory of a body that the client has read.
+
+        A client that is narrowed for being slow gets the next piece of its range requests only then.
+        """
         self.host.rooms.unpin(claim)
         if self.waiting_ranges and not self.conn.waiting:
             self.feed_hungry()
 
     def read_on(self) -> None:
-        """Read, unless it does not read its answers, or is slow: then only what it has begun to say."""
+        """Resume or pause reading from the client.
+
+        Reading pauses while the client does not read its answers. From a slow client only the frame that it
+        has begun is read.
+        """
         conn = self.conn
         conn.hold_reading(conn.full or (self.slow >= Step.HELD and not conn.within))
 
     def frame(self, conn: Connection, message: Any, body: bytearray | memoryview | None) -> None:
+        """Handle a message from the client."""
         if isinstance(message, (ReadRpc, WriteRpc)) and self.name:
             self._take(message, body)
         elif isinstance(message, Leave) and self.name:
-            left = self.rpcs.pop(message.id, None)
-            if left is not None:
-                self.host.client_abandoned(left)
+            request = self.rpcs.pop(message.id, None)
+            if request is not None:
+                self.host.client_abandoned(request)
         elif isinstance(message, Hello) and not self.name:
             self._greet(message)
         elif isinstance(message, Bye):
@@ -193,51 +240,59 @@
         if hello.version < 1 or hello.role != "client" or not hello.name:
             self.conn.close(
                 f"hello of version {hello.version} as '{hello.role}': "
-                f"versions from 1 as 'client', with a name, are taken"
+                f"expected a version of at least 1, the role 'client' and a name"
             )
             return
-        assert self._greeting is not None
-        self._greeting.cancel()
+        assert self._hello_timer is not None
+        self._hello_timer.cancel()
         self.host.session_greeted(self)
         self.name, self.features = hello.name, hello.features
         host = self.host
-        self.conn.send(Welcome(min(VERSION, hello.version), host.name, [], host.most_body, host.most_open))
+        self.conn.send(
+            Welcome(min(VERSION, hello.version), host.name, [], host.max_body_bytes, host.max_open_rpcs)
+        )
 
-    def _take(self, ask: ReadRpc | WriteRpc, body: bytearray | memoryview | None) -> None:
-        claim, dropped = self.claim, self._dropped
-        self.claim, self._dropped = None, False
-        taken = self._taken(ask, body, dropped)
-        if taken is None:
+    def _take(self, rpc: ReadRpc | WriteRpc, body: bytearray | memoryview | None) -> None:
+        """Accept or reject an RPC; its memory is released if it is not accepted."""
+        claim, body_dropped = self.claim, self._body_dropped
+        self.claim, self._body_dropped = None, False
+        request = self._accept(rpc, body, body_dropped)
+        if request is None:
             self.host.rooms.leave(claim)
             return
-        self.rpcs[ask.id] = taken
-        self.host.add_open_request(taken)
+        self.rpcs[rpc.id] = request
+        self.host.add_open_request(request)
         if claim is not None:
-            taken.claim = claim
+            request.claim = claim
 
-    def _taken(
-        self, ask: ReadRpc | WriteRpc, body: bytearray | memoryview | None, dropped: bool
+    def _accept(
+        self, rpc: ReadRpc | WriteRpc, body: bytearray | memoryview | None, body_dropped: bool
     ) -> InflightRequest | RangeRequest | None:
-        if ask.id in self.rpcs:
-            self.conn.close(f"two RPCs with the id {ask.id}")
+        """Return the request of an RPC, or None if it has been answered already."""
+        if rpc.id in self.rpcs:
+            self.conn.close(f"two RPCs with the id {rpc.id}")
             return None
-        if isinstance(ask, ReadRpc) and (ask.length > self.host.most_body or body is not None):
-            # Nothing was taken: an answer of this length cannot be carried.
-            self.conn.send(Errored(ask.id, f"a read of {ask.length} bytes; at most {self.host.most_body}"))
+        if isinstance(rpc, ReadRpc) and (rpc.length > self.host.max_body_bytes or body is not None):
+            # The RPC has not run: its answer would be longer than a frame may carry.
+            self.conn.send(
+                Errored(rpc.id, f"a read of {rpc.length} bytes; at most {self.host.max_body_bytes}")
+            )
             return None
-        if len(self.rpcs) >= self.host.most_open or self.host.full:
-            reason = "leaving" if self.host.leaving else "more held than there is room for"
-            self.conn.send(Rejected(ask.id, self.host.come_back_ms, reason))
+        if len(self.rpcs) >= self.host.max_open_rpcs or self.host.full:
+            reason = "dispatcher is leaving" if self.host.leaving else "too many open requests"
+            self.conn.send(Rejected(rpc.id, self.host.come_back_ms, reason))
             return None
-        if dropped:  # there was no room when its body came; there may be now, but the body is gone
-            self.conn.send(Rejected(ask.id, self.host.come_back_ms, "no room for its bytes"))
+        if body_dropped:  # even if memory is free now, the body is gone
+            self.conn.send(Rejected(rpc.id, self.host.come_back_ms, "no room for its bytes"))
             return None
-        return self.host.take(self, ask, body)
+        return self.host.take(self, rpc, body)
 
     def send_message(self, message: Ok | Rejected | Errored | Part, body: Body, claim: Claim | None) -> None:
-        """To the client. A body's room goes with it, until the client has taken it."""
+        """Send a message to the client; the claim is released once the client has taken the body."""
         if self.conn.waiting and isinstance(body, memoryview) and len(body) < memoryview(body.obj).nbytes:
-            body = bytearray(body)  # a part of what others share: it must not keep all of that for long
+            # The body is a part of a buffer that coalesced reads share. A copy keeps the whole buffer from
+            # staying in memory while this client is slow.
+            body = bytearray(body)
         if body is not None and claim is not None:
             self.conn.send(message, body, holds=(claim,))
         else:
@@ -245,30 +300,33 @@
             self.host.rooms.leave(claim)
 
     def answer(self, message: Ok | Rejected | Errored, body: Body, claim: Claim | None) -> None:
-        """The final answer; nothing where the client went away meanwhile."""
+        """Send the final answer of an RPC; does nothing if the client has abandoned it."""
         if self.rpcs.pop(message.id, None) is None:
             self.host.rooms.leave(claim)
             return
         self.send_message(message, body, claim)
-        if self.conn.full:  # it does not read its answers: no more of its RPCs are read either
+        if self.conn.full:  # the client does not read its answers, so no more of its RPCs are read
             self.conn.hold_reading(True)
 
     def writable(self, conn: Connection) -> None:
+        """Go on reading and sending: the client has read its answers."""
         self.read_on()
         self.feed_hungry()
 
     def feed_hungry(self) -> None:
-        for range_ in [*self.waiting_ranges]:
-            range_.start_pieces()
+        """Start pieces of the range requests that waited for the client to read."""
+        for range_request in [*self.waiting_ranges]:
+            range_request.start_pieces()
 
     def closed(self, conn: Connection, why: str) -> None:
-        if self._greeting is not None:
-            self._greeting.cancel()
+        """Drop all open RPCs and release all memory: the connection has closed."""
+        if self._hello_timer is not None:
+            self._hello_timer.cancel()
         claim, self.claim = self.claim, None
         self.host.rooms.leave(claim)
         rpcs, self.rpcs = self.rpcs, {}
-        for held in rpcs.values():
-            self.host.client_abandoned(held)
+        for request in rpcs.values():
+            self.host.client_abandoned(request)
         purse, self.purse = self.purse, None
         if purse is not None:
             self.host.rooms.leave(purse.claim)
--- a/cherrygrade/gateway/transit_time.py
+++ b/cherrygrade/gateway/transit_time.py
@@ -1,32 +1,45 @@
-"""How long a client's word was on its way, told without comparing clocks. Free of I/O and clock.
+"""Estimates how long a client's message waited on its way, without comparing clocks. Free of I/O and clock.
 
-A client says with each RPC how long ago it greeted. What that adds to, by our clock, is the same for every
-word but for the time it waited on the way: in the client's queue, the network, our own socket while this
-process stood still. The least sum seen lately stands for no waiting.
+Each RPC carries the time since its client's greeting, by the client's clock. Its arrival by our clock minus
+that time is the same for all messages of a connection, but for what each waited: in the client's queue, in
+the network, or in our socket while this process was stopped. The smallest difference of the last minute or
+two is taken for a message that did not wait.
 """
 
 from __future__ import annotations
 
-SPAN_MS = 60_000.0  # clocks drift apart by a few ms in that time
+SPAN_MS = 60_000.0  # within this time two clocks drift apart by a few ms only
 
 
 class TransitTime:
-    """One client's connection. Holds two numbers, whatever was heard."""
+    """The estimate for one client's connection."""
 
     def __init__(self) -> None:
-        self._least = self._before = float("inf")
-        self._until = 0.0
+        """Create an estimate without a message."""
+        self._min_ms = self._previous_min_ms = float("inf")
+        self._span_ends_ms = 0.0
 
     def excess_ms(self, since_hello_ms: float, now: float) -> float:
-        """How much longer than the quickest of the last minute or two this word took, ms; 0 where untold.
+        """Return how much longer this message took than the fastest of the last one or two minutes.
 
-        Guards against taking an RPC for fresh that lay in the socket while this process was stopped: its
-        client may have given up on it.
+        Guards against treating an RPC as new that lay in the socket while this process was stopped: its
+        client may have stopped waiting for it.
+
+        Args:
+            since_hello_ms: client's time since its greeting; 0 if the client does not send it.
+            now: when the message was received, ms.
+
+        Returns:
+            The excess in ms; 0 if the client does not send the time.
         """
         if since_hello_ms <= 0.0:
             return 0.0
-        gap = now - since_hello_ms
-        if now >= self._until:
-            self._before, self._least, self._until = self._least, float("inf"), now + SPAN_MS
-        self._least = min(self._least, gap)
-        return gap - min(self._least, self._before)
+        difference_ms = now - since_hello_ms
+        if now >= self._span_ends_ms:
+            self._previous_min_ms, self._min_ms, self._span_ends_ms = (
+                self._min_ms,
+                float("inf"),
+                now + SPAN_MS,
+            )
+        self._min_ms = min(self._min_ms, difference_ms)
+        return difference_ms - min(self._min_ms, self._previous_min_ms)
--- a/cherrygrade/lab/audits/broken.py
+++ b/cherrygrade/lab/audits/broken.py
@@ -33,10 +33,10 @@
     usual: Callable[..., None] = Gateway.send_final_answer
     count = [0]
 
-    def send_final_answer(self: Gateway, held: Any, message: Any, body: Any = None) -> None:
+    def send_final_answer(self: Gateway, request: Any, message: Any, body: Any = None) -> None:
         count[0] += 1
         if count[0] % 20:
-            usual(self, held, message, body)
+            usual(self, request, message, body)
 
     Gateway.send_final_answer = send_final_answer  # type: ignore[method-assign]
     return site
--- a/tests/gateway/test_gateway_failures.py
+++ b/tests/gateway/test_gateway_failures.py
@@ -145,7 +145,9 @@
         await asyncio.sleep(0.03)
         assert len(gateway.open_requests) == 10
         answers = await asyncio.gather(*tasks)
-        told = [answer for answer in answers if isinstance(answer, Rejected) and "more held" in answer.reason]
+        told = [
+            answer for answer in answers if isinstance(answer, Rejected) and "too many open" in answer.reason
+        ]
         assert len(told) == 50 and all(answer.come_back_ms == 500.0 for answer in told)
 
     run(story)
@@ -417,7 +419,7 @@
             max_attempts=4, max_retry_after_ms=500.0, polls_endpoints=True, max_poll_interval_ms=300.0
         )
         gateway = await house.gateway(permits=permits)
-        assert not gateway.register_watch._asked
+        assert not gateway.register_watch._is_list_requested
         asked = [line for line in house.register.record.lines if line[1] == "told"]
         for door in [*house.register.doors]:
             door.conn.abort("cut")
--- a/tests/gateway/test_gossip_connections.py
+++ b/tests/gateway/test_gossip_connections.py
@@ -76,7 +76,7 @@
         await use(house.client(gateways[0]), 3)
         assert not gateways[0].done.done()
         writer.close()
-        await until(lambda: not [ear for ear in gateways[0].peer_messaging.ears if ear.number < 0])
+        await until(lambda: not [one for one in gateways[0].peer_messaging.receivers if one.seat < 0])
 
     run(story)
 
@@ -99,8 +99,8 @@
         gateways = await pair(house, places)
         assert b"another fleet" in await knock(places[0], Hello(1, "peer", "x", ["1/3"]))
         assert b"another fleet" in await knock(places[0], Hello(1, "peer", "x", ["0/2"]))  # it is itself 0
-        assert b"only dispatchers' words" in await knock(places[0], Word(b"\x03" * 6))
-        assert b"only dispatchers' words" in await knock(places[0], Hello(1, "client", "x"))
+        assert b"only dispatchers' gossip" in await knock(places[0], Word(b"\x03" * 6))
+        assert b"only dispatchers' gossip" in await knock(places[0], Hello(1, "client", "x"))
         assert gateways[0].rounds.scheduler.load_gossip.malformed == 0  # none of it came that far
         await use(house.client(gateways[0]), 3)
 
@@ -134,7 +134,7 @@
         gateways[1]._end(0)
         await use(house.client(gateways[0]), 10)
         words = gateways[0].peer_messaging
-        assert words.said + words.lost > 0 or gateways[0].rounds.scheduler.load_gossip.aggregators
+        assert words.sent + words.lost > 0 or gateways[0].rounds.scheduler.load_gossip.aggregators
 
     run(story)
 
--- a/tests/gateway/test_quota_parts_in_force.py
+++ b/tests/gateway/test_quota_parts_in_force.py
@@ -108,7 +108,7 @@
         """In force; `old` while parts move."""
         dealt = quota_parts(self.number, divisors(new), old, sure)
         made = derive_settings(new, dealt, old)
-        self.trade, self.fewest = made.trade, made.fewest
+        self.trade, self.fewest = made.trade, made.min_hosts
         apply_settings(self.module, self.company, made, now)
 
     def wants_all(self, nodes: list[Node], now: float, *, quiet: bool = False) -> None:
