--- a/cherrygrade/__init__.py
+++ b/cherrygrade/__init__.py
@@ -1,1 +1,1 @@
-"""cherrygrade schedules a host's reads and writes before shared storage nodes."""
+"""A storage gateway: dispatchers that schedule reads and writes over shared storage nodes."""
--- a/cherrygrade/__main__.py
+++ b/cherrygrade/__main__.py
@@ -1,8 +1,10 @@
-"""`python -m cherrygrade`: the platform's dispatcher, or the command line."""
+"""`python -m cherrygrade`: the platform's dispatcher with the argument `platform`, else the command line."""
 
 import sys
 
-if sys.argv[1:] == ["platform"]:  # started often, on small machines: without the command line's libraries
+# The platform's dispatcher is started often and on small machines, so it does not load the libraries of the
+# command line.
+if sys.argv[1:] == ["platform"]:
     from cherrygrade.platform.process import main as run
 
     sys.exit(run())
--- a/cherrygrade/cli.py
+++ b/cherrygrade/cli.py
@@ -1,7 +1,7 @@
-"""`cherrygrade`: the command line. Exit codes are in docs/running.md.
+"""The command line, `cherrygrade`. Exit codes are in docs/running.md.
 
-0 as asked; 1 a rule or a bar was not held; 2 settings or arguments are wrong, nothing was started;
-70 the module broke; 75 cut short with RPCs still held.
+0: success; 1: a rule or a limit was broken; 2: settings or arguments are wrong, and nothing was started;
+70: the scheduler crashed; 75: the process was ended while RPCs were open.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 Form = Literal["json", "console", "none"]
 Given = Annotated[tuple[str, ...], Parameter(name="--with", consume_multiple=False, negative="")]
 
-# Texts are read in a thread beside the event loop, which gets the interpreter back after so long: by its
-# default, 5 ms, each wake of the loop waits that much while a text is read.
-SWITCH_S = 0.0005
+# Configuration texts are parsed in a thread beside the event loop. With the interpreter's default switch
+# interval of 5 ms, each wake-up of the loop would wait that long while a text is parsed.
+SWITCH_INTERVAL_S = 0.0005
 
 app = App(name="cherrygrade", help="A storage gateway: schedules reads and writes over storage nodes.")
 standin = App(name="standin", help="Stand-ins for storage nodes and the register.")
 lab = App(name="lab", help="Scenarios, load and audit on loopback sockets.")
-fleet = App(name="fleet", help="Dispatchers that know each other: who is there, and what they take it for.")
-config = App(name="config", help="The fleet's one configuration, over each dispatcher's own file.")
+fleet = App(name="fleet", help="The fleet of dispatchers: its members and their states.")
+config = App(name="config", help="The fleet's configuration, laid over each dispatcher's own settings file.")
 app.command(fleet)
 fleet.command(config)
 app.command(standin)
@@ -38,22 +38,26 @@
 
 
 def origin_of(site: SiteSettings) -> StartReference:
-    """This life, for the fleet. Settings are marked as the own file has them: what the fleet's configuration
-    lays over them is told by its number, and a change of it is news of nobody's file."""
+    """Return what identifies this start of a dispatcher in the fleet.
+
+    The digest is of the settings in the dispatcher's own file: the fleet's configuration, which is laid over
+    them, has a version number of its own.
+    """
     from importlib.metadata import PackageNotFoundError, version
 
     try:
-        own = version("cherrygrade")
+        program_version = version("cherrygrade")
     except PackageNotFoundError:
-        own = "?"
-    return StartReference(int(time.time() * 1000.0), own, settings_mark(site))
+        program_version = "?"
+    return StartReference(int(time.time() * 1000.0), program_version, settings_mark(site))
 
 
 def _site(file: Path, given: tuple[str, ...]) -> SiteSettings:
+    """Read the settings, or print their faults and exit with code 2."""
     try:
         return read_site(file, "\n".join(given))
-    except RecordError as trouble:
-        for fault in trouble.faults:
+    except RecordError as error:
+        for fault in error.faults:
             print(fault, file=sys.stderr)
         sys.exit(2)
 
@@ -67,7 +71,7 @@
     file
         Settings, as typed records (docs/records.md).
     given
-        More record text, as if it stood in the file; may be repeated.
+        Record text that is added to the file's; may be repeated.
     log
         Form of the log on standard error.
     """
@@ -82,19 +86,19 @@
         from cherrygrade.gateway.overlay import Overlay
 
         overlay = Overlay(file, given, site)
-        sys.setswitchinterval(SWITCH_S)
+        sys.setswitchinterval(SWITCH_INTERVAL_S)
 
     async def main() -> int:
         make, compiled = scheduler_class()
-        told = make_log(log, dispatcher=site.place.name)
-        told("module", compiled=compiled)
+        write_log = make_log(log, dispatcher=site.place.name)
+        write_log("module", compiled=compiled)
         gateway = Gateway(
             site.place,
             site.trade,
             site.bearings,
             site.bounds,
             site.lines,
-            told,
+            write_log,
             make,
             site.cuts,
             site.pace,
@@ -107,27 +111,27 @@
 
     try:
         return asyncio.run(main())
-    except OSError as trouble:
-        print(f"{site.place.listen}: {trouble}", file=sys.stderr)
+    except OSError as error:
+        print(f"{site.place.listen}: {error}", file=sys.stderr)
         return 2
 
 
 @app.command
 def check(file: Path, *, given: Given = ()) -> int:
-    """Hold the settings in FILE against what they must be; tells every error with its place."""
+    """Check the settings in FILE and print every fault with its line."""
     site = _site(file, given)
-    print(f"{file}: right; {len(site.trade.workloads)} workloads, {len(site.trade.volumes)} volumes")
+    print(f"{file}: valid; {len(site.trade.workloads)} workloads, {len(site.trade.volumes)} volumes")
     return 0
 
 
 @app.command
 def show(file: Path, *, given: Given = (), as_json: Annotated[bool, Parameter(name="--json")] = False) -> int:
-    """Show the values in force and where each comes from."""
+    """Show all settings with the file and line that each comes from."""
     try:
         vertex = read_vertex(file, "site.rec", "\n".join(given))
         value = plain(vertex)
-    except RecordError as trouble:
-        print(trouble, file=sys.stderr)
+    except RecordError as error:
+        print(error, file=sys.stderr)
         return 2
     if as_json:
         print(json.dumps(value, indent=2))
@@ -139,13 +143,13 @@
 
 @app.command
 def compile() -> int:
-    """Compile the decision module for this machine: the same decisions, sooner. Needs a C compiler."""
+    """Compile the scheduler: it makes the same decisions in less time. Needs a C compiler."""
     from cherrygrade.compiled import build
 
     try:
         print(build())
-    except RuntimeError as trouble:
-        print(trouble, file=sys.stderr)
+    except RuntimeError as error:
+        print(error, file=sys.stderr)
         return 1
     return 0
 
@@ -154,9 +158,9 @@
 def fleet_status(
     place: str = "127.0.0.1:7500", *, as_json: Annotated[bool, Parameter(name="--json")] = False
 ) -> int:
-    """Show the fleet as the dispatcher at PLACE (its fleet.place) knows it.
+    """Show the fleet as the dispatcher at PLACE (its fleet.place) sees it.
 
-    Exit code 0: all of the fleet of record live and are known alike here; 1: not so; 3: nobody told.
+    Exit code 0: all members of record are alive, and known alike here; 1: they are not; 3: no answer.
     """
     from cherrygrade.fleet.runtime.status_view import show_status
 
@@ -165,7 +169,7 @@
 
 @fleet.command(name="watch")
 def fleet_watch(place: str = "127.0.0.1:7500", *, every_s: float = 1.0, times: int = 0) -> int:
-    """Show it again and again, until interrupted or so many times."""
+    """Show the fleet every EVERY_S seconds, TIMES times or until interrupted."""
     from cherrygrade.fleet.runtime.status_view import watch_status
 
     return watch_status(place, every_s, times)
@@ -173,10 +177,10 @@
 
 @fleet.command(name="found")
 def fleet_found(file: Path, *, given: Given = ()) -> int:
-    """Make the empty store of the voter whose settings are FILE, once, as the council is founded.
+    """Create the empty store of the voter whose settings are FILE, once, when the council is founded.
 
-    Each voter of fleet.council.voters is to be founded before any of them starts. A voter that lost its store
-    is not founded again: started with an empty folder it is let in by the others.
+    Run this for each voter of fleet.council.voters before any of them starts. Do not run it again for a voter
+    that lost its store: start that voter with an empty folder, and the others bring it up to date.
     """
     from cherrygrade.errors import OperatorError
     from cherrygrade.fleet.runtime.voter_store import create_founding_store
@@ -185,12 +189,12 @@
     try:
         if site.fleet is None or site.fleet.council is None:
             raise OperatorError(
-                f"{file} names no fleet.council", "Nothing was made.", "Name its voters there."
+                f"{file} has no fleet.council", "Nothing was created.", "Name its voters there."
             )
         council = site.fleet.council
         create_founding_store(Path(council.folder), site.fleet.name, site.place.name, council.voters)
-    except OperatorError as trouble:
-        print(trouble, file=sys.stderr)
+    except OperatorError as error:
+        print(error, file=sys.stderr)
         return 2
     print(f"{site.place.name} votes, with {', '.join(council.voters)}")
     return 0
@@ -203,8 +207,9 @@
 def config_put(file: Path, *, at: At = "127.0.0.1:7500") -> int:
     """Make the record text in FILE the fleet's configuration, laid over each dispatcher's own file.
 
-    Exit code 0: agreed, and told by its number; 1: refused, with why; 2: FILE or arguments are wrong, nobody
-    was asked; 3: no dispatcher answers at AT (its fleet.place), or no majority of the council does.
+    Exit code 0: agreed, the number of the version is printed; 1: refused, the reason is printed; 2: FILE or
+    arguments are wrong, and nothing was sent; 3: no dispatcher answers at AT (its fleet.place), or no
+    majority of the council does.
     """
     from cherrygrade.fleet.runtime.operator_commands import put_config
 
@@ -213,10 +218,10 @@
 
 @config.command(name="show")
 def config_show(number: int = 0, *, at: At = "127.0.0.1:7500") -> int:
-    """Show the versions that are kept, the newest last, and what is in force at AT; with NUMBER its text.
+    """Show the stored versions, newest last, and the one in force at AT; with NUMBER, the text of that one.
 
-    Exit code 0: as the council has it; 1: NUMBER is not kept; 2: arguments are wrong; 3: nobody answers at
-    AT, or no majority of the council (what is in force at AT is shown then too).
+    Exit code 0: the council has confirmed it; 1: version NUMBER is not stored; 2: arguments are wrong; 3: no
+    dispatcher answers at AT, or no majority of the council does (what is in force at AT is shown then too).
     """
     from cherrygrade.fleet.runtime.operator_commands import show_config
 
@@ -225,10 +230,10 @@
 
 @config.command(name="wait")
 def config_wait(number: int, *, at: At = "127.0.0.1:7500", within_s: float = 60.0) -> int:
-    """Wait until version NUMBER, or a later one, is in force at all that live, and settled; tell who is
-    missing and why.
+    """Wait until version NUMBER, or a later one, is in force at all living members and settled.
 
-    Exit code 0: it is; 1: not within so many seconds; 2: arguments are wrong; 3: nobody answers at AT.
+    Members that do not have it are listed with the reason. Exit code 0: it is in force; 1: not within
+    WITHIN_S seconds; 2: arguments are wrong; 3: no dispatcher answers at AT.
     """
     from cherrygrade.fleet.runtime.operator_commands import wait_for_version
 
@@ -237,7 +242,7 @@
 
 @config.command(name="back")
 def config_back(number: int, *, at: At = "127.0.0.1:7500") -> int:
-    """Put the text of version NUMBER again, as a new version. Exit codes as for put."""
+    """Make the text of version NUMBER a new version. Exit codes are those of put."""
     from cherrygrade.fleet.runtime.operator_commands import put_version_again
 
     return put_version_again(number, at)
@@ -245,7 +250,7 @@
 
 @standin.command(name="receiver")
 def standin_receiver(record: Path, *, listen: str = "127.0.0.1:0", numbered: bool = True) -> None:
-    """Carry out orders of leases' holders and record them; without numbers, whatever comes."""
+    """Carry out the orders of lease holders and record them; --no-numbered: do not check their numbers."""
     from cherrygrade.standin.receiver import run_receiver
 
     asyncio.run(run_receiver(listen, record, numbered))
@@ -260,14 +265,14 @@
     seed: int = 0,
     record: Path | None = None,
 ) -> None:
-    """Run a storage node's stand-in; prints its port and its control port.
+    """Run a stand-in of a storage node; prints its port and its control port.
 
     Parameters
     ----------
     build
-        The machine, as JSON: cores, unit_ms, queue, put_off, cold_share, warm_ms and more.
+        Properties of the machine, as JSON: cores, unit_ms, queue, put_off, cold_share, warm_ms and more.
     record
-        File for what passes on its sockets.
+        File to which the messages on its sockets are written.
     """
     import msgspec
 
@@ -276,8 +281,8 @@
 
     try:
         made = msgspec.convert(json.loads(build), Build, strict=False)
-    except (ValueError, msgspec.ValidationError) as trouble:
-        print(f"--build: {trouble}", file=sys.stderr)
+    except (ValueError, msgspec.ValidationError) as error:
+        print(f"--build: {error}", file=sys.stderr)
         sys.exit(2)
     asyncio.run(run_node(listen, control, made, seed, record))
 
@@ -286,7 +291,7 @@
 def standin_register(
     *, listen: str = "127.0.0.1:0", control: str = "127.0.0.1:0", record: Path | None = None
 ) -> None:
-    """Run the register's stand-in; prints its port and its control port."""
+    """Run a stand-in of the register; prints its port and its control port."""
     from cherrygrade.lab.rig.roles import run_register
 
     asyncio.run(run_register(listen, control, record))
@@ -296,7 +301,7 @@
 def standin_ways(
     *, count: int, port: int, bound: int, fleet: str = "lab", seed: int = 0, record: Path | None = None
 ) -> None:
-    """Run the ways between dispatchers, with what goes wrong on them; prints its control port."""
+    """Run the network between dispatchers, with its failures; prints its control port."""
     from cherrygrade.lab.rig.roles import run_ways
 
     asyncio.run(run_ways(count, port, bound, fleet, seed, record))
@@ -306,10 +311,11 @@
 def standin_platform(
     *, discovery: str = "127.0.0.1:8500", nodes: int = 3, indent: int | None = None, hush_s: float = 0.0
 ) -> None:
-    """Run the platform's discovery and some storage nodes, to try `python -m cherrygrade platform` with.
+    """Run the platform's discovery and some storage nodes, for trials of `python -m cherrygrade platform`.
 
-    INDENT: lists come over several lines. HUSH_S: so often all watches fall silent while a node drains, and
-    it is said how many sends came to it after that counted as told.
+    INDENT: discovery sends its lists as JSON with this indentation. HUSH_S: at this interval all watches fall
+    silent while a node drains; the number of attempts that still reach it, although its draining counts as
+    announced, is printed.
     """
     from cherrygrade.standin.web import run_platform
 
@@ -325,9 +331,9 @@
     given: Given = (),
     quiet: bool = False,
 ) -> int:
-    """Play a scenario on loopback with real processes, audit it, and show what it came to.
+    """Play a scenario on loopback with real processes, audit it and show the result.
 
-    Exit code 0 only if every rule held. Records, logs and report.json stay in FOLDER.
+    Exit code 0 only if no rule was broken. Records, logs and report.json stay in FOLDER.
     """
     from rich.console import Console
     from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
@@ -343,10 +349,10 @@
                 scenario,
                 folder,
                 text,
-                told=lambda what, part: progress.update(bar, description=what, completed=part),
+                told=lambda phase, part: progress.update(bar, description=phase, completed=part),
             )
-        except RecordError as trouble:
-            print(trouble, file=sys.stderr)
+        except RecordError as error:
+            print(error, file=sys.stderr)
             return 2
         progress.update(bar, description="audit", completed=1.0)
     return lab_audit(scenario, folder, given=(text,) if text else ())
@@ -361,10 +367,9 @@
     report: Path = Path("build/fleet"),
     given: Given = (),
 ) -> int:
-    """Play a day of a fleet of dispatchers: real processes, all ways between them through one that fails
-    as told.
+    """Play a scenario of a fleet of dispatchers: real processes, connected through a network with failures.
 
-    Exit code 0 only if every promise held, judged from the ways, the process table and the records.
+    Exit code 0 only if every promise held, judged by the records, the process table and the network.
     """
     more = [f"seed: {seed}", *([f"dispatchers: {dispatchers}"] if dispatchers is not None else [])]
     text = "\n".join([*given, *more])
@@ -372,8 +377,8 @@
 
     try:
         play(scenario, report, text)
-    except RecordError as trouble:
-        print(trouble, file=sys.stderr)
+    except RecordError as error:
+        print(error, file=sys.stderr)
         return 2
     return lab_audit(scenario, report, given=(text,))
 
@@ -390,22 +395,23 @@
     proposals: int = 1,
     most: int = 1_000_000,
 ) -> int:
-    """Every state that three members, three voters of the council, a lease, or a version of the configuration
-    that moves parts can come to within bounds (of the last: a list of its own).
+    """Explore all states of a model within bounds.
 
-    Exit code 0 only if nothing wrong was found and nothing left out.
+    The models are three members, three voters of the council, a lease, and a version of the configuration
+    that moves quotas; the last one has a list of bounds of its own. Exit code 0 only if no state breaks a
+    promise and all states were explored.
     """
     from cherrygrade.lab.exploration import config, holders, members, voters
     from cherrygrade.lab.exploration.explore import Found, explore
 
     found: Found[members.Now] | Found[voters.Now] | Found[holders.Now] | Found[config.Now]
     if model == "config":
-        whole = True
+        is_complete = True
         for within in config.WHOLE:
             found = explore(config.Config(within), most)
             print(f"{within}: {found}", flush=True)
-            whole = whole and found.whole and not found.breach
-        return 0 if whole else 1
+            is_complete = is_complete and found.whole and not found.breach
+        return 0 if is_complete else 1
     if model == "members":
         bounds = members.Bounds(accusations, crashes, restarts, leaves)
         found = explore(members.Members(bounds), most)
@@ -419,13 +425,13 @@
 
 @lab.command(name="many")
 def lab_many(*, members: int = 1000, dead: int = 1, seed: int = 1, lost: float = 0.05) -> int:
-    """A death in a fleet of so many members, by the product's own decisions and pages, without sockets."""
+    """Simulate the failure of members in a large fleet: the real decisions and messages, without sockets."""
     import gc
 
     from cherrygrade.lab.virtual.many import death
     from cherrygrade.virtual.datagrams import Rain
 
-    gc.disable()  # members by the million, none of them in a circle
+    gc.disable()  # millions of objects and no reference cycles
     found = death(members, seed, Rain(lost=lost, jitter_ms=2.0), dead)
     print(
         f"{members} members, {dead} dead: known to the first after {found.first_ms:.0f} ms, "
@@ -448,35 +454,35 @@
     folder: Path | None = None,
     given: Given = (),
 ) -> int:
-    """Hollow dispatchers by the hundred beside real ones, at rest and with each fault; write the report.
+    """Measure a large fleet, most of it members without traffic, at rest and with each fault.
 
-    Exit code 0: measured, and every promise held; 1: a promise was not held; 2: settings or arguments are
-    wrong, or the run is larger than it may be; 3: not measured.
+    Exit code 0: measured, and every promise held; 1: a promise was broken; 2: settings or arguments are
+    wrong, or the run exceeds its limits; 3: not measured.
 
     Parameters
     ----------
     real
-        How many of the dispatchers are processes of the program.
+        Number of dispatchers that are real processes of the program.
     quick
-        Shorter parts.
+        Run each part for a shorter time.
     folder
-        Where the records stay; else nothing is left.
+        Folder in which the records stay; without it they are removed.
     """
     from cherrygrade.errors import OperatorError
     from cherrygrade.lab.scale import report as reports
     from cherrygrade.lab.scale.run import play, read_scale
 
     options = {"dispatchers": dispatchers, "real": real, "nodes": nodes, "seed": seed}
-    told = {name: value for name, value in options.items() if value is not None}
-    text = "\n".join([*given, *(f"{name}: {value}" for name, value in told.items())])
+    chosen = {name: value for name, value in options.items() if value is not None}
+    text = "\n".join([*given, *(f"{name}: {value}" for name, value in chosen.items())])
     command = " ".join(["cherrygrade lab scale", *([] if scenario.name == "scale.rec" else [scenario.name])])
-    command += "".join(f" --{name} {value}" for name, value in told.items()) + (" --quick" if quick else "")
+    command += "".join(f" --{name} {value}" for name, value in chosen.items()) + (" --quick" if quick else "")
     command += "".join(f" --with '{one}'" for one in given)
     try:
         scale = read_scale(scenario, text)
-        made = play(scale, command, quick, folder, lambda what: print(what, file=sys.stderr, flush=True))
-    except (RecordError, OperatorError) as trouble:
-        print(trouble, file=sys.stderr)
+        made = play(scale, command, quick, folder, lambda text: print(text, file=sys.stderr, flush=True))
+    except (RecordError, OperatorError) as error:
+        print(error, file=sys.stderr)
         return 2
     if report is not None:
         reports.write(made, report)
@@ -485,7 +491,7 @@
 
 @lab.command(name="spread")
 def lab_spread(*, members: int = 580, changes: int = 200, seed: int = 1, lost: float = 0.05) -> int:
-    """Changes of the configuration in a fleet of two regions, 80 ms apart, by the product's own decisions."""
+    """Simulate changes of the configuration in a fleet of two regions that are 80 ms apart."""
     from cherrygrade.lab.virtual.spread import Ways, spread
 
     found = spread(members, seed, changes, Ways(lost=lost))
@@ -495,7 +501,7 @@
 
 @lab.command(name="audit")
 def lab_audit(scenario: Path, folder: Path, *, given: Given = ()) -> int:
-    """Judge a day that was played before from its records. Exit code 0 only if every rule held."""
+    """Audit a scenario run from its records. Exit code 0 only if no rule was broken."""
     from rich.console import Console
 
     from cherrygrade.lab.audits.audit import judge
@@ -508,8 +514,8 @@
         from cherrygrade.lab.audits import fleetaudit
 
         verdicts += fleetaudit.judge(folder)
-        told = ", ".join(f"{name} {value:.0f}" for name, value in fleetaudit.figures(folder).items())
-        print(f"fleet: {told}")
+        figures = ", ".join(f"{name} {value:.0f}" for name, value in fleetaudit.figures(folder).items())
+        print(f"fleet: {figures}")
     report.write(evidence, verdicts, folder)
     report.show(evidence, verdicts, Console(width=112))
     print(f"records, logs and report.json: {folder}")
@@ -520,7 +526,7 @@
 def lab_load(
     scenario: Path, *addresses: str, index: int = 0, folder: Path = Path("build/lab"), given: Given = ()
 ) -> None:
-    """One load process of a day: prepares, says 'ready', waits for 'go TIME' on standard input."""
+    """Run one load process of a scenario: prints 'ready' and waits for 'go TIME' on standard input."""
     from cherrygrade.lab.rig.load import load
 
     asyncio.run(load(scenario, "\n".join(given), index, list(addresses), folder))
@@ -528,17 +534,17 @@
 
 @lab.command(name="from-day")
 def lab_from_day(day: Path, *, out: Path | None = None) -> int:
-    """Turn a bench day file into a scenario for real dispatchers; says what could not be carried over."""
+    """Convert a day file of the bench into a scenario for real dispatchers; lists what it lost."""
     from cherrygrade.lab.rig.fromday import convert_day, text_of
 
     try:
-        record, lacking = convert_day(json.loads(day.read_text()))
-    except (OSError, ValueError) as trouble:
-        print(f"{day}: {trouble}", file=sys.stderr)
+        record, not_converted = convert_day(json.loads(day.read_text()))
+    except (OSError, ValueError) as error:
+        print(f"{day}: {error}", file=sys.stderr)
         return 2
-    for one in lacking:
-        print(f"not carried over: {one}", file=sys.stderr)
-    text = text_of(record, lacking)
+    for one in not_converted:
+        print(f"not converted: {one}", file=sys.stderr)
+    text = text_of(record, not_converted)
     if out is None:
         print(text, end="")
     else:
@@ -550,21 +556,22 @@
 def lab_selfcheck(
     *ways: int, scenario: Path = Path("scenarios/selfcheck.rec"), folder: Path = Path("build/selfcheck")
 ) -> int:
-    """Play a short day with a sound dispatcher and with one broken in each way that the day is for: the
-    seven rules, or what a fleet promises (scenarios/fleet-selfcheck.rec).
+    """Check the audit: play a scenario with a correct dispatcher and with ones that break one rule each.
 
-    Exit code 0 only if the audit convicts each broken one of its rule, and the sound one of nothing.
+    The rules are the seven of the gateway, or the promises of a fleet (scenarios/fleet-selfcheck.rec). Exit
+    code 0 only if the audit finds the broken rule of each faulty dispatcher, and no fault of the correct one.
     """
     from cherrygrade.lab.audits.broken import FLEET_WAYS, WAYS
     from cherrygrade.lab.audits.selfcheck import check, describe
     from cherrygrade.lab.rig.scenario import read_scenario
 
     all_ways = (0, *(FLEET_WAYS if read_scenario(scenario).fleet else WAYS))
-    right = check(scenario, folder, ways or all_ways, lambda *found: print(describe(*found), flush=True))
-    return 0 if right else 1
+    is_right = check(scenario, folder, ways or all_ways, lambda *found: print(describe(*found), flush=True))
+    return 0 if is_right else 1
 
 
 def main() -> None:
+    """Run the command line."""
     app()
 
 
--- a/cherrygrade/errors.py
+++ b/cherrygrade/errors.py
@@ -1,15 +1,22 @@
-"""Errors that an operator meets: what happened, what it means for data, what to do."""
+"""Errors that operators see."""
 
 from __future__ import annotations
 
 
 class OperatorError(Exception):
-    """Root of the program's own errors. `str` is all three, for a command line or a log."""
+    """Root of the program's own errors; `str` gives all three parts in one text.
+
+    Attributes:
+        what: what happened.
+        means: what this means for stored data.
+        do: what the operator can do; may be empty.
+    """
 
     means = "No data is touched."
     do = ""
 
     def __init__(self, what: str, means: str = "", do: str = "") -> None:
+        """Empty arguments take the value of the class."""
         self.what = what
         self.means = means or self.means
         self.do = do or self.do
--- a/cherrygrade/gateway/__init__.py
+++ b/cherrygrade/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The dispatcher's process: it tells the module what happens and carries out what the module decides."""
+"""The dispatcher's process: gives events to the scheduler and carries out its decisions."""
--- a/cherrygrade/gateway/backoff.py
+++ b/cherrygrade/gateway/backoff.py
@@ -9,7 +9,7 @@
 
 
 class Backoff:
-    """Waits that double from `first_ms` to `max_ms`, each shortened by a factor of 0.25 to 1.
+    """Waits that double from `first_ms` to `max_ms`, each multiplied by a factor of 0.25 to 1.
 
     Guards against a storm of connects when a rack returns. The failures are forgotten only after a connection
     has lasted `max_ms`, so a peer that accepts and drops each connection does not shorten the waits.
--- a/cherrygrade/gateway/lifecycle.py
+++ b/cherrygrade/gateway/lifecycle.py
@@ -73,7 +73,7 @@
 def log_scheduler_crash(log: Callable[..., None], error: Exception, round_summary: str) -> None:
     """Log that the scheduler raised `error` in the round described by `round_summary`."""
     log(
-        "module broke",
+        "scheduler crashed",
         round=round_summary,
         traceback="".join(traceback.format_exception(error)),
     )
--- a/cherrygrade/gateway/node_client.py
+++ b/cherrygrade/gateway/node_client.py
@@ -1,8 +1,9 @@
 """Sends attempts to one storage node: queues frames, spreads them over connections, reports each outcome.
 
-An attempt whose frame was not started on a connection has certainly not run and ends as not sent, connect
-failed or rejected. An attempt that was started may have run: it ends as timed out, reset, cancelled or
-failed.
+Outcomes tell attempts that certainly have not run from those that may have run. An attempt whose frame was
+not started on a connection ends as not sent or connect failed, and one that the node refused as rejected or
+not
+sent: none of these has run. Any other attempt may have run and ends as timed out, reset, cancelled or failed.
 """
 
 from __future__ import annotations
@@ -48,14 +49,14 @@
     """One frame to a node, which carries one attempt or several coalesced ones.
 
     Attributes:
-        attempts: those that have not ended, or the last one that ended.
+        attempts: at least one; an abandoned one is removed while others remain.
         connection: the one that carries the frame; None while it waits.
         stream: number of the frame on its connection.
         start, end: range of bytes that the frame covers in its extent or key.
     """
 
     def __init__(self, attempts: list[InflightAttempt]) -> None:
-        """`attempts`: at least one; all are reads, or all are writes."""
+        """`attempts`: all are reads, or all are writes."""
         self.attempts = attempts
         self.connection: NodeConnection | None = None
         self.stream = self.start = self.end = 0
--- a/cherrygrade/gateway/node_connection_pool.py
+++ b/cherrygrade/gateway/node_connection_pool.py
@@ -17,8 +17,7 @@
     Attributes:
         is_ready: the node has answered the greeting.
         is_full: the write buffer is full; no frame is started until it has drained.
-        is_closing: the node is closing the connection; frames in flight may still be answered, none is
-            started.
+        is_closing: the node is closing the connection: it may still answer frames, but takes no new ones.
         in_flight: frames sent and not ended.
         idle_since_ms: when the last frame ended, or when the connection became ready.
     """
@@ -33,8 +32,7 @@
 class NodeConnectionPool:
     """The connections to one storage node.
 
-    A closing connection is not counted against `max_connections`; it is removed when its last frame has
-    ended.
+    A closing connection does not count against `max_connections`; it is closed after its last frame.
 
     Attributes:
         max_connections: connections that may be open or being opened at one time.
--- a/cherrygrade/gateway/process.py
+++ b/cherrygrade/gateway/process.py
@@ -85,8 +85,7 @@
         rooms: the memory for bodies.
         ranges: splits range requests into pieces and joins their answers.
         watch: finds clients and nodes that read or write too slowly.
-        peer_messaging: gossip over connections between dispatchers; None where it goes by the fleet or is
-            off.
+        peer_messaging: gossip over connections; None if the fleet carries it or there is none.
     """
 
     def __init__(
@@ -284,7 +283,7 @@
             messaging, scheduler = self.peer_messaging, self.rounds.scheduler
             counts = {"said": messaging.sent, "lost": messaging.lost, "dropped": messaging.dropped}
             if any(counts.values()) or scheduler.load_gossip.malformed:
-                self.log("words", **counts, nonsense=scheduler.load_gossip.malformed)
+                self.log("gossip messages", **counts, nonsense=scheduler.load_gossip.malformed)
         self._counts_timer = asyncio.get_running_loop().call_later(COUNTS_INTERVAL_S, self._log_counts)
 
     def _stop_lingering(self) -> None:
--- a/cherrygrade/logs.py
+++ b/cherrygrade/logs.py
@@ -1,7 +1,4 @@
-"""Structured logs on standard error: JSON lines, or a console's form where a person reads.
-
-`plain_log` writes the same JSON lines without the library, for processes that must be small.
-"""
+"""Structured logs on standard error: one JSON object for each line, or a form for the console."""
 
 from __future__ import annotations
 
@@ -10,14 +7,25 @@
 import time
 from collections.abc import Callable
 
-ERRORS = ("module broke",)
+ERRORS = ("scheduler crashed",)
+"""Events that are logged at the level "error"; all others are "info"."""
 
 
 def make_log(form: str, **bound: str) -> Callable[..., None]:
-    """`log(event, **facts)`; form is 'json', 'console' or 'none'."""
+    """Create a log function, called as `log(event, **facts)`.
+
+    Args:
+        form: 'json', 'console' or 'none'.
+        bound: facts that are added to every line.
+
+    Returns:
+        The function.
+    """
     if form == "none":
         return lambda event, **facts: None
-    if form == "json":  # the library takes a third of a dispatcher's start, which 140 at once feel
+    if (
+        form == "json"
+    ):  # importing structlog takes a third of a dispatcher's start, which adds up if 140 start
         return plain_log(**bound)
     import structlog
 
@@ -39,11 +47,20 @@
 
 
 def plain_log(**bound: str) -> Callable[..., None]:
+    """Create a log function that writes JSON lines without structlog, for processes that must be small.
+
+    Args:
+        bound: facts that are added to every line.
+
+    Returns:
+        The function, called as `log(event, **facts)`.
+    """
+
     def log(event: str, **facts: object) -> None:
-        at = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime())
+        timestamp = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime())
         level = "error" if event in ERRORS else "info"
-        told = {"event": event, "level": level, **bound, **facts, "timestamp": at}
-        line = json.dumps(told, default=str)
+        record = {"event": event, "level": level, **bound, **facts, "timestamp": timestamp}
+        line = json.dumps(record, default=str)
         print(line, file=sys.stderr, flush=True)
 
     return log
--- a/tests/gateway/test_gateway_failures.py
+++ b/tests/gateway/test_gateway_failures.py
@@ -340,7 +340,7 @@
         bad = await client.read("read", "v", "poison", shard=0, length=1, deadline_ms=1400)
         assert isinstance(bad, Errored) and isinstance(await held, Errored)
         assert await gateway.done == EXIT_BROKEN
-        facts = next(facts for event, facts in house.logs if event == "module broke")
+        facts = next(facts for event, facts in house.logs if event == "scheduler crashed")
         assert "poisoned" in facts["traceback"] and "1 arrivals" in facts["round"]
 
     run(story)
--- a/tests/gateway/test_migration.py
+++ b/tests/gateway/test_migration.py
@@ -74,7 +74,7 @@
 
     def words(self) -> list[dict[str, int]]:
         lines = [json.loads(line) for log in self.logs for line in log.splitlines() if line.startswith("{")]
-        return [line for line in lines if line.get("event") == "words"]
+        return [line for line in lines if line.get("event") == "gossip messages"]
 
 
 def test_the_move_goes_forward_and_back_one_dispatcher_at_a_time(tmp_path):
