--- a/cherrygrade/gateway/node_client.py
+++ b/cherrygrade/gateway/node_client.py
@@ -17,7 +17,7 @@
 from cherrygrade.gateway.rounds import Rounds
 from cherrygrade.gateway.timer_wheel import TimerWheel
 from cherrygrade.inflight import InflightAttempt, InflightRequest
-from cherrygrade.peers.store import Claim
+from cherrygrade.peers.memory_budget import Reservation
 from cherrygrade.scheduling.model import Idempotency, Node, NodeState, Outcome
 from cherrygrade.settings import NodeConnectionSettings
 from cherrygrade.transport.connection import Connection
@@ -89,7 +89,7 @@
         self.node_client, self.pooled = node_client, pooled
         self.conn = Connection(self, node_client.max_body_bytes, taken=node_client.unpin)
         self.receiving: AttemptFrame | None = None
-        self.pinned_claims: list[Claim] = []
+        self.pinned_claims: list[Reservation] = []
         self.frames: dict[int, AttemptFrame] = {}
         self.last_stream = 0
         self.closed_here = False
@@ -99,7 +99,7 @@
         """Greet the node."""
         conn.send(Hello(VERSION, "dispatcher", self.node_client.name))
 
-    def room(self, conn: Connection, message: Any, length: int) -> bytearray | memoryview | None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> bytearray | memoryview | None:
         """Return the buffer for the body of an answer, or None to drop the body.
 
         The body is dropped if nobody waits for it any more, or if its length is not the one requested.
@@ -119,7 +119,7 @@
             return request.destination if request.length == length else None
         return bytearray(length)
 
-    def frame(self, conn: Connection, message: Any, body: bytearray | memoryview | None) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: bytearray | memoryview | None) -> None:
         """Handle a message from the node."""
         self._body_received()
         if isinstance(message, Answer):
@@ -216,7 +216,7 @@
         settings: NodeConnectionSettings,
         log: Callable[..., None],
         report_stale_map: Callable[[InflightRequest], None],
-        unpin: Callable[[Claim], None],
+        unpin: Callable[[Reservation], None],
     ) -> None:
         """`seed`: spreads the backoff of connects. The other arguments are described as attributes."""
         self.node, self.name, self.rounds, self.wheel = node, name, rounds, wheel
--- a/cherrygrade/gateway/overlay.py
+++ b/cherrygrade/gateway/overlay.py
@@ -12,7 +12,7 @@
 
 from cherrygrade.fleet.config.live_changes import quota_divisors, setting_changes
 from cherrygrade.fleet.config.versions import QuotaDivisors
-from cherrygrade.records.load import RecordError, laid, names, site_of
+from cherrygrade.records.load import RecordError, key_paths, merge_texts, site_from_vertex
 from cherrygrade.settings import SiteSettings
 
 MAX_CACHED = 2  # a change and the version that it is based on: both are checked, then the change is applied
@@ -66,12 +66,14 @@
     def _site(self, text: str) -> SiteSettings:
         over = ("configuration", text)
         try:
-            return site_of(laid([*self._below, over], "site.rec"))
+            return site_from_vertex(merge_texts([*self._below, over], "site.rec"))
         except RecordError:
             # The seat may be outside of place.dispatchers: check the rest with seat 0, then restore the seat.
             if not self.own.place.number:
                 raise
-            site = site_of(laid([*self._below, ("place", "place: number: 0"), over], "site.rec"))
+            site = site_from_vertex(
+                merge_texts([*self._below, ("place", "place: number: 0"), over], "site.rec")
+            )
             return replace(site, place=replace(site.place, number=self.own.place.number))
 
     def judge(self, before: str, text: str) -> tuple[str, QuotaDivisors | None, QuotaDivisors | None]:
@@ -96,7 +98,9 @@
         restart_keys = setting_changes(old, new).restart_keys
         if restart_keys:
             return restart_text(restart_keys), None, None
-        missing = {key for key in names(before) - names(text) if _is_divisor(key)} - _removed(old, new)
+        missing = {key for key in key_paths(before) - key_paths(text) if _is_divisor(key)} - _removed(
+            old, new
+        )
         if missing:
             keys = ", ".join(sorted(missing))
             return (
--- a/cherrygrade/gateway/peer_messaging.py
+++ b/cherrygrade/gateway/peer_messaging.py
@@ -85,11 +85,11 @@
         self._backoff.record_connected(self._clock())
         conn.send(Hello(VERSION, "peer", self.name, [self.seat_label]))
 
-    def room(self, conn: Connection, message: Any, length: int) -> None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> None:
         """Accept no bodies."""
         return None
 
-    def frame(self, conn: Connection, message: Any, body: object) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: object) -> None:
         """Accept the answer to the greeting; messages come on the connection that the other one opens."""
         if not isinstance(message, Welcome | Bye):
             conn.close(f"unexpected {type(message).__name__} from a dispatcher")
@@ -131,11 +131,11 @@
             HELLO_TIMEOUT_S, conn.close, "no hello in time"
         )
 
-    def room(self, conn: Connection, message: Any, length: int) -> None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> None:
         """Accept no bodies."""
         return None
 
-    def frame(self, conn: Connection, message: Any, body: object) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: object) -> None:
         """Handle a message from the other dispatcher."""
         if isinstance(message, Word) and self.seat >= 0:
             second = self.messaging.clock() // 1000.0
--- a/cherrygrade/gateway/process.py
+++ b/cherrygrade/gateway/process.py
@@ -11,7 +11,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from cherrygrade.extents.carrier import Carrier
+from cherrygrade.extents.range_service import RangeService
 from cherrygrade.gateway.lateness import Lateness
 from cherrygrade.gateway.lifecycle import EXIT_BROKEN, EXIT_CLEAN, EXIT_FORCED, WakeTimer, log_scheduler_crash
 from cherrygrade.gateway.node_client import NodeClient, NodeConnection
@@ -22,10 +22,10 @@
 from cherrygrade.gateway.sessions import Session
 from cherrygrade.gateway.timer_wheel import TimerWheel
 from cherrygrade.inflight import Body, ClientSession, InflightAttempt, InflightRequest, RangeRequest
-from cherrygrade.peers.arrivals import Arrivals
-from cherrygrade.peers.rooms import Rooms
-from cherrygrade.peers.store import Claim, waits
-from cherrygrade.peers.watch import Watch
+from cherrygrade.peers.connection_admission import ConnectionAdmission
+from cherrygrade.peers.memory_admission import MemoryAdmission
+from cherrygrade.peers.memory_budget import Reservation, is_waiting
+from cherrygrade.peers.watch import SlowPeerWatch
 from cherrygrade.scheduling.model import Node, Outcome
 from cherrygrade.scheduling.round_inputs import NodeTable
 from cherrygrade.scheduling.scheduler import Scheduler
@@ -133,7 +133,9 @@
         self.leaving, self._lingering = False, True
         self.open_requests: dict[InflightRequest | RangeRequest, None] = {}
         self.sessions: dict[Session, None] = {}
-        self.arrivals: Arrivals[Session] = Arrivals(bounds.most_clients, bounds.most_silent)
+        self.arrivals: ConnectionAdmission[Session] = ConnectionAdmission(
+            bounds.most_clients, bounds.most_silent
+        )
         self.node_clients: dict[Node, NodeClient] = {}
         self.nodes = NodeTable()
         self.wheel: TimerWheel[InflightAttempt] = TimerWheel()
@@ -184,9 +186,9 @@
             highest_weight=scheduler.settings.highest_weight,
             tightest_objective_ms=scheduler.settings.tightest_objective_ms,
         )
-        self.rooms = Rooms(trade, bearings.earnings, pressed, pace, bounds.most_body, log)
+        self.rooms = MemoryAdmission(trade, bearings.earnings, pressed, pace, bounds.most_body, log)
         self.rounds = Rounds(scheduler, self, self._crashed, lambda text: log("module", text=text))
-        self.ranges = Carrier(self, cuts or ExtentSettings(), self._request_extent_map)
+        self.ranges = RangeService(self, cuts or ExtentSettings(), self._request_extent_map)
         self.register_watch = RegisterWatch(
             place.register,
             place.name,
@@ -194,12 +196,12 @@
             bearings.permits.polls_endpoints,
             self.rounds.clock,
             self._endpoints_received,
-            self.ranges.heard,
+            self.ranges.map_received,
             log,
             lines.source,
         )
         self.lateness = Lateness(self.rounds.clock())
-        self.watch = Watch(
+        self.watch = SlowPeerWatch(
             pace,
             self.rooms,
             lambda: self.sessions,
@@ -275,8 +277,8 @@
 
     def _log_counts(self) -> None:
         """Log the counters, and again each minute; counters that are all zero are left out."""
-        self.ranges.tell()
-        self.rooms.tell()
+        self.ranges.log_counts()
+        self.rooms.log_shortage()
         if self.agent is not None:
             self.log("fleet", side=self.agent.membership.partition_state.value, **self.agent.counts())
         if self.peer_messaging is not None:
@@ -349,7 +351,7 @@
         """
         if self.leaving:
             return False
-        is_accepted, evicted = self.arrivals.came(session, len(self.sessions))
+        is_accepted, evicted = self.arrivals.admit(session, len(self.sessions))
         if evicted is not None:
             evicted.conn.close("no hello yet, and other clients are waiting", self.come_back_ms)
         if is_accepted:
@@ -358,11 +360,11 @@
 
     def session_greeted(self, session: Session) -> None:
         """Record that the client has sent its greeting."""
-        self.arrivals.spoke(session)
+        self.arrivals.mark_identified(session)
 
     def remove_session(self, session: Session, reason: str) -> None:
         """Remove a session whose connection has closed."""
-        self.arrivals.spoke(session)
+        self.arrivals.mark_identified(session)
         if self.sessions.pop(session, self) is None:
             self.log("client left", client=session.name, peer=session.conn.peer, why=reason)
             self._end_if_done()
@@ -454,10 +456,10 @@
             and not session.reserve_small_read(request, workload.name)
         ):
             remaining_ms = request.deadline_ms - self.rounds.clock()
-            request.claim = self.rooms.ask(
+            request.claim = self.rooms.reserve(
                 session.account, workload.name, request.volume, request.length, request, remaining_ms
             )
-        if not waits(request.claim):
+        if not is_waiting(request.claim):
             self.rounds.submit(request)
 
     def memory_admitted(self, request: InflightRequest) -> None:
@@ -490,7 +492,7 @@
                 request, Rejected(request.rpc.id, self.come_back_ms, "no room for its bytes")
             )
 
-    def detach_claim(self, request: InflightRequest | RangeRequest) -> Claim | None:
+    def detach_claim(self, request: InflightRequest | RangeRequest) -> Reservation | None:
         """Take the memory claim from a request that has ended and return it; the caller releases it.
 
         Attempts that are in flight keep it pinned until they end.
@@ -503,7 +505,7 @@
             self.pin_attempts(request, claim)
         return claim
 
-    def pin_attempts(self, request: InflightRequest, claim: Claim) -> None:
+    def pin_attempts(self, request: InflightRequest, claim: Reservation) -> None:
         """Pin a claim for the attempts in flight of a request that has ended.
 
         Their bytes are still to be sent to the node, or received from it.
@@ -520,7 +522,7 @@
 
     def discard_memory(self, request: InflightRequest | RangeRequest) -> None:
         """Release the memory of a request whose bytes are sent to nobody."""
-        self.rooms.leave(self.detach_claim(request))
+        self.rooms.release(self.detach_claim(request))
 
     def client_abandoned(self, request: InflightRequest | RangeRequest) -> None:
         """Drop a request whose client no longer wants the answer."""
@@ -606,7 +608,7 @@
             tightest_objective_ms=derived.tightest_objective_ms,
         )
         requests = self._scheduled_requests()
-        self.rooms.put(
+        self.rooms.apply_settings(
             derived.trade,
             derived.bearings.earnings,
             pressed,
@@ -680,13 +682,13 @@
                 self.max_body_bytes,
                 self._node_connections,
                 self.log,
-                self.ranges.stale,
+                self.ranges.map_entry_stale,
                 self.rooms.unpin,
             )
         attempts = [attempt]
         if attempt.coalesced:
             attempts += [other for other in attempt.coalesced if isinstance(other, InflightAttempt)]
-            self.ranges.joined += len(attempt.coalesced)
+            self.ranges.coalesced_count += len(attempt.coalesced)
         for one in attempts:
             one.timer_slot = self.wheel.add(one, one.request.deadline_ms)
         node_client.send(attempts)
--- a/cherrygrade/gateway/register_watch.py
+++ b/cherrygrade/gateway/register_watch.py
@@ -130,11 +130,11 @@
         if not self.is_polled or self._is_list_requested:
             conn.send(Follow(push=True))
 
-    def room(self, conn: Connection, message: Any, length: int) -> None:
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> None:
         """Accept no bodies."""
         return None
 
-    def frame(self, conn: Connection, message: Any, body: object) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: object) -> None:
         """Handle a message from the register."""
         if isinstance(message, Roster):
             changed = self.registered_nodes.apply(message, self._clock())
--- a/cherrygrade/gateway/sessions.py
+++ b/cherrygrade/gateway/sessions.py
@@ -11,11 +11,11 @@
 
 from cherrygrade.gateway.transit_time import TransitTime
 from cherrygrade.inflight import Body, InflightRequest, RangeRequest
-from cherrygrade.peers.ladder import Step
-from cherrygrade.peers.rooms import PURSE, Rooms
-from cherrygrade.peers.store import Account, Claim, Purse, waits
+from cherrygrade.peers.memory_admission import PREPAID_CREDIT_BYTES, MemoryAdmission
+from cherrygrade.peers.memory_budget import Account, PrepaidCredit, Reservation, is_waiting
+from cherrygrade.peers.slow_peer_escalation import Step
 from cherrygrade.transport.connection import Connection
-from cherrygrade.wire.frames import LATER, Later
+from cherrygrade.wire.frames import BODY_DEFERRED, BodyDeferred
 from cherrygrade.wire.messages import (
     VERSION,
     Bye,
@@ -63,7 +63,7 @@
         """No further RPC is accepted now."""
 
     @property
-    def rooms(self) -> Rooms:
+    def rooms(self) -> MemoryAdmission:
         """The memory for bodies."""
 
     def register_session(self, session: Session) -> bool:
@@ -107,7 +107,7 @@
             or ends.
         account: memory that this client uses, and the step that it is on if it is slow.
         claim: memory for the body that is being received, or that waits to be.
-        purse: memory shared by the client's small reads; None while there is none.
+        credit: memory that the client's small reads share; None while there is none.
         transit: estimates how long messages of this client were on the way.
     """
 
@@ -121,8 +121,8 @@
         self.bytes_in_flight = 0
         self.waiting_ranges: dict[RangeRequest, None] = {}
         self.account = Account()
-        self.claim: Claim | None = None
-        self.purse: Purse | None = None
+        self.claim: Reservation | None = None
+        self.credit: PrepaidCredit | None = None
         self._body_dropped = False  # no memory was free for the body that is being read, so it is discarded
         self.transit = TransitTime()
         self._hello_timer: asyncio.TimerHandle | None = None
@@ -137,12 +137,12 @@
         if not self.host.register_session(self):
             conn.close("too many clients", self.host.come_back_ms)
             return
-        conn.show_slowness()
+        conn.limit_unsent_bytes()
         wait_s = self.host.hello_timeout_ms / 1000.0
         self._hello_timer = asyncio.get_running_loop().call_later(wait_s, conn.close, "no hello in time")
 
-    def room(self, conn: Connection, message: Any, length: int) -> bytearray | Later | None:
-        """Return the buffer for the body of a write, LATER to wait for memory, or None to drop the body.
+    def body_buffer(self, conn: Connection, message: Any, length: int) -> bytearray | BodyDeferred | None:
+        """Return a buffer for the body of a write, BODY_DEFERRED to wait for memory, None to drop the body.
 
         The body of a write that would be rejected is read and dropped, so that it uses no memory.
         """
@@ -151,37 +151,41 @@
         host, self._body_dropped = self.host, self.host.full
         if self._body_dropped:
             return None
-        self.claim = host.rooms.ask(
+        self.claim = host.rooms.reserve(
             self.account, message.workload, message.volume, length, self, message.left_ms
         )
-        if self.claim is None and host.rooms.bounded:
+        if self.claim is None and host.rooms.is_limited:
             return None  # the workload or the volume is unknown
-        return LATER if waits(self.claim) else bytearray(length)
+        return BODY_DEFERRED if is_waiting(self.claim) else bytearray(length)
 
-    def roomy(self, claim: Claim) -> None:
+    def reservation_granted(self, claim: Reservation) -> None:
         """Receive the body that waited: its memory has been reserved."""
-        self.conn.give(bytearray(claim.length))
+        self.conn.provide_body(bytearray(claim.length))
         self.read_on()
 
-    def cramped(self, claim: Claim) -> None:
+    def reservation_timed_out(self, claim: Reservation) -> None:
         """Drop the body that waited: no memory became free in time."""
         self.claim, self._body_dropped = None, True
-        self.conn.give(None)
+        self.conn.provide_body(None)
         self.read_on()
 
     def reserve_small_read(self, request: InflightRequest, workload: str) -> bool:
-        """Pay for the bytes of a small read from the client's purse; returns False if it cannot."""
+        """Reserve the bytes of a small read from the client's prepaid credit; returns False if it cannot."""
         conn = self.conn
-        if request.length > PURSE // 8 or conn.stuck or not self.host.rooms.bounded:
+        if (
+            request.length > PREPAID_CREDIT_BYTES // 8
+            or conn.is_write_blocked
+            or not self.host.rooms.is_limited
+        ):
             return False
-        purse = self.purse
-        if purse is None:
-            purse = self.purse = self.host.rooms.purse(self.account, workload, request.volume, self)
-            if purse is None:
+        credit = self.credit
+        if credit is None:
+            credit = self.credit = self.host.rooms.open_credit(self.account, workload, request.volume, self)
+            if credit is None:
                 return False
-        if not purse.spend(workload, request.volume, request.length, conn.waiting):
+        if not credit.spend(workload, request.volume, request.length, conn.waiting):
             return False
-        request.purse = purse
+        request.purse = credit
         return True
 
     def transit_ms(self, since_hello_ms: float, now: float) -> float:
@@ -197,13 +201,13 @@
         self.host.reject_without_memory(request)
 
     def idle(self) -> None:
-        """Release the purse if nothing uses it; called periodically."""
-        purse = self.purse
-        if purse is not None and not (purse.spent or self.conn.waiting or self.conn.stuck):
-            self.purse = None
-            self.host.rooms.leave(purse.claim)
+        """Release the prepaid credit if nothing uses it; called periodically."""
+        credit = self.credit
+        if credit is not None and not (credit.spent or self.conn.waiting or self.conn.is_write_blocked):
+            self.credit = None
+            self.host.rooms.release(credit.reservation)
 
-    def body_taken(self, claim: Claim) -> None:
+    def body_taken(self, claim: Reservation) -> None:
         """Release the memory of a body that the client has read.
 
         A client that is narrowed for being slow gets the next piece of its range requests only then.
@@ -219,9 +223,9 @@
         has begun is read.
         """
         conn = self.conn
-        conn.hold_reading(conn.full or (self.slow >= Step.HELD and not conn.within))
+        conn.set_reading_paused(conn.full or (self.slow >= Step.HELD and not conn.is_mid_frame))
 
-    def frame(self, conn: Connection, message: Any, body: bytearray | memoryview | None) -> None:
+    def on_frame(self, conn: Connection, message: Any, body: bytearray | memoryview | None) -> None:
         """Handle a message from the client."""
         if isinstance(message, (ReadRpc, WriteRpc)) and self.name:
             self._take(message, body)
@@ -258,7 +262,7 @@
         self.claim, self._body_dropped = None, False
         request = self._accept(rpc, body, body_dropped)
         if request is None:
-            self.host.rooms.leave(claim)
+            self.host.rooms.release(claim)
             return
         self.rpcs[rpc.id] = request
         self.host.add_open_request(request)
@@ -287,7 +291,9 @@
             return None
         return self.host.take(self, rpc, body)
 
-    def send_message(self, message: Ok | Rejected | Errored | Part, body: Body, claim: Claim | None) -> None:
+    def send_message(
+        self, message: Ok | Rejected | Errored | Part, body: Body, claim: Reservation | None
+    ) -> None:
         """Send a message to the client; the claim is released once the client has taken the body."""
         if self.conn.waiting and isinstance(body, memoryview) and len(body) < memoryview(body.obj).nbytes:
             # The body is a part of a buffer that coalesced reads share. A copy keeps the whole buffer from
@@ -297,16 +303,16 @@
             self.conn.send(message, body, holds=(claim,))
         else:
             self.conn.send(message, body)
-            self.host.rooms.leave(claim)
+            self.host.rooms.release(claim)
 
-    def answer(self, message: Ok | Rejected | Errored, body: Body, claim: Claim | None) -> None:
+    def answer(self, message: Ok | Rejected | Errored, body: Body, claim: Reservation | None) -> None:
         """Send the final answer of an RPC; does nothing if the client has abandoned it."""
         if self.rpcs.pop(message.id, None) is None:
-            self.host.rooms.leave(claim)
+            self.host.rooms.release(claim)
             return
         self.send_message(message, body, claim)
         if self.conn.full:  # the client does not read its answers, so no more of its RPCs are read
-            self.conn.hold_reading(True)
+            self.conn.set_reading_paused(True)
 
     def writable(self, conn: Connection) -> None:
         """Go on reading and sending: the client has read its answers."""
@@ -323,11 +329,11 @@
         if self._hello_timer is not None:
             self._hello_timer.cancel()
         claim, self.claim = self.claim, None
-        self.host.rooms.leave(claim)
+        self.host.rooms.release(claim)
         rpcs, self.rpcs = self.rpcs, {}
         for request in rpcs.values():
             self.host.client_abandoned(request)
-        purse, self.purse = self.purse, None
-        if purse is not None:
-            self.host.rooms.leave(purse.claim)
+        credit, self.credit = self.credit, None
+        if credit is not None:
+            self.host.rooms.release(credit.reservation)
         self.host.remove_session(self, why)
