--- a/tests/gateway/test_gateway_failures.py
+++ b/tests/gateway/test_gateway_failures.py
@@ -1,4 +1,8 @@
-"""A story for each failure that the dispatcher meets on its sockets."""
+"""Failures on the sockets of a dispatcher: nodes, clients and the register that fail, stop or restart.
+
+Guards against RPCs that get no answer or two, writes that are applied twice, and attempts that are sent to
+nodes which must not get any. Each test runs a register, storage nodes, a dispatcher and clients on loopback.
+"""
 
 from __future__ import annotations
 
@@ -20,67 +24,67 @@
     assert isinstance(await client.write(workload, "v", key, body, deadline_ms=1500), Ok)
 
 
-def test_an_answer_cut_in_half_never_reaches_the_client_and_a_read_goes_again():
-    async def story(house: GatewaySite) -> None:
-        node = await house.node()
-        client = house.client(await house.gateway())
+def test_read_is_retried_after_a_truncated_answer():
+    async def case(site: GatewaySite) -> None:
+        node = await site.node()
+        client = site.client(await site.gateway())
         await put(client, "k", b"seat" * 4096)
         node.resets = 1
         read = await client.read("read", "v", "k", shard=0, length=16384, deadline_ms=1500)
         assert isinstance(read, Ok) and bytes(read.body) == b"seat" * 4096
         assert node.resets == 0
 
-    run(story)
+    run(case)
 
 
-def test_a_non_idempotent_write_whose_answer_was_cut_is_errored_and_stands_once():
-    async def story(house: GatewaySite) -> None:
-        node = await house.node()
-        client = house.client(await house.gateway())
+def test_non_idempotent_write_is_not_retried_after_a_reset():
+    async def case(site: GatewaySite) -> None:
+        node = await site.node()
+        client = site.client(await site.gateway())
         node.resets = 1
         answer = await client.write("once", "v", "k", b"!", append=True, deadline_ms=1000)
         assert isinstance(answer, Errored)
         await asyncio.sleep(0.1)
         assert bytes(node.bytes[("v", "k")]) == b"!"
 
-    run(story)
+    run(case)
 
 
-def test_a_tokened_write_goes_again_to_its_node_and_stands_once():
-    async def story(house: GatewaySite) -> None:
-        node = await house.node()
-        client = house.client(await house.gateway())
+def test_write_with_idempotency_key_is_retried_and_applied_once():
+    async def case(site: GatewaySite) -> None:
+        node = await site.node()
+        client = site.client(await site.gateway())
         node.resets = 1
         answer = await client.write("marked", "v", "k", b"!", append=True, token=b"t1", deadline_ms=1400)
         assert isinstance(answer, Ok) and bytes(node.bytes[("v", "k")]) == b"!"
 
-    run(story)
+    run(case)
 
 
-def test_after_a_reset_the_next_of_an_ordered_key_waits_its_rest():
-    async def story(house: GatewaySite) -> None:
-        node = await house.node(build=Build(unit_ms=20.0, put_off=0.0))
-        gateway = await house.gateway()
-        client = house.client(gateway)
+def test_ordered_key_cools_down_after_a_reset():
+    async def case(site: GatewaySite) -> None:
+        node = await site.node(build=Build(unit_ms=20.0, put_off=0.0))
+        gateway = await site.gateway()
+        client = site.client(gateway)
         await put(client, "k", b"", "write")
         node.resets = 1
         writes = [client.write("ordered", "v", "k", bytes([n]), shard=0, deadline_ms=1400) for n in (1, 2)]
         answers = await asyncio.gather(*writes)
         assert all(isinstance(answer, Ok) for answer in answers)
-        came = [(line[0], line[3]) for line in node.record.lines if line[1] == "recv"][1:]
+        received = [(line[0], line[3]) for line in node.record.lines if line[1] == "recv"][1:]
         reset = next(line[0] for line in node.record.lines if line[1] == "reset")
-        after = [at for at, _ in came if at > reset]
+        after = [at for at, _ in received if at > reset]
         assert after and after[0] >= reset + 100.0
         assert bytes(node.bytes[("v", "k")]) == b"\x02"
 
-    run(story)
+    run(case)
 
 
-def test_a_rack_that_restarts_at_once_while_the_list_lags_loses_no_rpc():
-    async def story(house: GatewaySite) -> None:
-        nodes = [await house.node(shard=n) for n in range(3)]
-        house.register.lag_ms = 1e9
-        client = house.client(await house.gateway())
+def test_rack_restart_with_a_stale_endpoint_list_loses_no_rpc():
+    async def case(site: GatewaySite) -> None:
+        nodes = [await site.node(shard=n) for n in range(3)]
+        site.register.lag_ms = 1e9
+        client = site.client(await site.gateway())
         for shard in range(3):
             answers = [client.write("write", "v", f"k{shard}{n}", b"x", deadline_ms=1500) for n in range(5)]
             assert all(isinstance(answer, Ok) for answer in await asyncio.gather(*answers))
@@ -104,26 +108,26 @@
             if isinstance(await client.read("read", "v", "k00", shard=0, length=1, deadline_ms=1500), Ok):
                 return
             await asyncio.sleep(0.03)
-        raise AssertionError("no read came through after the rack was back")
+        raise AssertionError("no read succeeded after the rack was back")
 
-    run(story)
+    run(case)
 
 
-def test_an_answer_in_the_round_in_which_time_is_up_gives_one_answer():
-    async def story(house: GatewaySite) -> None:
-        node = await house.node(build=Build(unit_ms=60.0, put_off=0.0))
-        gateway = await house.gateway()
+def test_answer_and_deadline_in_one_round_give_one_answer():
+    async def case(site: GatewaySite) -> None:
+        node = await site.node(build=Build(unit_ms=60.0, put_off=0.0))
+        gateway = await site.gateway()
         answers: list[int] = []
         client = Client(
             gateway.address,
             "c",
             told=lambda event, id_, **_: answers.append(id_) if event == "answer" else None,
         )
-        house.clients.append(client)
+        site.clients.append(client)
         task = asyncio.create_task(client.read("read", "v", "k", shard=0, length=1, deadline_ms=150))
         await asyncio.sleep(0.05)
         assert node.running == 1
-        time.sleep(0.3)  # everybody stands still past the answer and the deadline
+        time.sleep(0.3)  # stops the event loop beyond the answer and the deadline
         await task
         await asyncio.sleep(0.1)
         assert (
@@ -132,83 +136,83 @@
             and not gateway.node_clients[next(iter(gateway.node_clients))].waiting
         )
 
-    run(story)
+    run(case)
 
 
-def test_a_burst_beyond_the_most_held_is_rejected_before_it_is_taken():
-    async def story(house: GatewaySite) -> None:
-        await house.node(build=Build(cores=1, unit_ms=50.0, put_off=0.0))
-        gateway = await house.gateway(bounds=LimitSettings(most_held=10))
-        client = house.client(gateway)
+def test_burst_beyond_the_request_limit_is_rejected_before_scheduling():
+    async def case(site: GatewaySite) -> None:
+        await site.node(build=Build(cores=1, unit_ms=50.0, put_off=0.0))
+        gateway = await site.gateway(bounds=LimitSettings(most_held=10))
+        client = site.client(gateway)
         burst = [client.write("write", "v", f"k{n}", bytes(4096), deadline_ms=1400) for n in range(60)]
         tasks = [asyncio.create_task(each) for each in burst]
         await asyncio.sleep(0.03)
         assert len(gateway.open_requests) == 10
         answers = await asyncio.gather(*tasks)
-        told = [
+        rejections = [
             answer for answer in answers if isinstance(answer, Rejected) and "too many open" in answer.reason
         ]
-        assert len(told) == 50 and all(answer.come_back_ms == 500.0 for answer in told)
+        assert len(rejections) == 50 and all(answer.come_back_ms == 500.0 for answer in rejections)
 
-    run(story)
+    run(case)
 
 
-def test_a_drain_heard_while_connects_are_pending_keeps_what_waits_here():
-    async def story(house: GatewaySite) -> None:
-        node = await house.node()
-        gateway = await house.gateway()
-        client = house.client(gateway)
-        node.silent = True  # connects stand, no welcome comes
+def test_waiting_attempts_are_not_sent_to_a_node_that_starts_draining():
+    async def case(site: GatewaySite) -> None:
+        node = await site.node()
+        gateway = await site.gateway()
+        client = site.client(gateway)
+        node.silent = True  # it accepts connections and does not answer the greeting
         task = asyncio.create_task(client.read("read", "v", "k", shard=0, length=1, deadline_ms=1000))
         await asyncio.sleep(0.05)
-        assert sum(len(link.waiting) for link in gateway.node_clients.values()) == 1
-        house.list(node, "draining")
+        assert sum(len(node_client.waiting) for node_client in gateway.node_clients.values()) == 1
+        site.list(node, "draining")
         await asyncio.sleep(0.02)
-        assert not any(link.waiting for link in gateway.node_clients.values())
+        assert not any(node_client.waiting for node_client in gateway.node_clients.values())
         node.silent = False
         assert isinstance(await task, Rejected)
         assert not [line for line in node.record.lines if line[1] == "recv"]
 
-    run(story)
+    run(case)
 
 
-def test_the_register_gone_from_the_start_is_followed_once_it_is_there():
-    async def story(house: GatewaySite) -> None:
-        node = await house.node()
-        port = await house.register.start()
-        house.register._server.close()
-        gateway = await house.gateway(register=f"127.0.0.1:{port}", listed=False)
-        client = house.client(gateway)
+def test_register_that_is_unreachable_at_the_start_is_used_once_it_runs():
+    async def case(site: GatewaySite) -> None:
+        node = await site.node()
+        port = await site.register.start()
+        site.register._server.close()
+        gateway = await site.gateway(register=f"127.0.0.1:{port}", listed=False)
+        client = site.client(gateway)
         before = await client.read("read", "v", "k", shard=0, length=1, deadline_ms=300)
         assert isinstance(before, Rejected) and not gateway.nodes.by_address
-        house.register.address = f"127.0.0.1:{port}"
-        await house.register.start()
+        site.register.address = f"127.0.0.1:{port}"
+        await site.register.start()
         while not gateway.nodes.by_address:
             await asyncio.sleep(0.01)
         assert isinstance(await client.read("read", "v", "k", shard=0, length=1, deadline_ms=1000), Ok)
         assert node.address in gateway.nodes.by_address
 
-    run(story)
+    run(case)
 
 
-def test_losing_the_register_leaves_the_last_list_standing():
-    async def story(house: GatewaySite) -> None:
-        await house.node()
-        client = house.client(await house.gateway())
-        house.register.close()
+def test_endpoint_list_stays_in_use_without_the_register():
+    async def case(site: GatewaySite) -> None:
+        await site.node()
+        client = site.client(await site.gateway())
+        site.register.close()
         await asyncio.sleep(0.05)
         assert isinstance(await client.read("read", "v", "k", shard=0, length=1, deadline_ms=1000), Ok)
 
-    run(story)
+    run(case)
 
 
-def test_a_client_lives_through_the_restart_of_its_dispatcher():
-    async def story(house: GatewaySite) -> None:
-        node = await house.node(build=Build(unit_ms=30.0, put_off=0.0))
-        gateway = await house.gateway()
-        client = house.client(gateway)
+def test_client_reconnects_after_its_dispatcher_was_killed():
+    async def case(site: GatewaySite) -> None:
+        node = await site.node(build=Build(unit_ms=30.0, put_off=0.0))
+        gateway = await site.gateway()
+        client = site.client(gateway)
         await put(client, "k", b"x")
-        flying = [
+        pending = [
             asyncio.create_task(client.read("read", "v", "k", shard=0, length=1, deadline_ms=1000))
             for _ in range(4)
         ]
@@ -220,67 +224,67 @@
             for connection in [*node_client.connections.values()]:
                 connection.conn.abort("killed")
         gateway.rounds.stop()
-        assert all(isinstance(answer, Errored) for answer in await asyncio.gather(*flying))
+        assert all(isinstance(answer, Errored) for answer in await asyncio.gather(*pending))
         port = int(gateway.address.rpartition(":")[2])
-        again = await house.gateway()
+        again = await site.gateway()
         client.address = again.address
         assert port and isinstance(
             await client.read("read", "v", "k", shard=0, length=1, deadline_ms=1500), Ok
         )
         assert node.starts == 1
 
-    run(story)
+    run(case)
 
 
-def test_one_byte_at_a_time_from_a_node_is_an_answer_all_the_same():
-    async def story(house: GatewaySite) -> None:
-        node = await house.node()
-        client = house.client(await house.gateway())
+def test_answer_received_byte_by_byte_is_complete():
+    async def case(site: GatewaySite) -> None:
+        node = await site.node()
+        client = site.client(await site.gateway())
         await put(client, "k", b"abcdefgh")
         node.trickle = 1
         read = await client.read("export", "v", "k", shard=0, length=8, deadline_ms=3000)
         assert isinstance(read, Ok) and bytes(read.body) == b"abcdefgh"
 
-    run(story)
+    run(case)
 
 
-def test_a_late_answer_is_read_off_and_the_next_one_is_not_mistaken():
-    async def story(house: GatewaySite) -> None:
-        node = await house.node(build=Build(cores=1, unit_ms=5.0, put_off=0.0))
-        client = house.client(await house.gateway(lines=NodeConnectionSettings(most=1)))
+def test_late_answer_is_dropped_and_not_taken_for_the_next():
+    async def case(site: GatewaySite) -> None:
+        node = await site.node(build=Build(cores=1, unit_ms=5.0, put_off=0.0))
+        client = site.client(await site.gateway(lines=NodeConnectionSettings(most=1)))
         await put(client, "a", b"A" * 200_000)
         await put(client, "b", b"B" * 1000)
-        node.trickle = 20_000  # the answer takes 50 ms on its way
+        node.trickle = 20_000  # the answer takes 50 ms to arrive
         late = await client.read("read", "v", "a", shard=0, length=200_000, deadline_ms=290)
         assert isinstance(late, Rejected | Errored)
         node.trickle = 0
         read = await client.read("read", "v", "b", shard=0, length=1000, deadline_ms=1000)
         assert isinstance(read, Ok) and bytes(read.body) == b"B" * 1000
 
-    run(story)
+    run(case)
 
 
-def test_a_node_that_refuses_connects_is_told_apart_from_one_that_may_have_run():
-    async def story(house: GatewaySite) -> None:
-        node = await house.node()
-        gateway = await house.gateway()
-        client = house.client(gateway)
+def test_refused_connect_is_known_not_to_have_run():
+    async def case(site: GatewaySite) -> None:
+        node = await site.node()
+        gateway = await site.gateway()
+        client = site.client(gateway)
         node.crash()
         answer = await client.write("once", "v", "k", b"!", shard=0, append=True, deadline_ms=600)
-        assert isinstance(answer, Rejected)  # it never ran: trying again is harmless
+        assert isinstance(answer, Rejected)  # it has not run, so a retry is harmless
 
-    run(story)
+    run(case)
 
 
-def test_rpcs_that_lay_in_the_socket_are_known_to_be_old():
-    """A process that stood still reads RPCs whose clients have long given up."""
+def test_expired_rpcs_from_a_full_socket_are_not_sent():
+    """After a stop the process reads RPCs from its socket whose clients no longer wait."""
 
-    async def story(house: GatewaySite) -> None:
+    async def case(site: GatewaySite) -> None:
         from cherrygrade.wire.frames import encode
         from cherrygrade.wire.messages import VERSION, Hello, ReadRpc
 
-        node = await house.node()
-        gateway = await house.gateway()
+        node = await site.node()
+        gateway = await site.gateway()
         _, writer = await asyncio.open_connection(*gateway.address.split(":"))
         writer.write(encode(Hello(VERSION, "client", "raw")))
         writer.write(encode(ReadRpc(1, "read", "v", "k", 0, 0, 1, 400.0, False, 1.0)))
@@ -291,66 +295,66 @@
         assert received == ["raw:1"]
         writer.close()
 
-    run(story)
+    run(case)
 
 
-def test_told_to_leave_it_finishes_what_it_holds_and_takes_nothing_new():
-    async def story(house: GatewaySite) -> None:
-        await house.node(build=Build(unit_ms=100.0, put_off=0.0))
-        gateway = await house.gateway()
-        client = house.client(gateway)
-        held = asyncio.create_task(client.read("read", "v", "k", shard=0, length=1, deadline_ms=1000))
+def test_shutdown_finishes_open_requests_and_accepts_no_new_ones():
+    async def case(site: GatewaySite) -> None:
+        await site.node(build=Build(unit_ms=100.0, put_off=0.0))
+        gateway = await site.gateway()
+        client = site.client(gateway)
+        pending = asyncio.create_task(client.read("read", "v", "k", shard=0, length=1, deadline_ms=1000))
         await asyncio.sleep(0.04)
         gateway.leave()
-        assert isinstance(await held, Ok)
+        assert isinstance(await pending, Ok)
         assert await gateway.done == EXIT_CLEAN
         after = await client.read("read", "v", "k", shard=0, length=1, deadline_ms=200)
         assert isinstance(after, Rejected) and "no connection" in after.reason
 
-    run(story)
+    run(case)
 
 
-def test_told_to_leave_twice_it_answers_all_and_ends_at_once():
-    async def story(house: GatewaySite) -> None:
-        await house.node(build=Build(unit_ms=500.0, put_off=0.0))
-        gateway = await house.gateway()
-        client = house.client(gateway)
-        held = asyncio.create_task(client.read("read", "v", "k", shard=0, length=1, deadline_ms=1400))
+def test_second_shutdown_request_answers_all_and_ends_at_once():
+    async def case(site: GatewaySite) -> None:
+        await site.node(build=Build(unit_ms=500.0, put_off=0.0))
+        gateway = await site.gateway()
+        client = site.client(gateway)
+        pending = asyncio.create_task(client.read("read", "v", "k", shard=0, length=1, deadline_ms=1400))
         await asyncio.sleep(0.04)
         gateway.leave()
         gateway.leave()
-        assert isinstance(await held, Errored) and await gateway.done == EXIT_FORCED
+        assert isinstance(await pending, Errored) and await gateway.done == EXIT_FORCED
 
-    run(story)
+    run(case)
 
 
-def test_an_exception_in_the_module_errors_all_that_is_held_and_is_logged_with_its_round():
-    class Breaks(Scheduler):
-        def decide(self, now, writer, **came):
-            super().decide(now, writer, **came)
-            if any(rpc.key == "poison" for rpc in came["arrivals"]):
+def test_scheduler_exception_fails_open_requests_and_is_logged_with_its_round():
+    class FaultyScheduler(Scheduler):
+        def decide(self, now, sink, **inputs):
+            super().decide(now, sink, **inputs)
+            if any(request.key == "poison" for request in inputs["arrivals"]):
                 raise RuntimeError("poisoned")
 
-    async def story(house: GatewaySite) -> None:
-        await house.node(build=Build(unit_ms=100.0, put_off=0.0))
-        gateway = await house.gateway(make=Breaks)
-        client = house.client(gateway)
-        held = asyncio.create_task(client.read("read", "v", "k", shard=0, length=1, deadline_ms=1400))
+    async def case(site: GatewaySite) -> None:
+        await site.node(build=Build(unit_ms=100.0, put_off=0.0))
+        gateway = await site.gateway(make=FaultyScheduler)
+        client = site.client(gateway)
+        pending = asyncio.create_task(client.read("read", "v", "k", shard=0, length=1, deadline_ms=1400))
         await asyncio.sleep(0.03)
-        bad = await client.read("read", "v", "poison", shard=0, length=1, deadline_ms=1400)
-        assert isinstance(bad, Errored) and isinstance(await held, Errored)
+        faulty = await client.read("read", "v", "poison", shard=0, length=1, deadline_ms=1400)
+        assert isinstance(faulty, Errored) and isinstance(await pending, Errored)
         assert await gateway.done == EXIT_BROKEN
-        facts = next(facts for event, facts in house.logs if event == "scheduler crashed")
+        facts = next(facts for event, facts in site.logs if event == "scheduler crashed")
         assert "poisoned" in facts["traceback"] and "1 arrivals" in facts["round"]
 
-    run(story)
+    run(case)
 
 
-def test_a_client_that_leaves_has_its_place_given_back():
-    async def story(house: GatewaySite) -> None:
-        await house.node(build=Build(cores=1, unit_ms=200.0, put_off=0.0))
-        gateway = await house.gateway()
-        client = house.client(gateway)
+def test_abandoned_requests_are_removed():
+    async def case(site: GatewaySite) -> None:
+        await site.node(build=Build(cores=1, unit_ms=200.0, put_off=0.0))
+        gateway = await site.gateway()
+        client = site.client(gateway)
         tasks = [
             asyncio.create_task(client.read("read", "v", "k", shard=0, length=1, deadline_ms=1400))
             for _ in range(5)
@@ -361,72 +365,72 @@
         await asyncio.sleep(0.05)
         assert not gateway.open_requests and not any(session.rpcs for session in gateway.sessions)
         await asyncio.sleep(0.8)
-        assert not gateway.rounds.scheduler.requests  # sends that were out have ended there too
+        assert not gateway.rounds.scheduler.requests  # the attempts in flight have ended too
 
-    run(story)
+    run(case)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.RESET])
-def test_a_second_word_on_a_send_changes_nothing(outcome):
-    async def story(house: GatewaySite) -> None:
-        await house.node()
-        gateway = await house.gateway()
-        client = house.client(gateway)
+def test_second_outcome_of_an_attempt_is_ignored(outcome):
+    async def case(site: GatewaySite) -> None:
+        await site.node()
+        gateway = await site.gateway()
+        client = site.client(gateway)
         assert isinstance(await client.read("read", "v", "k", shard=0, length=1, deadline_ms=1000), Ok)
-        link = next(iter(gateway.node_clients.values()))
-        lane = gateway.rounds.scheduler.node_queues[link.node]
+        node_client = next(iter(gateway.node_clients.values()))
+        node_queue = gateway.rounds.scheduler.node_queues[node_client.node]
         before = len(gateway.rounds.inputs.outcomes)
-        out = lane.newest_attempt
-        gateway.rounds.record_outcome(out, outcome)
-        assert out.outcome is Outcome.OK and len(gateway.rounds.inputs.outcomes) == before
+        attempt = node_queue.newest_attempt
+        gateway.rounds.record_outcome(attempt, outcome)
+        assert attempt.outcome is Outcome.OK and len(gateway.rounds.inputs.outcomes) == before
 
-    run(story)
+    run(case)
 
 
-def test_one_byte_at_a_time_from_a_client_and_to_one():
-    async def story(house: GatewaySite) -> None:
+def test_rpcs_sent_byte_by_byte_are_answered():
+    async def case(site: GatewaySite) -> None:
         from cherrygrade.wire.frames import encode
         from cherrygrade.wire.messages import VERSION, Hello, ReadRpc, WriteRpc
 
-        await house.node()
-        gateway = await house.gateway()
+        await site.node()
+        gateway = await site.gateway()
         reader, writer = await asyncio.open_connection(*gateway.address.split(":"))
-        words = [
+        frames = [
             encode(Hello(VERSION, "client", "raw")),
             encode(WriteRpc(1, "write", "v", "k", -1, 0, 1400.0), 5) + b"bytes",
             encode(ReadRpc(2, "read", "v", "k", 0, 0, 5, 1400.0)),
         ]
-        got = b""
-        for word in words:
-            for at in range(len(word)):
-                writer.write(word[at : at + 1])
+        received = b""
+        for frame in frames:
+            for at in range(len(frame)):
+                writer.write(frame[at : at + 1])
                 await asyncio.sleep(0)
-            while not got.endswith(b"bytes") and len(got) < 10:
-                got += await reader.read(1)
+            while not received.endswith(b"bytes") and len(received) < 10:
+                received += await reader.read(1)
             await asyncio.sleep(0.03)
-        while not got.endswith(b"bytes"):
-            got += await asyncio.wait_for(reader.read(1), 1.0)
+        while not received.endswith(b"bytes"):
+            received += await asyncio.wait_for(reader.read(1), 1.0)
         assert not gateway.open_requests
         writer.close()
 
-    run(story)
+    run(case)
 
 
-def test_where_the_list_must_be_asked_for_it_is_and_again_after_the_register_was_lost():
-    async def story(house: GatewaySite) -> None:
-        await house.node()
+def test_endpoint_list_is_requested_again_after_the_register_connection_was_lost():
+    async def case(site: GatewaySite) -> None:
+        await site.node()
         permits = SitePolicy(
             max_attempts=4, max_retry_after_ms=500.0, polls_endpoints=True, max_poll_interval_ms=300.0
         )
-        gateway = await house.gateway(permits=permits)
+        gateway = await site.gateway(permits=permits)
         assert not gateway.register_watch._is_list_requested
-        asked = [line for line in house.register.record.lines if line[1] == "told"]
-        for door in [*house.register.doors]:
+        before = [line for line in site.register.record.lines if line[1] == "told"]
+        for door in [*site.register.doors]:
             door.conn.abort("cut")
         for _ in range(300):
             await asyncio.sleep(0.01)
-            if len([line for line in house.register.record.lines if line[1] == "told"]) > len(asked):
+            if len([line for line in site.register.record.lines if line[1] == "told"]) > len(before):
                 return
-        raise AssertionError("never asked again")
+        raise AssertionError("the endpoint list was not requested again")
 
-    run(story)
+    run(case)
--- a/tests/project/test_import_order.py
+++ b/tests/project/test_import_order.py
@@ -1,12 +1,12 @@
-"""Who imports whom: arrows run one way, those for types alone too."""
+"""Imports between modules have no cycles, those for type annotations included."""
 
 from graphlib import TopologicalSorter
 
 import grimp
 
 
-def test_no_file_imports_itself_by_way_of_others() -> None:
+def test_imports_have_no_cycle() -> None:
     graph = grimp.build_graph("cherrygrade")
-    arrows = {module: graph.find_modules_directly_imported_by(module) for module in graph.modules}
-    assert len(arrows) > 100
-    TopologicalSorter(arrows).prepare()  # CycleError tells the circle
+    imports = {module: graph.find_modules_directly_imported_by(module) for module in graph.modules}
+    assert len(imports) > 100
+    TopologicalSorter(imports).prepare()  # raises CycleError with the cycle
--- a/tests/project/test_machine.py
+++ b/tests/project/test_machine.py
@@ -1,5 +1,7 @@
-"""Nothing of the program, its laboratory or the scripts changes the machine's priorities or limits, its own
-included: a busy machine is played with fewer things at once.
+"""The program, its laboratory and the scripts change no priorities or limits of any process.
+
+Guards against runs that look better than they are because they take time from other processes. A busy machine
+is given fewer things to run at once instead.
 """
 
 from __future__ import annotations
@@ -11,17 +13,18 @@
 import pytest
 
 ROOT = Path(__file__).parents[2]
-# Of os, resource and psutil; the last few are psutil's, which read where nothing is given.
+# Functions of os, resource and psutil. The last three are psutil's, which only read if called without
+# arguments.
 CALLS = frozenset(
     "setpriority nice sched_setaffinity sched_setscheduler sched_setparam setrlimit prlimit"
     " ionice cpu_affinity rlimit".split()
 )
 COMMANDS = frozenset("nice renice ionice taskset chrt ulimit prlimit cgexec numactl cpulimit".split())
-LEGITIMATE: dict[tuple[str, str], str] = {}  # file and word: the reason
+ALLOWED: dict[tuple[str, str], str] = {}  # reasons by file and word
 
 
-def in_python(text: str) -> set[str]:
-    """Each name, attribute or import of CALLS, whole strings of them, and commands among a string's words."""
+def forbidden_in_python(text: str) -> set[str]:
+    """Return names, attributes, imports and strings in CALLS, and words of strings in COMMANDS."""
     found = set()
     for node in ast.walk(ast.parse(text)):
         if isinstance(node, ast.Attribute):
@@ -35,7 +38,7 @@
     return found
 
 
-def in_shell(text: str) -> set[str]:
+def forbidden_in_shell(text: str) -> set[str]:
     return {*re.split(r"[^\w]+", text)} & COMMANDS
 
 
@@ -44,14 +47,18 @@
     return [file for file in found if file.is_file()]
 
 
-def used(file: Path) -> set[str]:
+def forbidden_in(file: Path) -> set[str]:
     text = file.read_text()
-    return in_python(text) if file.suffix == ".py" or "python" in text.partition("\n")[0] else in_shell(text)
+    return (
+        forbidden_in_python(text)
+        if file.suffix == ".py" or "python" in text.partition("\n")[0]
+        else forbidden_in_shell(text)
+    )
 
 
-def test_no_priority_and_no_limit_is_changed():
-    found = {(str(file.relative_to(ROOT)), word) for file in files() for word in used(file)}
-    assert found == LEGITIMATE.keys()
+def test_no_priority_or_limit_is_changed():
+    found = {(str(file.relative_to(ROOT)), word) for file in files() for word in forbidden_in(file)}
+    assert found == ALLOWED.keys()
     assert len(files()) > 100
 
 
@@ -68,10 +75,10 @@
         "run('/usr/bin/nice -n -5 x', shell=True)",
     ],
 )
-def test_each_way_to_change_one_is_seen(text):
-    assert in_python(text)
+def test_each_way_to_change_one_is_detected(text):
+    assert forbidden_in_python(text)
 
 
-def test_a_script_that_changes_one_is_seen():
-    assert in_shell("#!/bin/sh\nexec nice -n 5 .venv/bin/python x\n") == {"nice"}
-    assert in_shell("ulimit -n 4096\n") == {"ulimit"}
+def test_script_that_changes_one_is_detected():
+    assert forbidden_in_shell("#!/bin/sh\nexec nice -n 5 .venv/bin/python x\n") == {"nice"}
+    assert forbidden_in_shell("ulimit -n 4096\n") == {"ulimit"}
--- a/tests/support/gateway_site.py
+++ b/tests/support/gateway_site.py
@@ -1,4 +1,4 @@
-"""One machine's loopback: a register, nodes, a dispatcher and a client in one event loop."""
+"""A register, storage nodes, dispatchers and clients on loopback, in one event loop."""
 
 from __future__ import annotations
 
@@ -62,6 +62,12 @@
 
 
 class GatewaySite:
+    """The parts of one test case; `close` ends them all.
+
+    Attributes:
+        logs: events and facts that the dispatchers logged.
+    """
+
     def __init__(self) -> None:
         self.nodes: list[Node] = []
         self.places: list[str] = []
@@ -71,9 +77,9 @@
         self.logs: list[tuple[str, dict[str, Any]]] = []
 
     def reserve(self, count: int) -> list[str]:
-        """Places for whatever starts in this house, given back with its end."""
-        self.places += (found := reserve(count))
-        return found
+        """Reserve addresses until the site is closed."""
+        self.places += (addresses := reserve(count))
+        return addresses
 
     async def node(
         self, shard: int = 0, build: Build | None = None, zone: str = "z", *, listed: bool = True
@@ -86,19 +92,19 @@
         return node
 
     def volume(self, name: str = "v", extents: int = 8, extent_bytes: int = 16384) -> None:
-        """A volume whose extents lie on the nodes in turn."""
+        """Register a volume whose extents are spread over the nodes in turn."""
         shards = [index % len(self.nodes) for index in range(extents)]
         self.register.volume(name, extents * extent_bytes, extent_bytes, shards)
         for index, shard in enumerate(shards):
             self.nodes[shard].versions[(name, f"e{index}")] = 1
 
     def move(self, extent: int, to: int, name: str = "v", *, told: bool = True) -> None:
-        """Bytes and all, at once; the dispatcher hears of it later, or from the node."""
-        place = (name, f"e{extent}")
-        source = next(node for node in self.nodes if place in node.versions)
-        del source.versions[place]
-        self.nodes[to].bytes[place] = source.bytes.pop(place, bytearray())
-        self.nodes[to].versions[place] = self.register.move(name, extent, to, told=told)
+        """Move an extent with its bytes to another node; `told`: the register announces it."""
+        key = (name, f"e{extent}")
+        source = next(node for node in self.nodes if key in node.versions)
+        del source.versions[key]
+        self.nodes[to].bytes[key] = source.bytes.pop(key, bytearray())
+        self.nodes[to].versions[key] = self.register.move(name, extent, to, told=told)
 
     def list(self, node: Node, standing: str) -> None:
         self.register.set(node.address, "", -1, standing, node.starts, 0.0)
@@ -155,19 +161,19 @@
         self.register.close()
         release(*self.places)
         await asyncio.sleep(0.01)
-        for gateway in self.gateways:  # whatever a story did, no body's room may be lost by it
+        for gateway in self.gateways:  # no memory for bodies may be lost, whatever the case did
             pool = gateway.rooms.budget
             assert (pool.used_bytes, pool.batch_bytes, pool.slow_bytes, pool.waiting_count) == (0, 0, 0, 0)
 
 
-def run(story: Callable[[GatewaySite], Coroutine[Any, Any, None]], seconds: float = 10.0) -> None:
-    """Play a story in a house of its own, within its time."""
+def run(case: Callable[[GatewaySite], Coroutine[Any, Any, None]], seconds: float = 10.0) -> None:
+    """Run a case on a site of its own; it fails after `seconds`."""
 
-    async def play() -> None:
-        house = GatewaySite()
+    async def run_and_close() -> None:
+        site = GatewaySite()
         try:
-            await asyncio.wait_for(story(house), seconds)
+            await asyncio.wait_for(case(site), seconds)
         finally:
-            await house.close()
+            await site.close()
 
-    asyncio.run(play())
+    asyncio.run(run_and_close())
