--- a/cherrygrade/gateway/register_watch.py
+++ b/cherrygrade/gateway/register_watch.py
@@ -123,7 +123,7 @@
             self.closed(conn, f"connect: {error or type(error).__name__}")
 
     def connected(self, conn: Connection) -> None:
-        """Greet the register; request the list if nobody else does, or if a request is open."""
+        """Greet the register; request the list, unless the scheduler polls it and waits for no answer."""
         self._conn = conn
         self._backoff.record_connected(self._clock())
         conn.send(Hello(VERSION, "dispatcher", self.name))
@@ -160,7 +160,7 @@
         """Do nothing: requests are short."""
 
     def closed(self, conn: Connection, why: str) -> None:
-        """Reconnect after a backoff; the scheduler is told that its subscription has ended."""
+        """Reconnect after a backoff, and report to the scheduler that its subscription has ended."""
         self._conn, self._is_gap_requested = None, False
         if self._is_closed:
             return
