--- a/cherrygrade/gateway/node_client.py
+++ b/cherrygrade/gateway/node_client.py
@@ -2,8 +2,8 @@
 
 Outcomes tell attempts that certainly have not run from those that may have run. An attempt whose frame was
 not started on a connection ends as not sent or connect failed, and one that the node refused as rejected or
-not
-sent: none of these has run. Any other attempt may have run and ends as timed out, reset, cancelled or failed.
+not sent: none of these has run. Any other attempt that fails may have run, and ends as timed out, reset,
+cancelled or failed.
 """
 
 from __future__ import annotations
--- a/cherrygrade/gateway/rounds.py
+++ b/cherrygrade/gateway/rounds.py
@@ -1,8 +1,7 @@
 """Collects the events of one event-loop iteration into one scheduler round and carries out its decisions.
 
 `Rounds` implements the scheduler's `DecisionSink`: decisions are queued while the scheduler runs, and are
-carried out in order after it has returned. All times are the event loop's clock in ms, read once for each
-round.
+carried out in order after it has returned. Times are the event loop's clock in ms, read once a round.
 """
 
 from __future__ import annotations
--- a/cherrygrade/gateway/sessions.py
+++ b/cherrygrade/gateway/sessions.py
@@ -103,8 +103,7 @@
         rpcs: open RPCs by their id; emptied by final answers and by the connection's end.
         features: protocol features that the client named in its greeting.
         bytes_in_flight: bytes of the pieces of range requests that are in flight for this client.
-        waiting_ranges: range requests that wait for the client to read; each removes itself when it goes on
-            or ends.
+        waiting_ranges: range requests that wait for the client to read; each removes itself.
         account: memory that this client uses, and the step that it is on if it is slow.
         claim: memory for the body that is being received, or that waits to be.
         credit: memory that the client's small reads share; None while there is none.
--- a/cherrygrade/gateway/settings_in_force.py
+++ b/cherrygrade/gateway/settings_in_force.py
@@ -9,16 +9,14 @@
 (docs/config-in-force.md):
 
 - Each dispatcher's part is a limit divided by a divisor. With equal divisors the parts of old and new
-settings
-  together are never more than the larger of the two limits.
+  settings together are never more than the larger of the two limits.
 - If a divisor changes, each dispatcher first uses the smaller of its two parts (`old`). Parts grow only once
   all dispatchers do so. A part of slow start that may grow begins at 0 for one span, until the units that
   others sent under their old parts are out of the span.
 - Limits of a plan are token buckets, so these parts may grow at once: the rate grows, but no tokens are
-added.
-  If the burst falls while the rate rises, the tokens fall by the same amount; otherwise a dispatcher would
-  have the burst of one limit and the rate of the other. A part that was 0 or had no limit begins with no
-  tokens, as after a start.
+  added. If the burst falls while the rate rises, the tokens fall by the same amount; otherwise a dispatcher
+  would have the burst of one limit and the rate of the other. A part that was 0 or had no limit begins with
+  no tokens, as after a start.
 """
 
 from __future__ import annotations
--- a/tests/gateway/test_bad_input.py
+++ b/tests/gateway/test_bad_input.py
@@ -1,7 +1,6 @@
 """Peers that break the native protocol.
 
-Guards against input that crashes the dispatcher, disturbs other clients, or makes it reserve memory without
-bound.
+Guards against input that crashes the dispatcher, disturbs other clients, or takes memory without bound.
 """
 
 from __future__ import annotations
--- a/tests/project/test_machine.py
+++ b/tests/project/test_machine.py
@@ -13,8 +13,7 @@
 import pytest
 
 ROOT = Path(__file__).parents[2]
-# Functions of os, resource and psutil. The last three are psutil's, which only read if called without
-# arguments.
+# Functions of os, resource and psutil. The last three are psutil's; without arguments they only read.
 CALLS = frozenset(
     "setpriority nice sched_setaffinity sched_setscheduler sched_setparam setrlimit prlimit"
     " ionice cpu_affinity rlimit".split()
