--- a/cherrygrade/lab/audits/audit.py
+++ b/cherrygrade/lab/audits/audit.py
@@ -45,6 +45,11 @@
     18: "no two act for one task",
     19: "tasks are done where the most can speak",
 }
+"""Titles of the rules by number, as report.json and `lab audit` show them.
+
+This module checks 1 to 8, `fleetaudit.py` checks 11 to 19 (the promises of a fleet). The function
+of each rule says what the rule demands.
+"""
 
 
 @dataclass(slots=True)
@@ -84,8 +89,8 @@
         host: Number of the dispatcher that the client sent it to.
         answers: Time (ms), kind and detail of each final answer; the detail is the shard, the retry delay
             in ms or the reason, by kind.
-        lost_at_ms: Time at which the connection was lost without an answer, ms.
-        late: Whether the client recorded an answer after the deadline.
+        lost_at_ms: Time at which the connection was lost before an answer, ms; None if it was not.
+        late: Whether the client stopped waiting at the deadline.
     """
 
     origin: str
@@ -162,6 +167,7 @@
     """
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
+        """Reads the record files of a run of `scenario` from `folder`."""
         self.scenario, self.folder = scenario, folder
         self.site: SiteSettings = site_of(folder)
         self.requests: dict[str, ClientRequest] = {}
@@ -305,8 +311,8 @@
             f"deadline {request.deadline_ms:.1f})"
         )
         excused = any(
-            request.at_ms - CLOCK_SLACK_MS <= death <= request.deadline_ms + CLOCK_SLACK_MS
-            for death in ev.exits_ms[request.host]
+            request.at_ms - CLOCK_SLACK_MS <= exit_ms <= request.deadline_ms + CLOCK_SLACK_MS
+            for exit_ms in ev.exits_ms[request.host]
         )
         # Answers need `answer_ms` to reach the client: a request with less time is rejected on receipt.
         excused = excused or request.deadline_ms - request.at_ms < ev.site.bounds.answer_ms
@@ -339,7 +345,7 @@
                 )
     for name, incarnation, reason, code in ev.exit_codes:
         if reason != "kill" and code:
-            verdict.add_breach(f"{name} (incarnation {incarnation}) expected exit code 0, got {code}")
+            verdict.add_breach(f"{name} (incarnation {incarnation}): expected exit code 0, got {code}")
 
 
 def _twice(ev: Evidence, verdict: Verdict) -> None:
@@ -352,6 +358,7 @@
         verdict.judged += 1
         work = ev.workload(request.workload)
         sends = sorted(sends, key=lambda attempt: attempt.at_ms)
+        # Code 2: the node was full and did not execute the attempt. Any other attempt may have run.
         ran = [attempt for attempt in sends if attempt.outcome != "answer 2"]
         for earlier, later in itertools.pairwise(sends):
             if (
