--- a/cherrygrade/lab/audits/broken.py
+++ b/cherrygrade/lab/audits/broken.py
@@ -34,10 +34,10 @@
     original: Callable[..., None] = Gateway.send_final_answer
     answers = [0]
 
-    def send_final_answer(self: Gateway, held: Any, message: Any, body: Any = None) -> None:
+    def send_final_answer(self: Gateway, request: Any, message: Any, body: Any = None) -> None:
         answers[0] += 1
         if answers[0] % 20:
-            original(self, held, message, body)
+            original(self, request, message, body)
 
     Gateway.send_final_answer = send_final_answer  # type: ignore[method-assign]
     return site
