--- a/cherrygrade/extents/range_service.py
+++ b/cherrygrade/extents/range_service.py
@@ -157,9 +157,7 @@
         """Reject the request: no memory for the buffer became available in time."""
         self.drop()
         host = self.service.host
-        host.send_final_answer(
-            self, Rejected(self.rpc.id, host.come_back_ms, f"no memory for a read of {self.length} bytes")
-        )
+        host.send_final_answer(self, Rejected(self.rpc.id, host.come_back_ms, "no room for its bytes"))
 
     def split(self) -> None:
         """Split the range by the map, which is known now; no piece was sent to a node before."""
@@ -263,14 +261,10 @@
             body = None if self.streams or self.writes else self.buffer
             host.send_final_answer(self, Ok(rpc.id, -1), body)
         elif result is Result.REJECTED:
-            host.send_final_answer(
-                self, Rejected(rpc.id, tracker.come_back_ms, "a piece of the range was rejected")
-            )
+            host.send_final_answer(self, Rejected(rpc.id, tracker.come_back_ms, "a piece of it was rejected"))
         else:
             reason = (
-                "a piece of the write failed: its range may hold new bytes or old ones"
-                if self.writes
-                else "a piece of the read failed"
+                "a piece failed: its ranges may hold new bytes or old" if self.writes else "a piece failed"
             )
             host.send_final_answer(self, Errored(rpc.id, reason))
 
@@ -342,7 +336,7 @@
         if workload is None or volume_settings is None:
             return host.submit_direct(session, rpc, body)  # the scheduler rejects it
         if isinstance(rpc, WriteRpc) and rpc.append:
-            session.conn.send(Errored(rpc.id, "append needs a key: a byte range can't be appended to"))
+            session.conn.send(Errored(rpc.id, "a range has no end to append to"))
             return None
         if not self.map.known(volume):
             split_request = SplitRequest(
@@ -535,15 +529,13 @@
         """Return the final answer of a request that no node is needed for; None if nodes are needed."""
         size = self.map.size(rpc.volume)
         if rpc.offset + length > size:
-            return Errored(
-                rpc.id, f"range of {length} bytes at {rpc.offset} exceeds the volume's size of {size} bytes"
-            )
+            return Errored(rpc.id, f"beyond the volume's end at {size}")
         if not length:
             return Ok(rpc.id, -1)
         if workload.ordered:
             slices = list(self.map.slices(rpc.volume, rpc.offset, length, length))
             if slices[0].extent != slices[-1].extent:
-                return Errored(rpc.id, "a range of an ordered workload must be within one extent")
+                return Errored(rpc.id, "a range that keeps an order must lie within one extent")
         return None
 
     def locate(self, split_request: SplitRequest) -> None:
--- a/cherrygrade/gateway/node_client.py
+++ b/cherrygrade/gateway/node_client.py
@@ -143,7 +143,7 @@
         frame = self.frames.pop(answer.id, None)
         if frame is None:
             if answer.id > self.last_stream:
-                self.conn.close("answer to a frame that was never sent")
+                self.conn.close("an answer to a send that was never made")
             return
         frame_outcome = OUTCOMES_BY_CODE.get(answer.code, Outcome.FAILED)
         is_alone = len(frame.attempts) == 1
--- a/cherrygrade/gateway/peer_messaging.py
+++ b/cherrygrade/gateway/peer_messaging.py
@@ -124,7 +124,7 @@
         """Wait for the greeting, or close the connection if there are too many."""
         # Twice as many as other dispatchers, since the end of old connections may not have been seen yet.
         if len(self.messaging.receivers) >= 2 * len(self.messaging.senders) + 2:
-            conn.close("too many connections from dispatchers")
+            conn.close("more dispatchers than there are")
             return
         self.messaging.receivers[self] = None
         self._hello_timer = asyncio.get_running_loop().call_later(
@@ -162,7 +162,7 @@
         elif isinstance(message, Bye):
             conn.close("dispatcher left")
         else:
-            conn.close(f"unexpected {type(message).__name__}; only dispatchers' gossip is accepted here")
+            conn.close(f"unexpected {type(message).__name__}; only dispatchers' words are heard here")
 
     def writable(self, conn: Connection) -> None:
         """Do nothing: only the greeting is answered."""
--- a/cherrygrade/gateway/process.py
+++ b/cherrygrade/gateway/process.py
@@ -353,7 +353,7 @@
             return False
         is_accepted, evicted = self.arrivals.admit(session, len(self.sessions))
         if evicted is not None:
-            evicted.conn.close("no hello yet, and other clients are waiting", self.come_back_ms)
+            evicted.conn.close("no hello yet, and others come", self.come_back_ms)
         if is_accepted:
             self.sessions[session] = None
         return is_accepted
@@ -729,9 +729,7 @@
             return
         assert request.rpc is not None
         last = request.attempts[-1].outcome if request.attempts else None
-        self.send_final_answer(
-            request, Errored(request.rpc.id, f"last attempt: {last.value}" if last else "")
-        )
+        self.send_final_answer(request, Errored(request.rpc.id, f"last send: {last.value}" if last else ""))
 
     def send_final_answer(
         self, request: InflightRequest | RangeRequest, message: Ok | Rejected | Errored, body: Any = None
--- a/cherrygrade/gateway/sessions.py
+++ b/cherrygrade/gateway/sessions.py
@@ -243,7 +243,7 @@
         if hello.version < 1 or hello.role != "client" or not hello.name:
             self.conn.close(
                 f"hello of version {hello.version} as '{hello.role}': "
-                f"expected a version of at least 1, the role 'client' and a name"
+                f"versions from 1 as 'client', with a name, are taken"
             )
             return
         assert self._hello_timer is not None
@@ -282,7 +282,7 @@
             )
             return None
         if len(self.rpcs) >= self.host.max_open_rpcs or self.host.full:
-            reason = "dispatcher is leaving" if self.host.leaving else "too many open requests"
+            reason = "leaving" if self.host.leaving else "more held than there is room for"
             self.conn.send(Rejected(rpc.id, self.host.come_back_ms, reason))
             return None
         if body_dropped:  # even if memory is free now, the body is gone
--- a/cherrygrade/peers/watch.py
+++ b/cherrygrade/peers/watch.py
@@ -266,11 +266,11 @@
                 self._cut_at_ms = now
                 self.recent_cuts.cut(_host_and_name(client), now)
                 conn.close(
-                    f"peer too slow: {rate:.0f} bytes/s, the minimum is {least:.0f} bytes/s",
+                    f"too slow: {rate:.0f} bytes a second, {least:.0f} are the least",
                     self.come_back_ms,
                 )
         elif step is Step.CUT:
-            conn.abort(f"peer too slow: {rate:.0f} bytes/s, the minimum is {least:.0f} bytes/s")
+            conn.abort(f"too slow: {rate:.0f} bytes a second, {least:.0f} are the least")
 
 
 def _host_and_name(client: Client) -> tuple[str, str]:
--- a/cherrygrade/wire/frames.py
+++ b/cherrygrade/wire/frames.py
@@ -46,9 +46,7 @@
     """
     header = _encoder.encode(message)
     if len(header) > MAX_HEADER_BYTES:
-        raise ProtocolError(
-            f"a header of {len(header)} bytes exceeds the maximum of {MAX_HEADER_BYTES} bytes"
-        )
+        raise ProtocolError(f"a header of {len(header)} bytes; at most {MAX_HEADER_BYTES}")
     return HEAD.pack(_kinds[type(message)], flags, len(header), body_length) + header
 
 
@@ -186,13 +184,9 @@
         while end - start >= HEAD.size:
             kind, flags, header_length, body_length = HEAD.unpack_from(buffer, start)
             if header_length > MAX_HEADER_BYTES:
-                raise ProtocolError(
-                    f"a header of {header_length} bytes exceeds the maximum of {MAX_HEADER_BYTES} bytes"
-                )
+                raise ProtocolError(f"a header of {header_length} bytes; at most {MAX_HEADER_BYTES}")
             if body_length > self.most_body:
-                raise ProtocolError(
-                    f"a body of {body_length} bytes exceeds the maximum of {self.most_body} bytes"
-                )
+                raise ProtocolError(f"a body of {body_length} bytes; at most {self.most_body}")
             body_at = start + HEAD.size + header_length
             if body_at > end:
                 break
@@ -226,7 +220,7 @@
         try:
             return decoder.decode(header)
         except msgspec.MsgspecError as error:
-            raise ProtocolError(f"invalid header of kind {kind}: {error}") from error
+            raise ProtocolError(f"header of kind {kind}: {error}") from error
 
 
 class _Skipped:
