--- a/cherrygrade/fleet/config/joint_phase.py
+++ b/cherrygrade/fleet/config/joint_phase.py
@@ -204,7 +204,7 @@
         """Return why a seat with these claims lacks proof; "" if it does not."""
         last = max(claims, key=lambda claim: (claim.incarnation, claim.name), default=None)
         if last is None:
-            return "no member is known to have claimed this seat"
+            return "nobody is known to have held it"
         lacking = [
             claim for claim in claims if (claim is last or claim.is_living) and not self.is_proven(claim)
         ]
@@ -212,7 +212,7 @@
             return ""
         claim = lacking[0]
         if not claim.is_living:
-            return f"{claim.name} failed without leaving the fleet"
+            return f"{claim.name} failed, and has not left"
         stage = self.stages.get((claim.name, claim.incarnation))
         return f"{claim.name} has not answered" if stage is None else f"{claim.name} is on stage {stage}"
 
--- a/cherrygrade/fleet/config/replica.py
+++ b/cherrygrade/fleet/config/replica.py
@@ -134,10 +134,8 @@
         if self.refusal and self._refused_number >= self.believed.number:
             return f"refused: {self.refusal}"
         if self.believed.stage <= self.stage:
-            return "" if self.is_certain else "the fleet's version is not confirmed yet"
-        return (
-            f"can't fetch: {self.fetch.error}" if self.fetch.error else "a newer version is not in force yet"
-        )
+            return "" if self.is_certain else "not sure what the fleet is on"
+        return f"can't fetch: {self.fetch.error}" if self.fetch.error else "late"
 
     def own_advert(self) -> OwnAdvert:
         """Return what this member reports of its own configuration."""
--- a/cherrygrade/fleet/membership/record_merger.py
+++ b/cherrygrade/fleet/membership/record_merger.py
@@ -84,7 +84,7 @@
             return
         if record.info.address != self._state.address:
             # Two processes have the same name: the later one keeps it, and this one stops sending.
-            self._state.superseded_by = f"{record.name} at {record.info.address}, started later"
+            self._state.superseded_by = f"{record.name} at {record.info.address}, born later"
             return
         # The record is of a former process at this address; the clock was set back since it started.
         self._state.incarnation = record.incarnation + 1
--- a/cherrygrade/fleet/runtime/agent_status.py
+++ b/cherrygrade/fleet/runtime/agent_status.py
@@ -104,7 +104,7 @@
         own = reachability.own.get(node_hash)
         faults.append(
             {
-                "node": agent.node_addresses.get(node_hash, f"node hash {node_hash}"),
+                "node": agent.node_addresses.get(node_hash, f"mark {node_hash}"),
                 "view": view.value,
                 "trouble_at": failing,
                 "tried_by": tried,
--- a/cherrygrade/fleet/runtime/config_coverage.py
+++ b/cherrygrade/fleet/runtime/config_coverage.py
@@ -135,7 +135,7 @@
         report = self.reports.get(member.name, DirectReport(0, 0, "", LONG_AGO_MS))
         reason = report.refusal
         if member.state is MemberState.SUSPECT or (report.received_ms < queried_ms and was_queried):
-            reason = "cut off: it did not answer"
+            reason = "cut off: it gave no answer"
         return _late(member.name, member.seat, report.stage, reason)
 
     def _living_seats(self) -> set[int]:
@@ -149,7 +149,7 @@
         for member in self._membership.table.dead():
             if 0 <= member.seat < self._membership.fleet_size and member.seat not in living:
                 has_left = member.state is MemberState.LEFT
-                reason = "left the fleet" if has_left else "dead, or cut off from this dispatcher"
+                reason = "left" if has_left else "dead, or cut off from here"
                 since_s = round((now_ms - member.state_since_ms) / 1000.0)
                 missing.append(MissingMember(member.name, member.seat, f"{reason}, for {since_s} s", False))
         return missing
@@ -157,7 +157,7 @@
     def _unknown_seats(self) -> list[MissingMember]:
         known = self._living_seats() | {member.seat for member in self._membership.table.dead()}
         return [
-            MissingMember("", seat, "no member with this seat is known", False)
+            MissingMember("", seat, "nobody of it is known here", False)
             for seat in range(self._membership.fleet_size)
             if seat not in known
         ]
