--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -934,7 +934,8 @@
 
 def test_new_process_is_ready_in_time_without_a_list_and_sends_nothing(tmp_path, monkeypatch):
     # The platform requires that nine of ten restarted processes are ready within 6 s, even if discovery is
-    # down for longer. test_deploy measures the time including the start of the interpreter.
+    # down for longer. It must not get ready sooner by sending to the nodes of an old list, since they may be
+    # draining or removed (rule 3). test_deploy measures the time including the start of the interpreter.
     assert process.READY_WITHOUT_ENDPOINTS_MS <= 4500.0 < process.FILE_ENDPOINTS_MS
     monkeypatch.setattr(process, "READY_WITHOUT_ENDPOINTS_MS", 200.0)
 
