--- a/cherrygrade/platform/connection_pool.py
+++ b/cherrygrade/platform/connection_pool.py
@@ -197,8 +197,8 @@
         self._last_connect_was_reset = isinstance(error, ConnectionResetError)
         if self._last_connect_was_reset and not previous_was_reset:
             return  # a single reset is no sign that the node is unreachable; two in a row are
-        # The node is unreachable, and none of the waiting attempts was sent. If another connection is
-        # established, only this connect is at fault, and one attempt fails.
+        # None of the waiting attempts was sent. If another connection is established, only this connect is at
+        # fault, and at most one attempt fails; otherwise the node is unreachable, and all of them fail.
         if any(other.is_up for other in self.connections):
             if len(self.waiting) > self.connecting:
                 self.finish(self.waiting.popleft(), Outcome.CONNECT_FAILED)
@@ -209,9 +209,9 @@
     def _connect_is_slow(self, connection: NodeConnection) -> None:
         """Start another connect beside one that is not established after a part of the time-out.
 
-        A single slow connect is no sign that the node is unreachable, and neither are more if a connect
-        succeeded or a response arrived since they began. A second slow connect without such a sign of life
-        ends the first waiting attempt as unable to connect.
+        A slow connect counts against the node unless another connect has succeeded or a response has arrived
+        since it began. One that counts is no sign yet that the node is unreachable; the second ends the first
+        waiting attempt as unable to connect.
         """
         if connection.is_up or connection.is_closed:
             return
--- a/cherrygrade/platform/process.py
+++ b/cherrygrade/platform/process.py
@@ -172,7 +172,7 @@
         return port
 
     def _ready_without_endpoints(self) -> None:
-        """Report ready without endpoints: clients get Retry-After, rather than a dispatcher never in use."""
+        """Report ready without endpoints: an answer with Retry-After is better than an unused dispatcher."""
         if not self.ready:
             self.ready = True
             self.log("ready without endpoints: discovery has sent no list")
--- a/cherrygrade/platform/shutdown.py
+++ b/cherrygrade/platform/shutdown.py
@@ -12,8 +12,8 @@
 from cherrygrade.platform.client_registry import ClientRegistry
 
 ACCEPTING_MS = 700.0  # time after SIGTERM in which the platform may still direct new clients here
-# The platform kills the process ACCEPTING_MS plus the longest deadline, or this time if shorter, after
-# SIGTERM.
+# The platform kills the process ACCEPTING_MS plus the longest deadline after SIGTERM, and counts at most
+# MAX_DRAINING_MS of that deadline.
 MAX_DRAINING_MS = 3000.0
 CLOSING_MS = 270.0  # time before the kill at which the listener closes and answers start to close connections
 FINAL_ANSWERS_MS = 170.0  # time before the kill at which every request that is still open is answered
--- a/cherrygrade/platform/watch_liveness.py
+++ b/cherrygrade/platform/watch_liveness.py
@@ -22,7 +22,7 @@
             full_list_requested: Whether the watch requested the full list rather than changes.
         """
         self.deadline_ms = now_ms + FIRST_LIST_LIMIT_MS
-        """The watch counts as broken if `bytes_received` has not moved this time before it is reached."""
+        """When the watch counts as broken, ms; `bytes_received` moves this time at each sign of life."""
         self._has_list = not full_list_requested
         self._within_object = False  # the last bytes left an object unfinished
 
