--- a/cherrygrade/scheduling/admission.py
+++ b/cherrygrade/scheduling/admission.py
@@ -82,7 +82,7 @@
         self.slow_start.record(queue, request.units, now)
 
     def may_reject(self, request: Request) -> bool:
-        """Whether the request may be rejected: its client can then retry without a second effect (rule 2)."""
+        """Whether a rejection is safe: a retry by the client would have no second effect (rule 2)."""
         return may_reject(request)
 
     def may_run_again(self, request: Request, node: Node, now: float, this: Attempt | None = None) -> bool:
@@ -94,7 +94,7 @@
 
         Returns:
             A time in ms. The attempt may start at once if it is not after `now`; otherwise the request has to
-            be checked again at that time. NEVER_MS: waiting alone does not make an attempt possible.
+            be checked again at that time. It is NEVER_MS if waiting alone cannot make an attempt possible.
         """
         if not (self._in_time(queued.request, now) and self._attempt_remains(queued)):
             return NEVER_MS
@@ -121,7 +121,7 @@
         return policy.allows_hedging or not queued.in_flight
 
     def _node_serves(self, request: Request, node: Node) -> bool:
-        """Rule 3: the node is live. It must also hold the request's shard."""
+        """Rule 3: the node must be live. It must also hold the request's shard."""
         return node.state is NodeState.LIVE and request.shard in (ANY_SHARD, node.shard)
 
     def _within_limit(self, queued: QueuedRequest, now: float) -> bool:
--- a/cherrygrade/scheduling/client_retries.py
+++ b/cherrygrade/scheduling/client_retries.py
@@ -19,12 +19,14 @@
 class ClientRetries:
     """Computes when the latency objective of an arriving request ends.
 
+    Early rejections are remembered in two generations. When a new one begins, the older one is dropped.
+
     Attributes:
         settings: the settings in force.
         max_timeout_ms: the longest time until its deadline that a request arrived with, by workload name, ms.
         recently_rejected: end of the latency objective (ms) by volume and key, of requests that were rejected
             early in the present generation.
-        earlier_rejected: the same of the generation before, which is dropped when the next one begins.
+        earlier_rejected: the same of the generation before.
         next_generation_ms: when the next generation begins, ms. A generation lasts as long as the longest
             `max_timeout_ms`.
         previous_round_ms: time of the round before this one, ms.
--- a/cherrygrade/scheduling/concurrency_limit.py
+++ b/cherrygrade/scheduling/concurrency_limit.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 MIN_WINDOW = 1.0
-"""Smallest window, slots. Many dispatchers share a node, so each of them keeps only one."""
+"""Smallest window, slots. Many dispatchers share a node, so each of them keeps only one slot."""
 
 INITIAL_WINDOW = 2.0
 """Window before the first adjustment, slots."""
--- a/cherrygrade/scheduling/early_rejection.py
+++ b/cherrygrade/scheduling/early_rejection.py
@@ -30,17 +30,17 @@
         self._unplaced = unplaced
 
     def latest_objective_start_ms(self, queued: QueuedRequest, expected_ms: float) -> float:
-        """Return until when an attempt that takes `expected_ms` can start and meet the latency objective."""
+        """Return the latest start, ms, with which an attempt of `expected_ms` meets the latency objective."""
         return queued.objective_at_ms - expected_ms
 
     def latest_start_ms(self, queued: QueuedRequest, expected_ms: float) -> float:
-        """Return until when an attempt that takes `expected_ms` can start and meet the client's deadline."""
+        """Return the latest start, ms, with which an attempt of `expected_ms` meets the client's deadline."""
         return queued.request.deadline_ms - max(expected_ms, GRID_MS)
 
     def node_is_lost(self, queued: QueuedRequest, queue: NodeQueue) -> bool:
         """Whether the node that the request waits at receives no more attempts.
 
-        New objects that wait for any node in the queue of unplaced requests have not lost one.
+        A new object in the queue of unplaced requests waits for any node, so it has lost none.
         """
         if queue.node.state is NodeState.LIVE:
             return False
--- a/cherrygrade/scheduling/endpoint_polling.py
+++ b/cherrygrade/scheduling/endpoint_polling.py
@@ -10,7 +10,7 @@
 """Shortest time span that the first polls of all dispatchers are spread over."""
 
 SPREAD_PER_DISPATCHER_MS = 25.0
-"""Time span per dispatcher. Discovery would be overloaded if all dispatchers polled at the same time."""
+"""Time span per dispatcher; the first polls are spread out so that they do not overload discovery."""
 
 BACKOFF_FACTOR = 2.0
 """Factor by which the wait before the next poll grows with each failed poll."""
--- a/cherrygrade/scheduling/load_gossip.py
+++ b/cherrygrade/scheduling/load_gossip.py
@@ -16,7 +16,7 @@
 from cherrygrade.scheduling.timing import NEVER_MS, next_grid_ms
 
 REPORT_FORMAT = ">BHBH"
-"""Kind of the report, hash of the node, units, milliseconds."""
+"""Fields of one report, in the form of `struct`: kind, hash of the node, units, milliseconds."""
 
 SENT, ANSWERED, ENDED, WAITING = range(4)
 """Kinds of reports: an attempt was sent, an attempt succeeded, an attempt ended in another way, and the wait
@@ -59,7 +59,7 @@
 """An unchanged aggregate is published again after this time, while reports on the node come in."""
 
 OVERTAKEN_MS = 500.0
-"""An attempt sent this much before one that was answered has ended, or the report of its end is lost."""
+"""An attempt sent this much before one that was answered counts as ended, even if no report said so."""
 
 RATE_WEIGHT = 0.2
 """Weight of a new step in the moving average of the rate."""
@@ -77,10 +77,10 @@
 """Smallest divisor in units per ms."""
 
 CHANGED_WAITING_MS = 35.0
-"""A wait is published when it has changed by more than this plus CHANGED_WAITING_FRACTION of it."""
+"""A wait is published when it has changed by more than this plus CHANGED_WAITING_FRACTION of the old one."""
 
 CHANGED_WAITING_FRACTION = 0.3
-"""Fraction of the published wait that a change must exceed; see CHANGED_WAITING_MS."""
+"""Fraction of the published wait that is added to CHANGED_WAITING_MS."""
 
 CHANGED_UNIT_FRACTION = 0.4
 """The time of a unit is published when it has changed by more than this fraction."""
@@ -147,7 +147,7 @@
         self.unit_ms += weight * (unit_ms - self.unit_ms)
 
     def step(self, now: float) -> bool:
-        """Compute the wait anew: the units that wait over the rate at which the node answers.
+        """Compute the wait anew: the units that wait, divided by the rate at which the node answers.
 
         Returns:
             Whether the aggregate is to be published; `published` holds it then.
--- a/cherrygrade/scheduling/outlier.py
+++ b/cherrygrade/scheduling/outlier.py
@@ -11,7 +11,7 @@
 """Longest interval between two health checks."""
 
 MAX_DOUBLINGS = 6
-"""How often the interval between health checks doubles at most."""
+"""Largest number of times that the interval between health checks doubles."""
 
 ERROR_WEIGHT = 0.1
 """Weight of the newest answer in the error rate."""
--- a/cherrygrade/scheduling/placement.py
+++ b/cherrygrade/scheduling/placement.py
@@ -1,9 +1,10 @@
 """Chooses the node that a request goes to.
 
-A request on existing data goes to the node that holds its shard. For a new object, two nodes with credit are
-compared, beginning at a random node, and the one with the lower expected latency is chosen. The random start
-keeps dispatchers with the same information from all choosing the same node. A node has credit if it has a
-free slot that no pressed request waits for.
+A request on existing data goes to the node that holds its shard. A live node has credit for new objects if it
+is not ejected, answers with few errors and has a free slot that no pressed request waits for. Two nodes with
+credit are compared, beginning at a random node, and the one with the lower expected latency is chosen; a node
+that is warming up is not chosen. The random start keeps dispatchers with the same information from all
+choosing the same node.
 """
 
 from __future__ import annotations
--- a/cherrygrade/scheduling/scheduler.py
+++ b/cherrygrade/scheduling/scheduler.py
@@ -44,7 +44,7 @@
 from cherrygrade.scheduling.wake_ups import WakeUps
 
 FORGET_VOLUME_MS = 60_000.0
-"""A volume's token buckets are dropped once it has been idle for this long."""
+"""A volume's token buckets are dropped once the volume has been idle for this long."""
 
 
 class Scheduler:
@@ -171,12 +171,12 @@
         self._finish_round(now, sink)
 
     def _touch(self, queue: NodeQueue, now: float) -> None:
-        """Have a node queue checked in this round, after its periodic steps, which are made at once."""
+        """Make the periodic steps of a node queue now, and have the queue checked later in this round."""
         self.touched[queue] = None
         queue.catch_up(now)
 
     def _check(self, queue: NodeQueue, now: float, sink: DecisionSink) -> None:
-        """Check a node queue for all that may be due; each part lowers `next_check_ms` to its own time."""
+        """Check a node queue; each part of the check lowers `next_check_ms` to when it is needed again."""
         previous_check_ms = queue.next_check_ms
         queue.release_overdue(now, OVERDUE_OBJECTIVES * self.settings.tightest_objective_ms)
         self._review_waiting(queue, now, sink)
@@ -295,7 +295,7 @@
             objective_start_ms = rules.latest_objective_start_ms(queued, expected_ms)
             latest_start_ms = rules.latest_start_ms(queued, expected_ms)
             misses_objective = now > objective_start_ms
-            if misses_objective and queued.pressed:  # else only answered requests would count
+            if misses_objective and queued.pressed:  # else the tail would cover only answered requests
                 client_ms = queued.request.deadline_ms - queued.arrived_ms
                 queue.controller.record(now, client_ms / queued.workload.latency_objective_ms)
             node_is_lost = rules.node_is_lost(queued, queue)
@@ -318,13 +318,13 @@
         if now >= ejected_until_ms:
             while queue.node.state is NodeState.LIVE and self._start_one(queue, now, sink):
                 pass
-        if queue.has_waiting:  # the controller and the window step while requests wait
+        if queue.has_waiting:  # the share and the window are adjusted while requests wait
             queue.next_check_ms = min(queue.next_check_ms, queue.next_step_ms)
             if ejected_until_ms > now:
                 queue.next_check_ms = min(queue.next_check_ms, ejected_until_ms)
 
     def _start_one(self, queue: NodeQueue, now: float, sink: DecisionSink) -> bool:
-        """Start an attempt at the node; whether one was started."""
+        """Start an attempt at the node, and return whether one was started."""
         if not (queue.has_waiting or self.unplaced.has_waiting):
             queue.record_filled()
             return False
@@ -357,7 +357,7 @@
     def _start_from(
         self, waiting: list[QueuedRequest], queue: NodeQueue, now: float, sink: DecisionSink
     ) -> bool:
-        """Start an attempt of the first request that admission allows; whether there was one."""
+        """Start an attempt of the first request that admission allows, and return whether there was one."""
         for queued in waiting:
             earliest_ms = self.admission.earliest_start_ms(queued, queue, now)
             if earliest_ms > now:
--- a/cherrygrade/scheduling/share_controller.py
+++ b/cherrygrade/scheduling/share_controller.py
@@ -96,7 +96,7 @@
             self.share -= change
 
     def fit_reserved_slots(self, window_slots: int) -> None:
-        """Leave a slot of a smaller window unreserved; the share becomes 1 if slots are taken back."""
+        """Keep a slot unreserved in a window that shrank; if that takes slots back, the share becomes 1."""
         if self.reserved_slots >= window_slots:
             self.reserved_slots = window_slots - 1
             self.share = 1.0
--- a/cherrygrade/scheduling/utility.py
+++ b/cherrygrade/scheduling/utility.py
@@ -20,7 +20,7 @@
 
 
 def is_pressed_workload(workload: Workload, highest_weight: float, tightest_objective_ms: float) -> bool:
-    """Whether a workload belongs in Cake's pressed queue, by a high weight and a short latency objective."""
+    """Whether a workload has the high weight and the short objective that Cake's pressed queue is for."""
     has_weight = workload.priority_weight * PRESSED_WEIGHT_FACTOR > highest_weight
     return has_weight and workload.latency_objective_ms <= PRESSED_OBJECTIVE_FACTOR * tightest_objective_ms
 
