--- a/cherrygrade/fleet/config/joint_phase.py
+++ b/cherrygrade/fleet/config/joint_phase.py
@@ -1,5 +1,7 @@
 """The joint phase of a version that divides quotas anew: parts shrink first, and grow once that is safe.
 
+The change from the old to the new quota parts is called a quota move (`versions.py`).
+
 The joint phase follows Raft's joint consensus (Ongaro, Ousterhout 2014, section 6): while a version is in it,
 each dispatcher uses the smaller of its old and new quota parts. The council's leader settles the version once
 each seat of the larger fleet is proven: the member at the seat has reported directly that it is on that stage
@@ -25,7 +27,7 @@
 REPEAT_MS = 1000.0
 """Time after which a member that has not answered is queried again."""
 REQUIRED_ROUNDS = 2
-"""How many times all seats have to be proven."""
+"""Rounds in which all seats have to be proven; `JointPhase` gives the reason for more than one."""
 NEVER_MS = 1e15
 """A time that is never reached."""
 
--- a/cherrygrade/fleet/config/replica.py
+++ b/cherrygrade/fleet/config/replica.py
@@ -112,9 +112,9 @@
     def is_certain(self) -> bool:
         """Whether this process knows, or has known since its start, the fleet's version.
 
-        It does once the stored version is in force, or the stage that witnesses confirmed. Until then
-        the dispatcher serves on its own file and has no quota parts (`joint_phase.quota_parts`), because
-        the fleet may have divided quotas anew. A voter's own log does not make the voter certain,
+        The process knows it once the stored version, or the stage that witnesses confirmed, is in force.
+        Until then the dispatcher serves on its own file and has no quota parts (`joint_phase.quota_parts`),
+        because the fleet may have divided quotas anew. A voter's own log does not make the voter certain,
         because it may lag.
         """
         return self._is_certain
--- a/cherrygrade/fleet/consensus/council_messages.py
+++ b/cherrygrade/fleet/consensus/council_messages.py
@@ -247,8 +247,8 @@
 
     Attributes:
         stage: The stage of the newest version; 0 if there is no configuration.
-        settled: The newest version whose quota parts are settled.
-        moving: The version whose quota parts still move; 0 for none.
+        settled: The newest version whose quota move is settled (`config/versions.py` explains quota moves).
+        moving: The version with which the unsettled quota move began; 0 for none.
         versions: The versions that are stored, the newest last.
         text: The text that was requested; None if it is not stored.
         leader: The name of the leader.
--- a/cherrygrade/fleet/consensus/disruption_budget.py
+++ b/cherrygrade/fleet/consensus/disruption_budget.py
@@ -18,7 +18,7 @@
 
 
 class Resource(msgspec.Struct, array_like=True, frozen=True):
-    """A dispatcher or node of the fleet of record.
+    """A dispatcher or node that the fleet should have; all of them together are the fleet of record.
 
     Attributes:
         name: The name of the resource, unique in the fleet.
@@ -59,8 +59,8 @@
 class ResourceState(Enum):
     """The state of a resource; it is out of use in all states but IN_USE.
 
-    The values are stored, sent and shown to operators, so they must not change. WARMING: in use again,
-    with cold caches.
+    The values are stored, sent and shown to operators, so they must not change. WARMING: the resource
+    serves requests again with cold caches, and counts as out of use until it is reported in use.
     """
 
     IN_USE = "in use"
--- a/cherrygrade/fleet/consensus/drain_permits.py
+++ b/cherrygrade/fleet/consensus/drain_permits.py
@@ -66,7 +66,7 @@
 
 
 class ObserveResource(DrainCommand, frozen=True, tag="s"):
-    """Reports the observed state of a resource; ignored while a permit is out for it.
+    """Reports the observed state of a resource; ignored while the resource has a permit.
 
     Attributes:
         name: The resource.
@@ -108,7 +108,7 @@
 
 
 class DrainPermit(msgspec.Struct, array_like=True, frozen=True):
-    """A permit that is out.
+    """A permit that was granted and has not ended.
 
     Attributes:
         number: The index of the log entry that granted the permit.
@@ -150,7 +150,7 @@
 
 
 class DrainPermits:
-    """The permits that are out.
+    """The permits that were granted and have not ended.
 
     Attributes:
         now: The leader's time in ms, as of the newest entry; it never goes back.
@@ -257,7 +257,7 @@
         return outcome
 
     def _observe(self, command: ObserveResource) -> PermitOutcome:
-        # While a permit is out for a resource, reports of its state are ignored: only the return of the
+        # While a resource has a permit, reports of its state are ignored: only the return of the
         # permit under its number proves that the resource is in use again.
         observable = {state.value: state for state in ResourceState if state is not ResourceState.GRANTED}
         if command.state in observable and command.name not in self.permits:
--- a/cherrygrade/fleet/consensus/fencing.py
+++ b/cherrygrade/fleet/consensus/fencing.py
@@ -11,8 +11,8 @@
 
     Attributes:
         highest: By resource or task, the highest number accepted; never decreases. A receiver for which
-            a late order does harm stores it before it carries an order out, and passes it in again
-            after a restart.
+            a late order does harm stores these numbers before it carries an order out, and passes them
+            in again after a restart.
     """
 
     def __init__(self, highest: dict[str, int] | None = None) -> None:
--- a/cherrygrade/fleet/consensus/raft.py
+++ b/cherrygrade/fleet/consensus/raft.py
@@ -220,7 +220,8 @@
     def _start_pre_vote(self, now: float) -> None:
         """Ask the other voters whether they would vote for this one.
 
-        This keeps a voter that was partitioned off, or whose connection flaps, from causing an election.
+        The pre-vote keeps a voter that was partitioned off, or whose connection flaps, from
+        causing an election.
         """
         self._enter_role(Role.PRE_CANDIDATE, leader="", votes={self.name})
         if self.is_majority(self.votes):
--- a/cherrygrade/fleet/consensus/raft_messages.py
+++ b/cherrygrade/fleet/consensus/raft_messages.py
@@ -186,7 +186,7 @@
     """The work that a call to `Raft` leaves to its caller.
 
     The caller first writes `term_and_vote`, `snapshot` and `entries` to disk, in one transaction. Only then
-    it restores the state machine from `restored`, applies `committed` in order, and sends `messages`.
+    does it restore the state machine from `restored`, apply `committed` in order, and send `messages`.
 
     Attributes:
         term_and_vote: The term and vote to be stored; None if they are unchanged.
@@ -212,7 +212,7 @@
         return self.term_and_vote is not None or self.snapshot is not None or self.first_index > 0
 
     def write_entries(self, first_index: int, entries: list[LogEntry]) -> None:
-        """Replace the log from an index on; keep earlier entries that are to be written already."""
+        """Add a write that replaces the log from an index on; earlier entries still to be written stay."""
         if self.first_index and self.first_index < first_index:
             kept = self.entries[: first_index - self.first_index]
             self.entries = [*kept, *entries]
--- a/cherrygrade/fleet/consensus/voter.py
+++ b/cherrygrade/fleet/consensus/voter.py
@@ -232,9 +232,10 @@
         return self._finish(effects, now)
 
     def settle_config(self, number: int, now: float) -> VoterEffects:
-        """End the move of quota parts that began with a version, unless it has ended already.
+        """Settle the quota move that began with a version, unless it is settled already.
 
-        The caller knows that all dispatchers of record use the smaller of their old and new parts.
+        The caller knows that all dispatchers of the fleet of record use the smaller of their old
+        and new parts.
 
         Args:
             number: The version.
--- a/cherrygrade/fleet/consensus/voter_effects.py
+++ b/cherrygrade/fleet/consensus/voter_effects.py
@@ -44,7 +44,7 @@
 class VoterEffects:
     """The work that a call to `Voter` leaves to its caller.
 
-    The caller first writes all of `raft_effects` to disk, in order. Only then it sends
+    The caller first writes all of `raft_effects` to disk, in order. Only then does it send
     `messages` and `replies`.
 
     Attributes:
