--- a/cherrygrade/fleet/leases/lease_client.py
+++ b/cherrygrade/fleet/leases/lease_client.py
@@ -15,14 +15,14 @@
 from cherrygrade.fleet.leases.lease_holder import rendezvous_rank
 
 POLL_INTERVAL_MS = 400.0
-"""Between polls while a task was seen free, or the living members have changed recently."""
+"""Time between polls while a task was seen free, or the living members have changed recently."""
 IDLE_POLL_INTERVAL_MS, RECENT_CHANGE_MS = 4000.0, 15_000.0
-"""Between polls otherwise; for how long after a change of the living members polls stay frequent."""
+"""Time between polls otherwise; and how long polls stay frequent after a change of the living members."""
 REPEAT_POLL_DELAY_MS = 150.0
-"""Before the next poll when a free task was left to a member of lower rank."""
+"""Time before the next poll when a free task was left to a member of lower rank."""
 MAX_TASKS_PER_POLL = 64
 POLLERS_PER_TASK = 3
-"""How many of the living members poll for a task, by rank."""
+"""Number of living members that poll for a task: those with the lowest ranks for it."""
 NEVER = 1e15
 """A time in ms that is never reached."""
 
@@ -32,7 +32,7 @@
 
     Attributes:
         name: The name of the member.
-        seed: Of the random part of the poll interval.
+        seed: The seed of the random part of the poll interval.
         tasks: The tasks that the member would do; an ordered set, the values are None.
         times_seen_free: How many polls in a row found a task free; a task is removed when it is held here or
             by another member.
--- a/cherrygrade/fleet/leases/lease_holder.py
+++ b/cherrygrade/fleet/leases/lease_holder.py
@@ -34,7 +34,8 @@
         task: The name of the task.
         number: The lease's number; goes with each order as its fencing number.
         expires_at: The time in ms from which on no order may be sent.
-        orders_in_flight: Orders that were sent and have no reply yet; the lease is not released before.
+        orders_in_flight: Orders that were sent and have no reply yet; while there are any, the lease
+            is not released.
     """
 
     task: str
--- a/cherrygrade/fleet/membership/gossip.py
+++ b/cherrygrade/fleet/membership/gossip.py
@@ -158,6 +158,6 @@
 
 
 def _carries_info(table: MembershipTable, name: str) -> bool:
-    """Return whether a member's record is sent with info, which is so only for an alive member."""
+    """Return whether a member's record is sent with info: only the record of an alive member is."""
     member = table.members.get(name)
     return member is not None and member.state is MemberState.ALIVE
--- a/cherrygrade/fleet/membership/load_aggregators.py
+++ b/cherrygrade/fleet/membership/load_aggregators.py
@@ -17,7 +17,7 @@
 many units are in flight at the node."""
 
 LONG_AGO_MS = -1e15
-"""Time at which a node is taken to have got its aggregator where the aggregator never changed."""
+"""Time of the last change of aggregator that is assumed for a node whose aggregator never changed."""
 
 
 class LoadAggregators:
--- a/cherrygrade/fleet/runtime/config_exchange.py
+++ b/cherrygrade/fleet/runtime/config_exchange.py
@@ -278,7 +278,7 @@
             self._set_timer()
 
     def fetch_failed(self, member: str, reason: str) -> None:
-        """Tell the replica that a fetch ended without content."""
+        """Notify the replica that a fetch ended without content."""
         if self.replica is not None:
             self._apply_effects(self.replica.fetch_failed(member, reason, self.clock()))
             self._set_timer()
--- a/cherrygrade/fleet/runtime/council_server.py
+++ b/cherrygrade/fleet/runtime/council_server.py
@@ -301,7 +301,7 @@
             self.judging.pop(request.id, None)
 
     def settle(self, number: int) -> None:
-        """Tell the council that all dispatchers use the quotas of version `number`'s joint phase."""
+        """Notify the council that all dispatchers use the quotas of version `number`'s joint phase."""
         if self.voter is not None:
             self._apply_effects(self.voter.settle_config(number, self.clock()))
 
--- a/cherrygrade/fleet/runtime/lease_exercise.py
+++ b/cherrygrade/fleet/runtime/lease_exercise.py
@@ -58,7 +58,8 @@
         holder, clock = self.holder, self.clock
         while True:
             for task in [*holder.held]:
-                number = holder.fencing_number(task, clock())  # right before the write: it may have expired
+                # The number is read right before the write, because the lease may have expired.
+                number = holder.fencing_number(task, clock())
                 if not number:
                     continue
                 self.order_count += 1
