--- a/cherrygrade/fleet/runtime/voter_store.py
+++ b/cherrygrade/fleet/runtime/voter_store.py
@@ -201,7 +201,7 @@
             raise VoterStoreError(str(error)) from error
         terms = [snapshot.term, *(entry.term for entry in entries)]
         if terms != sorted(terms) or terms[-1] > hard_state.term:
-            raise VoterStoreError(f"terms decrease, or are above the current term {hard_state.term}")
+            raise VoterStoreError(f"entry terms decrease, or are above the current term {hard_state.term}")
         return PersistentState(hard_state.term, hard_state.vote, snapshot, entries)
 
     def _load_entries(self, txn: lmdb.Transaction, first_index: int) -> list[LogEntry]:
@@ -213,7 +213,7 @@
             if not (key.startswith(ENTRY_KEY_PREFIX) and len(key) == len(entry_key(0))):
                 break
             if key != entry_key(first_index + len(entries)):
-                raise VoterStoreError(f"gap in the log before {key!r}")
+                raise VoterStoreError(f"gap in the log before the entry with key {key!r}")
             entries.append(msgspec.msgpack.decode(verify_checksum(key, record), type=LogEntry))
         return entries
 
