--- a/cherrygrade/standin/emulated_network.py
+++ b/cherrygrade/standin/emulated_network.py
@@ -101,8 +101,8 @@
         bound: The port that dispatchers listen at.
         codec: The encoding of the fleet's gossip messages.
         rng: The random source of losses, duplicates, delays and random datagrams.
-        faults: The faults by sender and receiver; directions that no command named have none.
-        no_faults: The state of a direction without faults.
+        faults: The faults by sender and receiver; other directions have `default_faults`.
+        default_faults: The faults of directions that no command named: none, unless a test sets some.
         streams: The streams that are being forwarded; a stream ends when either side closes or resets it.
         listen_addresses: By announced host of a storage node, the register or a dispatcher's listener for
             clients: its number, and the address that streams to it are forwarded to.
@@ -127,7 +127,7 @@
         self.codec = MessageCodec(fleet)
         self.rng = random.Random(seed)
         self.faults: dict[tuple[int, int], DirectionFaults] = {}
-        self.no_faults = DirectionFaults()
+        self.default_faults = DirectionFaults()
         self.streams: dict[ForwardedStream, None] = {}
         self.listen_addresses: dict[str, tuple[int, str]] = {}
         self.incarnations: dict[int, tuple[str, int]] = {}
@@ -288,7 +288,7 @@
             self._datagram_received(data, number_of(source[0]), number_of(socket.inet_ntoa(to)))
 
     def _datagram_received(self, data: bytes, source: int, to: int) -> None:
-        faults = self.faults.get((source, to), self.no_faults)
+        faults = self.faults.get((source, to), self.default_faults)
         lost = bool(faults.cuts) or self.rng.random() < faults.lost
         self.bytes += len(data)
         if source not in self.incarnations:
@@ -358,10 +358,10 @@
     async def _forward_stream(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, source: int, to: int, address: str
     ) -> None:
-        faults = self.faults.get((source, to), self.no_faults)
+        faults = self.faults.get((source, to), self.default_faults)
         while faults.cuts:  # the connection is accepted, but nothing is forwarded before the cut ends
             await asyncio.sleep(0.05)
-            faults = self.faults.get((source, to), self.no_faults)
+            faults = self.faults.get((source, to), self.default_faults)
         try:
             far_host, _, port = address.rpartition(":")
             far_reader, far_writer = await asyncio.open_connection(far_host, int(port))
@@ -406,10 +406,10 @@
         """
         try:
             while data := await reader.read(65536):
-                faults = self.network.faults.get(direction, self.network.no_faults)
+                faults = self.network.faults.get(direction, self.network.default_faults)
                 while faults.cuts:  # the stream is half open: its bytes are forwarded once the cut ends
                     await asyncio.sleep(0.05)
-                    faults = self.network.faults.get(direction, self.network.no_faults)
+                    faults = self.network.faults.get(direction, self.network.default_faults)
                 if faults.delay_ms:
                     await asyncio.sleep(
                         (faults.delay_ms + faults.jitter_ms * self.network.rng.random()) / 1000.0
--- a/tests/fleet/runtime/test_config_in_force.py
+++ b/tests/fleet/runtime/test_config_in_force.py
@@ -305,7 +305,7 @@
         gateway_site.nodes[0].build.unit_ms = 20.0
         write = asyncio.ensure_future(client.write("write", "v", "", body, offset=0, deadline_ms=2900))
         while not gateway.open_requests or not any(
-            hasattr(request, "helds") and request.helds for request in gateway.open_requests
+            hasattr(request, "requests") and request.requests for request in gateway.open_requests
         ):
             await asyncio.sleep(0.001)
         overlay = Overlay(dispatcher.file, (), gateway.overlay.own)
--- a/tests/fleet/runtime/test_quota_parts_processes.py
+++ b/tests/fleet/runtime/test_quota_parts_processes.py
@@ -205,7 +205,7 @@
         assert await fleet.put(config_text(9, 60.0)) == 1
         await fleet.wait_until_settled(1)
         fleet.start_load(range(9))
-        fleet.ways.all.jitter_ms, fleet.ways.all.doubled = 350.0, 0.3
+        fleet.ways.default_faults.jitter_ms, fleet.ways.default_faults.doubled = 350.0, 0.3
         started = fleet.now_ms
         assert await fleet.put(config_text(9, 300.0)) == 2
         assert await fleet.put(config_text(9, 30.0)) == 3
