--- a/cherrygrade/fleet/config/joint_phase.py
+++ b/cherrygrade/fleet/config/joint_phase.py
@@ -1,5 +1,7 @@
 """The joint phase of a version that divides quotas anew: parts shrink first, and grow once that is safe.
 
+The change from the old to the new quota parts is called a quota move (`versions.py`).
+
 The joint phase follows Raft's joint consensus (Ongaro, Ousterhout 2014, section 6): while a version is in it,
 each dispatcher uses the smaller of its old and new quota parts. The council's leader settles the version once
 each seat of the larger fleet is proven: the member at the seat has reported directly that it is on that stage
@@ -25,7 +27,7 @@
 REPEAT_MS = 1000.0
 """Time after which a member that has not answered is queried again."""
 REQUIRED_ROUNDS = 2
-"""How many times all seats have to be proven."""
+"""Rounds in which all seats have to be proven; `JointPhase` gives the reason for more than one."""
 NEVER_MS = 1e15
 """A time that is never reached."""
 
@@ -204,7 +206,7 @@
         """Return why a seat with these claims lacks proof; "" if it does not."""
         last = max(claims, key=lambda claim: (claim.incarnation, claim.name), default=None)
         if last is None:
-            return "no member is known to have claimed this seat"
+            return "nobody is known to have held it"
         lacking = [
             claim for claim in claims if (claim is last or claim.is_living) and not self.is_proven(claim)
         ]
@@ -212,7 +214,7 @@
             return ""
         claim = lacking[0]
         if not claim.is_living:
-            return f"{claim.name} failed without leaving the fleet"
+            return f"{claim.name} failed, and has not left"
         stage = self.stages.get((claim.name, claim.incarnation))
         return f"{claim.name} has not answered" if stage is None else f"{claim.name} is on stage {stage}"
 
--- a/cherrygrade/fleet/config/replica.py
+++ b/cherrygrade/fleet/config/replica.py
@@ -112,9 +112,9 @@
     def is_certain(self) -> bool:
         """Whether this process knows, or has known since its start, the fleet's version.
 
-        It does once the stored version is in force, or the stage that witnesses confirmed. Until then
-        the dispatcher serves on its own file and has no quota parts (`joint_phase.quota_parts`), because
-        the fleet may have divided quotas anew. A voter's own log does not make the voter certain,
+        The process knows it once the stored version, or the stage that witnesses confirmed, is in force.
+        Until then the dispatcher serves on its own file and has no quota parts (`joint_phase.quota_parts`),
+        because the fleet may have divided quotas anew. A voter's own log does not make the voter certain,
         because it may lag.
         """
         return self._is_certain
@@ -134,10 +134,8 @@
         if self.refusal and self._refused_number >= self.believed.number:
             return f"refused: {self.refusal}"
         if self.believed.stage <= self.stage:
-            return "" if self.is_certain else "the fleet's version is not confirmed yet"
-        return (
-            f"can't fetch: {self.fetch.error}" if self.fetch.error else "a newer version is not in force yet"
-        )
+            return "" if self.is_certain else "not sure what the fleet is on"
+        return f"can't fetch: {self.fetch.error}" if self.fetch.error else "late"
 
     def own_advert(self) -> OwnAdvert:
         """Return what this member reports of its own configuration."""
